--- /dev/null
+++ b/crates/push/tests/compat.rs
@@ -0,0 +1,89 @@
+//! A backlog that a controller of commit 0ad3387 left when it was killed is read, and becomes the same requests.
+
+use peppercove_push::Sample;
+use peppercove_push::backlog::{Backlog, Bounds};
+use peppercove_push::encode::{Version, encode};
+use std::path::Path;
+
+/// Samples of one request, as the controller that sent them was set.
+const BATCH: usize = 30;
+
+fn data() -> &'static Path {
+    Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/compat"))
+}
+
+/// Puts the backlog into a folder of its own.
+fn copy() -> tempfile::TempDir {
+    let folder = tempfile::tempdir().unwrap();
+    for file in ["0000000002.seg", "0000000003.seg", "0000000004.seg", "done"] {
+        std::fs::copy(data().join(file), folder.path().join(file)).unwrap();
+    }
+    folder
+}
+
+/// All requests that the backlog becomes, in hexadecimal, and the samples that are in them.
+fn requests(version: Version) -> (Vec<String>, usize) {
+    let folder = copy();
+    let bounds = Bounds { bytes: 65_536, segment: 4_096, age: i64::MAX };
+    let mut backlog = Backlog::open(folder.path(), bounds).unwrap();
+    let (mut requests, mut count) = (Vec::new(), 0);
+    loop {
+        let waiting = backlog.peek(0, BATCH);
+        if waiting.is_empty() {
+            break;
+        }
+        let sample = |payload: &Vec<u8>| postcard::from_bytes::<Sample>(payload).unwrap();
+        let batch: Vec<Sample> = waiting.iter().map(|record| sample(&record.payload)).collect();
+        for (record, sample) in waiting.iter().zip(&batch) {
+            assert_eq!(postcard::to_stdvec(sample).unwrap(), record.payload, "written as it was");
+            assert_eq!(record.at, sample.at);
+        }
+        count += batch.len();
+        let body = encode(version, &batch);
+        requests.push(body.iter().map(|byte| format!("{byte:02x}")).collect());
+        backlog.done(waiting.len());
+    }
+    assert_eq!(backlog.lost(), Default::default(), "nothing is lost");
+    assert_eq!(backlog.bytes(), 0);
+    (requests, count)
+}
+
+fn check(version: Version, file: &str) {
+    let expected = std::fs::read_to_string(data().join(file)).unwrap();
+    let (requests, count) = requests(version);
+    assert_eq!(requests, expected.lines().collect::<Vec<_>>());
+    assert!(count > BATCH, "{count} samples");
+}
+
+#[test]
+fn the_backlog_of_0ad3387_becomes_the_same_requests_of_remote_write_1() {
+    check(Version::V1, "requests-1.0.txt");
+}
+
+#[test]
+fn the_backlog_of_0ad3387_becomes_the_same_requests_of_remote_write_2() {
+    check(Version::V2, "requests-2.0.txt");
+}
+
+/// What is written now is what 0ad3387 wrote: a segment of the same records has the same bytes.
+#[test]
+fn a_segment_is_written_as_at_0ad3387() {
+    let (old, new) = (copy(), tempfile::tempdir().unwrap());
+    std::fs::remove_file(old.path().join("done")).unwrap();
+    let bounds = Bounds { bytes: 65_536, segment: 4_096, age: i64::MAX };
+    let mut from = Backlog::open(old.path(), bounds).unwrap();
+    let mut to = Backlog::open(new.path(), bounds).unwrap();
+    for segment in ["0000000002.seg", "0000000003.seg"] {
+        let records = from.peek(0, usize::MAX);
+        for record in &records {
+            to.append(record.at, &record.payload);
+        }
+        from.done(records.len());
+        let number = u64::from(segment == "0000000003.seg") + 1;
+        let written = std::fs::read(new.path().join(format!("{number:010}.seg"))).unwrap();
+        assert!(written == std::fs::read(data().join(segment)).unwrap(), "{segment}");
+    }
+    let done = std::fs::read_to_string(old.path().join("done")).unwrap();
+    let size = std::fs::metadata(data().join("0000000003.seg")).unwrap().len();
+    assert_eq!(done, format!("3 {size}\n"));
+}
--- /dev/null
+++ b/crates/scale/tests/rows.rs
@@ -0,0 +1,18 @@
+//! Rows in the form of commit 0ad3387 are written again to the same bytes.
+
+use peppercove_scale::row::Row;
+use std::path::Path;
+
+#[test]
+fn rows_of_0ad3387_are_written_again_to_the_same_bytes() {
+    let rows =
+        concat!(env!("CARGO_MANIFEST_DIR"), "/../cli/tests/compat/data/capacity/bench/scale/rows.jsonl");
+    let text = std::fs::read_to_string(Path::new(rows)).expect("the rows");
+    let mut count = 0;
+    for line in text.lines() {
+        let row: Row = serde_json::from_str(line).expect("a row");
+        assert_eq!(serde_json::to_string(&row).expect("a line"), line);
+        count += 1;
+    }
+    assert!(count > 100, "{count} rows");
+}
