--- a/crates/cli/tests/compat/main.rs
+++ b/crates/cli/tests/compat/main.rs
@@ -6,8 +6,10 @@
 mod capacity;
 mod day;
 mod generated;
+mod incident;
 mod journal;
 mod record;
+mod rpc;
 mod terms;
 
 use std::path::PathBuf;
--- /dev/null
+++ b/crates/platform/tests/golden.rs
@@ -0,0 +1,86 @@
+//! One of each of the platform's messages, and the numbers in them, as commit 0ad3387 had them.
+
+use bytes::BytesMut;
+use peppercove_platform::wire::{Kind, Message, cause, code, decode};
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+#[test]
+fn each_message_has_the_bytes_of_0ad3387() {
+    let id = 0x7f3a_9c21_e0b4_d655;
+    let set_up = Message::new(Kind::SetUp, id)
+        .with(code::CLASS, b"batch")
+        .with(code::WAIT, b"1500")
+        .with(code::RETRY, b"1")
+        .with(code::TASK, b"00000000000000ff")
+        .with(code::KEY, b"k")
+        .with(code::FIGURES, b"cores:1;memory:2;service:00000000000000aa")
+        .with(code::DESCRIPTION, b"opaque \0\xff");
+    let note = Message::new(Kind::Note, id).with(code::NOTE, b"cores").with(code::FIGURE, b"0.5");
+    let answer = Message::new(Kind::Answer, id).with(code::REPORT, b"x0:1").with(code::DESCRIPTION, b"d");
+    let messages = [
+        (
+            set_up,
+            concat!(
+                "006b017f3a9c21e0b4d6550300056261746368040004313530300600013107001030303030303030303030303030306666",
+                "1000016b080029636f7265733a313b6d656d6f72793a323b736572766963653a30303030303030303030303030306161",
+                "1200096f70617175652000ff"
+            ),
+        ),
+        (Message::new(Kind::Progress, id), "0009067f3a9c21e0b4d655"),
+        (answer, "0014097f3a9c21e0b4d6550c000478303a3112000164"),
+        (Message::release(id, cause::TURNED_AWAY), "000d0c7f3a9c21e0b4d6551100012a"),
+        (Message::new(Kind::Heard, id), "0009107f3a9c21e0b4d655"),
+        (note, "00172c7f3a9c21e0b4d6550a0005636f7265730f0003302e35"),
+        (Message::new(Kind::Move, id), "0009337f3a9c21e0b4d655"),
+        (Message::new(Kind::Test, id).with(code::CAUSE, &[0]), "000d347f3a9c21e0b4d65511000100"),
+        (Message::new(Kind::Tested, id).with(code::CAUSE, &[1]), "000d357f3a9c21e0b4d65511000101"),
+    ];
+    for (message, expected) in messages {
+        let bytes = message.encode();
+        assert_eq!(hex(&bytes), expected, "{message:?}");
+        assert_eq!(decode(&mut BytesMut::from(&bytes[..])), Ok(Some(message)), "read again");
+    }
+}
+
+#[test]
+fn numbers_of_types_parameters_and_causes_are_those_of_0ad3387() {
+    let kinds = [
+        Kind::SetUp,
+        Kind::Progress,
+        Kind::Answer,
+        Kind::Release,
+        Kind::Heard,
+        Kind::Note,
+        Kind::Move,
+        Kind::Test,
+        Kind::Tested,
+    ];
+    assert_eq!(kinds.map(|kind| kind as u8), [1, 6, 9, 12, 16, 44, 51, 52, 53]);
+    let codes = [
+        code::CLASS,
+        code::WAIT,
+        code::RETRY,
+        code::TASK,
+        code::FIGURES,
+        code::NOTE,
+        code::REPORT,
+        code::FIGURE,
+        code::KEY,
+        code::CAUSE,
+        code::DESCRIPTION,
+    ];
+    assert_eq!(codes, [3, 4, 6, 7, 8, 10, 12, 15, 16, 17, 18]);
+    let causes = [
+        cause::ORDINARY,
+        cause::CALLED_OFF,
+        cause::FULL,
+        cause::CUT,
+        cause::TURNED_AWAY,
+        cause::ERROR,
+        cause::MOOT,
+    ];
+    assert_eq!(causes, [16, 31, 34, 41, 42, 47, 102]);
+}
