--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -9,9 +9,17 @@
 use std::time::Duration;
 
 const fn attribute(
-    name: &'static str, kind: Kind, default: Option<&'static str>, about: &'static str,
+    name: &'static str,
+    kind: Kind,
+    default: Option<&'static str>,
+    about: &'static str,
 ) -> Attribute {
-    Attribute { name, kind, default, about }
+    Attribute {
+        name,
+        kind,
+        default,
+        about,
+    }
 }
 
 const ANY_COUNT: Kind = Kind::Count(1, 1 << 32);
@@ -31,7 +39,12 @@
             often: Often::Once,
             about: "This controller, and how many share the nodes.",
             attributes: &[
-                attribute("name", Kind::Name, None, "Its name; nodes know its tasks by it after a restart."),
+                attribute(
+                    "name",
+                    Kind::Name,
+                    None,
+                    "Its name; nodes know its tasks by it after a restart.",
+                ),
                 attribute(
                     "number",
                     Kind::Count(0, 65_535),
@@ -102,7 +115,12 @@
                     Some("10s"),
                     "Without a subscription the list counts as told this long after it was last asked for.",
                 ),
-                attribute("timeout", Kind::Span, Some("2s"), "A call that has no answer by then has failed."),
+                attribute(
+                    "timeout",
+                    Kind::Span,
+                    Some("2s"),
+                    "A call that has no answer by then has failed.",
+                ),
             ],
             children: &[],
         },
@@ -111,7 +129,12 @@
             often: Often::Maybe,
             about: "What bounds the daemon. Each bound met is counted and answered.",
             attributes: &[
-                attribute("clients", ANY_COUNT, Some("1024"), "Connections of clients at once."),
+                attribute(
+                    "clients",
+                    ANY_COUNT,
+                    Some("1024"),
+                    "Connections of clients at once.",
+                ),
                 attribute(
                     "calls",
                     ANY_COUNT,
@@ -148,16 +171,36 @@
                     Some("200000"),
                     "Jobs kept, finished ones included; the oldest finished one makes room.",
                 ),
-                attribute("session-jobs", ANY_COUNT, Some("100000"), "Unfinished jobs of one session."),
-                attribute("sessions", ANY_COUNT, Some("10000"), "Sessions known at once."),
-                attribute("bulk", ANY_COUNT, Some("10000"), "Jobs of one bulk submission."),
+                attribute(
+                    "session-jobs",
+                    ANY_COUNT,
+                    Some("100000"),
+                    "Unfinished jobs of one session.",
+                ),
+                attribute(
+                    "sessions",
+                    ANY_COUNT,
+                    Some("10000"),
+                    "Sessions known at once.",
+                ),
+                attribute(
+                    "bulk",
+                    ANY_COUNT,
+                    Some("10000"),
+                    "Jobs of one bulk submission.",
+                ),
                 attribute(
                     "doubtful",
                     ANY_COUNT,
                     Some("10000"),
                     "Unsafe tasks whose fate may be in doubt at once.",
                 ),
-                attribute("retry-after", Kind::Span, Some("1s"), "Advice to a client that met a bound."),
+                attribute(
+                    "retry-after",
+                    Kind::Span,
+                    Some("1s"),
+                    "Advice to a client that met a bound.",
+                ),
                 attribute(
                     "answer-reserve",
                     Kind::Span,
@@ -196,7 +239,12 @@
                     Some("50ms"),
                     "First wait before a link is tried again; waits are scattered.",
                 ),
-                attribute("retry-most", Kind::Span, Some("5s"), "Waits double up to this."),
+                attribute(
+                    "retry-most",
+                    Kind::Span,
+                    Some("5s"),
+                    "Waits double up to this.",
+                ),
             ],
             children: &[],
         },
@@ -215,8 +263,18 @@
                 often: Often::Any,
                 about: "One peer.",
                 attributes: &[
-                    attribute("number", Kind::Count(0, 65_535), None, "Its number among the controllers."),
-                    attribute("address", Kind::Address, None, "Where it listens for messages."),
+                    attribute(
+                        "number",
+                        Kind::Count(0, 65_535),
+                        None,
+                        "Its number among the controllers.",
+                    ),
+                    attribute(
+                        "address",
+                        Kind::Address,
+                        None,
+                        "Where it listens for messages.",
+                    ),
                 ],
                 children: &[],
             }],
@@ -232,14 +290,24 @@
                     Some(""),
                     "Where the receiver listens, over HTTP without TLS.",
                 ),
-                attribute("path", Kind::Text, Some("/api/v1/write"), "Path of its endpoint."),
+                attribute(
+                    "path",
+                    Kind::Text,
+                    Some("/api/v1/write"),
+                    "Path of its endpoint.",
+                ),
                 attribute(
                     "version",
                     Kind::Choice(&["1.0", "2.0"]),
                     Some("2.0"),
                     "Version tried first; the other one after status 415.",
                 ),
-                attribute("every", Kind::Span, Some("15s"), "How often the figures are taken."),
+                attribute(
+                    "every",
+                    Kind::Span,
+                    Some("15s"),
+                    "How often the figures are taken.",
+                ),
                 attribute(
                     "timeout",
                     Kind::Span,
@@ -253,7 +321,12 @@
                     Some("1s"),
                     "First wait after a failure; waits are scattered.",
                 ),
-                attribute("retry-most", Kind::Span, Some("1m"), "Waits double up to this."),
+                attribute(
+                    "retry-most",
+                    Kind::Span,
+                    Some("1m"),
+                    "Waits double up to this.",
+                ),
                 attribute(
                     "per-second",
                     POSITIVE,
@@ -272,7 +345,12 @@
                     Some("67108864"),
                     "Bytes on disk; the oldest samples make room.",
                 ),
-                attribute("backlog-age", Kind::Span, Some("2h"), "Older samples are dropped."),
+                attribute(
+                    "backlog-age",
+                    Kind::Span,
+                    Some("2h"),
+                    "Older samples are dropped.",
+                ),
                 attribute(
                     "share",
                     SHARE,
@@ -291,7 +369,12 @@
                     Some("5ms"),
                     "Placing is calm while the daemon's own loop is late by less than this.",
                 ),
-                attribute("pressed-from", Kind::Span, Some("50ms"), "And pressed from this on."),
+                attribute(
+                    "pressed-from",
+                    Kind::Span,
+                    Some("50ms"),
+                    "And pressed from this on.",
+                ),
             ],
             children: &[Element {
                 name: "label",
@@ -321,7 +404,12 @@
                     Some("0.2"),
                     "A node that just came up starts tasks at this share of its pace or more.",
                 ),
-                attribute("warm-within", Kind::Span, Some("15s"), "And is warm after this."),
+                attribute(
+                    "warm-within",
+                    Kind::Span,
+                    Some("15s"),
+                    "And is warm after this.",
+                ),
                 attribute(
                     "fall-multiple",
                     POSITIVE,
@@ -349,8 +437,18 @@
             often: Often::Maybe,
             about: "Attempts to place one task.",
             attributes: &[
-                attribute("most", Kind::Count(1, 1000), Some("3"), "At most so many for one ask."),
-                attribute("may-withdraw", Kind::Flag, Some("true"), "An attempt may be called off."),
+                attribute(
+                    "most",
+                    Kind::Count(1, 1000),
+                    Some("3"),
+                    "At most so many for one ask.",
+                ),
+                attribute(
+                    "may-withdraw",
+                    Kind::Flag,
+                    Some("true"),
+                    "An attempt may be called off.",
+                ),
             ],
             children: &[],
         },
@@ -365,7 +463,12 @@
                     Some("1"),
                     "A node accepts tasks up to this multiple of its cores.",
                 ),
-                attribute("accepts-memory", POSITIVE, Some("1"), "And up to this multiple of its memory."),
+                attribute(
+                    "accepts-memory",
+                    POSITIVE,
+                    Some("1"),
+                    "And up to this multiple of its memory.",
+                ),
                 attribute(
                     "confirms",
                     Kind::Choice(&["accepted", "running"]),
@@ -403,7 +506,12 @@
             often: Often::Once,
             about: "The classes of tasks: the job categories of DRMAA.",
             attributes: &[
-                attribute("default", Kind::Name, None, "Category of a job that names none."),
+                attribute(
+                    "default",
+                    Kind::Name,
+                    None,
+                    "Category of a job that names none.",
+                ),
                 attribute("mean-cores", POSITIVE, Some("1"), "Mean cores of a task."),
                 attribute("mean-memory", POSITIVE, Some("2"), "Mean memory of a task."),
             ],
@@ -413,8 +521,18 @@
                 about: "One class.",
                 attributes: &[
                     attribute("name", Kind::Name, None, "Its name."),
-                    attribute("aim", Kind::Span, None, "A first start within this earns its full worth."),
-                    attribute("deadline", Kind::Span, None, "How long an owner waits for a placing."),
+                    attribute(
+                        "aim",
+                        Kind::Span,
+                        None,
+                        "A first start within this earns its full worth.",
+                    ),
+                    attribute(
+                        "deadline",
+                        Kind::Span,
+                        None,
+                        "How long an owner waits for a placing.",
+                    ),
                     attribute(
                         "repeat",
                         Kind::Choice(&["safe", "keyed", "unsafe"]),
@@ -427,14 +545,24 @@
                         Some("all"),
                         "Of a keyed class: the nodes that discard a second copy.",
                     ),
-                    attribute("window", Kind::Span, Some("5s"), "For this long after the first send."),
+                    attribute(
+                        "window",
+                        Kind::Span,
+                        Some("5s"),
+                        "For this long after the first send.",
+                    ),
                     attribute(
                         "worth",
                         WEIGHT,
                         Some("1"),
                         "Worth of a second of full service of a task of mean size.",
                     ),
-                    attribute("late-worth", SHARE, Some("0.5"), "Share of a start's worth after the aim."),
+                    attribute(
+                        "late-worth",
+                        SHARE,
+                        Some("0.5"),
+                        "Share of a start's worth after the aim.",
+                    ),
                     attribute(
                         "start-seconds",
                         WEIGHT,
@@ -447,14 +575,24 @@
                         Some("0.9"),
                         "Busy share of the cores up to which it is served in full.",
                     ),
-                    attribute("fade", WEIGHT, Some("0.1"), "Service falls to nothing over this much more."),
+                    attribute(
+                        "fade",
+                        WEIGHT,
+                        Some("0.1"),
+                        "Service falls to nothing over this much more.",
+                    ),
                     attribute(
                         "priority",
                         Kind::Count(0, 3),
                         Some("0"),
                         "Higher ones win in contention and evictions.",
                     ),
-                    attribute("kind", Kind::Name, Some(""), "The kind of node that it needs."),
+                    attribute(
+                        "kind",
+                        Kind::Name,
+                        Some(""),
+                        "The kind of node that it needs.",
+                    ),
                     attribute(
                         "spread",
                         Kind::Choice(&["off", "node", "rack", "zone"]),
@@ -467,8 +605,18 @@
                         Some("1"),
                         "The most tasks of one service in one such place.",
                     ),
-                    attribute("cores", POSITIVE, Some("1"), "Cores of a job that asks for none."),
-                    attribute("memory", POSITIVE, Some("1"), "Memory of a job that asks for none."),
+                    attribute(
+                        "cores",
+                        POSITIVE,
+                        Some("1"),
+                        "Cores of a job that asks for none.",
+                    ),
+                    attribute(
+                        "memory",
+                        POSITIVE,
+                        Some("1"),
+                        "Memory of a job that asks for none.",
+                    ),
                 ],
                 children: &[],
             }],
@@ -504,9 +652,19 @@
             often: Often::Maybe,
             about: "Prices that the decision module weighs, as shares of the result.",
             attributes: &[
-                attribute("fleet", WEIGHT, Some("0"), "Of the nodes in use beyond the needed."),
+                attribute(
+                    "fleet",
+                    WEIGHT,
+                    Some("0"),
+                    "Of the nodes in use beyond the needed.",
+                ),
                 attribute("move", WEIGHT, Some("0"), "Of one move for each task."),
-                attribute("refusal", WEIGHT, Some("0"), "Of one refused offer for each task."),
+                attribute(
+                    "refusal",
+                    WEIGHT,
+                    Some("0"),
+                    "Of one refused offer for each task.",
+                ),
                 attribute("probe", WEIGHT, Some("0"), "Of one probe for each task."),
             ],
             children: &[],
@@ -680,7 +838,11 @@
         }
         let mut problems = Vec::new();
         let config = read(&document, &mut problems);
-        if problems.is_empty() { Ok(config) } else { Err(ConfigError { problems }) }
+        if problems.is_empty() {
+            Ok(config)
+        } else {
+            Err(ConfigError { problems })
+        }
     }
 }
 
@@ -697,9 +859,17 @@
 }
 
 fn read(d: &Document, problems: &mut Vec<Problem>) -> Config {
-    let (controller, list, limits) = (d.child("controller"), d.child("node-list"), d.child("limits"));
-    let (links, rules, nodes, classes) =
-        (d.child("links"), d.child("rules"), d.child("nodes"), d.child("classes"));
+    let (controller, list, limits) = (
+        d.child("controller"),
+        d.child("node-list"),
+        d.child("limits"),
+    );
+    let (links, rules, nodes, classes) = (
+        d.child("links"),
+        d.child("rules"),
+        d.child("nodes"),
+        d.child("classes"),
+    );
     let (tenants, prices, logs) = (d.child("tenants"), d.child("prices"), d.child("logs"));
     let kinds = names(nodes.children("kind"), problems);
     let class_names = names(classes.children("class"), problems);
@@ -711,30 +881,48 @@
     if controller.count("number") >= controller.count("of") {
         problems.push(controller.problem("number must be below of"));
     }
-    let default_class = class_names.iter().position(|c| c == classes.word("default"));
+    let default_class = class_names
+        .iter()
+        .position(|c| c == classes.word("default"));
     if default_class.is_none() {
-        problems.push(classes.problem(format!("default=\"{}\" is no class", classes.word("default"))));
+        problems.push(classes.problem(format!(
+            "default=\"{}\" is no class",
+            classes.word("default")
+        )));
     }
     let size = |name: &str| usize::try_from(limits.count(name)).unwrap_or(usize::MAX);
     let module = Settings {
         schedulers: controller.count("of") as u32,
         own_number: controller.count("number") as u32,
         own_zone: controller.count("zone") as u8,
-        classes: classes.children("class").iter().map(|c| class(c, &kinds, limits, problems)).collect(),
+        classes: classes
+            .children("class")
+            .iter()
+            .map(|c| class(c, &kinds, limits, problems))
+            .collect(),
         kinds: nodes
             .children("kind")
             .iter()
-            .map(|k| MachineKind { cores: k.number("cores"), memory: k.number("memory") })
+            .map(|k| MachineKind {
+                cores: k.number("cores"),
+                memory: k.number("memory"),
+            })
             .collect(),
         tenants: tenants
             .children("tenant")
             .iter()
-            .map(|t| Tenant { quota_cores: t.text("quota-cores").and_then(|q| q.parse().ok()) })
+            .map(|t| Tenant {
+                quota_cores: t.text("quota-cores").and_then(|q| q.parse().ok()),
+            })
             .collect(),
         over_share_worth: tenants.number("over-share-worth"),
         accepts_cores: nodes.number("accepts-cores"),
         accepts_memory: nodes.number("accepts-memory"),
-        confirms: if nodes.word("confirms") == "accepted" { Confirms::Accepted } else { Confirms::Running },
+        confirms: if nodes.word("confirms") == "accepted" {
+            Confirms::Accepted
+        } else {
+            Confirms::Running
+        },
         preempts: nodes.flag("preempts"),
         report_counts: if nodes.word("report-counts") == "used" {
             ReportCounts::Used
@@ -818,7 +1006,11 @@
         classes: class_names,
         tenants: tenant_names,
         kinds,
-        log_format: if logs.word("format") == "json" { LogFormat::Json } else { LogFormat::Text },
+        log_format: if logs.word("format") == "json" {
+            LogFormat::Json
+        } else {
+            LogFormat::Text
+        },
         log_level: logs.word("level").into(),
     }
 }
@@ -840,9 +1032,9 @@
             && name.chars().all(fits)
             && !name.starts_with("__");
         if !ok || name == "instance" || labels.iter().any(|(n, _)| n == name) {
-            problems.push(
-                label.problem(format!("name=\"{name}\" is no label of Prometheus, taken, or stands twice")),
-            );
+            problems.push(label.problem(format!(
+                "name=\"{name}\" is no label of Prometheus, taken, or stands twice"
+            )));
         }
         labels.push((name.to_owned(), label.word("value").to_owned()));
     }
@@ -868,7 +1060,9 @@
 }
 
 fn class(c: &Document, kinds: &[String], limits: &Document, problems: &mut Vec<Problem>) -> Class {
-    let kind = c.text("kind").map(|name| kinds.iter().position(|k| k == name));
+    let kind = c
+        .text("kind")
+        .map(|name| kinds.iter().position(|k| k == name));
     if kind == Some(None) {
         problems.push(c.problem(format!("kind=\"{}\" is no kind of node", c.word("kind"))));
     }
@@ -885,7 +1079,10 @@
         aim: c.micros("aim"),
         deadline: c.micros("deadline"),
         repeat: match c.word("repeat") {
-            "keyed" => Repeat::Keyed { group, window: c.micros("window") },
+            "keyed" => Repeat::Keyed {
+                group,
+                window: c.micros("window"),
+            },
             "unsafe" => Repeat::Unsafe,
             _ => Repeat::Safe,
         },
--- a/crates/controller/src/figures.rs
+++ b/crates/controller/src/figures.rs
@@ -22,7 +22,10 @@
 
 impl Figures {
     pub(crate) fn new(began: Micros) -> Figures {
-        let figures = Figures { metrics: Metrics::new(), told: RefCell::default() };
+        let figures = Figures {
+            metrics: Metrics::new(),
+            told: RefCell::default(),
+        };
         figures.set(names::START, &[], began as f64 / 1e6);
         figures
     }
@@ -49,7 +52,9 @@
         };
         self.add(names::ANSWERS, &[class, outcome], 1.0);
         if let Some(after) = after
-            && let Err(error) = self.metrics.observe(names::PLACEMENT, &[class, outcome], after as f64 / 1e6)
+            && let Err(error) =
+                self.metrics
+                    .observe(names::PLACEMENT, &[class, outcome], after as f64 / 1e6)
         {
             tracing::error!(%error, "fault: a figure is not in the table");
         }
@@ -72,13 +77,21 @@
         for (outcome, why, count) in core.attempt_ends() {
             let labels = (outcome_name(outcome), why_name(why));
             let before = told.ends.insert(labels, count).unwrap_or(0);
-            self.add(names::ATTEMPT_ENDS, &[labels.0, labels.1], (count - before) as f64);
+            self.add(
+                names::ATTEMPT_ENDS,
+                &[labels.0, labels.1],
+                (count - before) as f64,
+            );
         }
         self.set(names::OPEN_ASKS, &[], core.open_asks() as f64);
         self.set(names::RUNNING_TASKS, &[], core.placed_tasks() as f64);
         self.set(names::DOUBTFUL_TASKS, &[], core.doubtful_tasks() as f64);
         self.set(names::LIST_GENERATION, &[], core.nodes().generation as f64);
-        self.set(names::CLIENTS, &[], shell.sessions.borrow().open_connections() as f64);
+        self.set(
+            names::CLIENTS,
+            &[],
+            shell.sessions.borrow().open_connections() as f64,
+        );
         // Every combination is set, so that one that is empty now does not keep its last value.
         let mut nodes: BTreeMap<(&str, &str), f64> = BTreeMap::new();
         for state in ["ready", "draining", "gone"] {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -108,7 +108,10 @@
     /// [`StartError`] where its socket or record cannot be had.
     pub async fn start(config: Config) -> Result<Controller, StartError> {
         let wanted = config.listen.clients;
-        let listen = |source| StartError::Listen { address: wanted, source };
+        let listen = |source| StartError::Listen {
+            address: wanted,
+            source,
+        };
         let listener = TcpListener::bind(wanted).await.map_err(listen)?;
         let address = listener.local_addr().map_err(listen)?;
         let shell = Rc::new(Shell::new(config)?);
@@ -119,7 +122,10 @@
             spawn_local(shell::keep_time(shell.clone())),
         ];
         if let Some(wanted) = shell.config.peers.listen {
-            let listen = |source| StartError::Listen { address: wanted, source };
+            let listen = |source| StartError::Listen {
+                address: wanted,
+                source,
+            };
             let socket = UdpSocket::bind(wanted).await.map_err(listen)?;
             let (queue, told) = mpsc::channel(PEER_QUEUE);
             *shell.peers.borrow_mut() = Some(queue);
@@ -127,13 +133,20 @@
         }
         if let Some(settings) = shell.config.push.clone() {
             let folder = settings.backlog.clone();
-            let pusher = push::Pusher::open(&shell, settings)
-                .map_err(|source| StartError::Backlog { path: folder, source })?;
+            let pusher =
+                push::Pusher::open(&shell, settings).map_err(|source| StartError::Backlog {
+                    path: folder,
+                    source,
+                })?;
             tasks.push(spawn_local(pusher.keep(shell.clone())));
         }
         shell.input(Input::Tick);
         tracing::info!(name = shell.config.name, %address, life = shell.life, "controller started");
-        Ok(Controller { shell, address, tasks })
+        Ok(Controller {
+            shell,
+            address,
+            tasks,
+        })
     }
 
     /// Where it listens for clients.
@@ -148,7 +161,11 @@
             counters: core.counters(),
             open_asks: core.open_asks(),
             running: core.placed_tasks(),
-            nodes_up: core.nodes().iter().filter(|(id, _)| core.nodes().is_up(**id)).count(),
+            nodes_up: core
+                .nodes()
+                .iter()
+                .filter(|(id, _)| core.nodes().is_up(**id))
+                .count(),
             generation: core.nodes().generation,
         }
     }
@@ -176,7 +193,11 @@
         // Answers are queued on the clients' connections; let them be written.
         self.shell.flush_clients().await;
         let core = self.shell.core.borrow();
-        let left = Left { answered, running: core.placed_tasks(), doubtful: core.doubtful_tasks() };
+        let left = Left {
+            answered,
+            running: core.placed_tasks(),
+            doubtful: core.doubtful_tasks(),
+        };
         drop(core);
         tracing::info!(?left, "controller stopped");
         left
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -44,7 +44,8 @@
     let listen = &shell.config.listen;
     let mut retry = Retry::new(listen.retry_least, listen.retry_most);
     loop {
-        let error = match timeout(listen.connect_timeout, greet(&shell, node, address, &name)).await {
+        let error = match timeout(listen.connect_timeout, greet(&shell, node, address, &name)).await
+        {
             Ok(Ok((link, queue))) => {
                 retry.reset();
                 tracing::debug!(node = name, "link up");
@@ -62,12 +63,18 @@
 
 /// Connects and greets; gives the link once the node has told all that it holds.
 async fn greet(
-    shell: &Shell, node: MachineId, address: SocketAddrV4, name: &str,
+    shell: &Shell,
+    node: MachineId,
+    address: SocketAddrV4,
+    name: &str,
 ) -> Result<Greeted, LinkError> {
-    let stream = TcpStream::connect(address).await.map_err(LinkError::Connect)?;
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(LinkError::Connect)?;
     let _ = stream.set_nodelay(true);
     let mut link = Framed::new(stream, Messages::new(NODE_FRAME));
-    link.send(&Greeting::hello(&shell.config, shell.life)).await?;
+    link.send(&Greeting::hello(&shell.config, shell.life))
+        .await?;
     let mut greeting = Greeting::new(node, name, shell.config.limits.jobs);
     let mut replies = Vec::new();
     let up = loop {
@@ -97,7 +104,10 @@
 }
 
 async fn carry(
-    shell: &Shell, node: MachineId, mut link: Link, mut queue: mpsc::Receiver<ToNode>,
+    shell: &Shell,
+    node: MachineId,
+    mut link: Link,
+    mut queue: mpsc::Receiver<ToNode>,
 ) -> LinkError {
     let write_within = shell.config.listen.connect_timeout;
     let error = loop {
@@ -125,14 +135,22 @@
     queue.close();
     while let Ok(message) = queue.try_recv() {
         if let ToNode::Offer { attempt, .. } = message {
-            shell.input(Input::Unsent { node, request: request_of(attempt), attempt: attempt.number });
+            shell.input(Input::Unsent {
+                node,
+                request: request_of(attempt),
+                attempt: attempt.number,
+            });
         }
     }
     error
 }
 
 /// Writes a message and those queued behind it in one go.
-async fn write(link: &mut Link, first: ToNode, queue: &mut mpsc::Receiver<ToNode>) -> Result<(), FrameError> {
+async fn write(
+    link: &mut Link,
+    first: ToNode,
+    queue: &mut mpsc::Receiver<ToNode>,
+) -> Result<(), FrameError> {
     link.feed(&first).await?;
     while let Ok(message) = queue.try_recv() {
         link.feed(&message).await?;
--- a/crates/controller/src/listing.rs
+++ b/crates/controller/src/listing.rs
@@ -62,7 +62,11 @@
     let stream = TcpStream::connect(shell.config.listen.node_list).await?;
     let mut link: Link = Framed::new(stream, Messages::new(LIST_FRAME));
     let version = peppercove_protocol::VERSION;
-    link.send(&ToList::Hello { version, controller: shell.config.name.clone() }).await?;
+    link.send(&ToList::Hello {
+        version,
+        controller: shell.config.name.clone(),
+    })
+    .await?;
     match link.next().await.ok_or(ListError::Closed)?? {
         FromList::Welcome { version: v } if v == version => {}
         _ => return Err(ListError::WrongVersion),
@@ -73,7 +77,10 @@
 
 async fn watch(shell: &Shell, link: &mut Link) -> Result<FromList, ListError> {
     let generation = shell.core.borrow().nodes().generation;
-    link.send(&ToList::Watch { after: (generation > 0).then_some(generation) }).await?;
+    link.send(&ToList::Watch {
+        after: (generation > 0).then_some(generation),
+    })
+    .await?;
     match link.next().await.ok_or(ListError::Closed)?? {
         FromList::Failed => Err(ListError::TurnedAway),
         news => Ok(news),
@@ -101,7 +108,9 @@
 
 fn pass_on(shell: &Shell, news: FromList) {
     if let Some(input) = list_input(news) {
-        shell.figures.set(names::LIST_HEARD, &[], shell.clock.now() as f64 / 1e6);
+        shell
+            .figures
+            .set(names::LIST_HEARD, &[], shell.clock.now() as f64 / 1e6);
         shell.input(input);
     }
 }
--- a/crates/controller/src/push.rs
+++ b/crates/controller/src/push.rs
@@ -42,7 +42,11 @@
             age: i64::try_from(settings.backlog_age.as_millis()).unwrap_or(i64::MAX),
         };
         let backlog = Backlog::open(&settings.backlog, bounds)?;
-        let version = if settings.second { Version::V2 } else { Version::V1 };
+        let version = if settings.second {
+            Version::V2
+        } else {
+            Version::V1
+        };
         let sender = Settings {
             version,
             batch: settings.batch,
@@ -112,11 +116,22 @@
         self.next_work += 1;
         let (class, cost) = (duty.class(), duty.expected());
         let work = WorkId(self.next_work * 2 + class as u64);
-        self.background.handle(now, Event::Submit { work, class, cost, deadline: None })
+        self.background.handle(
+            now,
+            Event::Submit {
+                work,
+                class,
+                cost,
+                deadline: None,
+            },
+        )
     }
 
     fn start(
-        &mut self, shell: &Rc<Shell>, work: WorkId, told: &mpsc::Sender<(WorkId, usize, Outcome)>,
+        &mut self,
+        shell: &Rc<Shell>,
+        work: WorkId,
+        told: &mpsc::Sender<(WorkId, usize, Outcome)>,
     ) -> Vec<Action> {
         let began = Instant::now();
         if work.0 % 2 == Duty::Take as u64 {
@@ -129,14 +144,17 @@
         let Step::Send(count, version) = self.sender.next(now, waiting.len()) else {
             return self.finish(shell, work, began.elapsed());
         };
-        let decode = |r: &peppercove_push::backlog::Record| postcard::from_bytes::<Sample>(&r.payload).ok();
+        let decode =
+            |r: &peppercove_push::backlog::Record| postcard::from_bytes::<Sample>(&r.payload).ok();
         let batch: Vec<Sample> = waiting[..count].iter().filter_map(decode).collect();
         let body = encode(version, &batch);
         let (settings, told) = (self.settings.clone(), told.clone());
         spawn_local(async move {
             let request = post(&settings, version, &body);
             let outcome = timeout(settings.timeout, request).await;
-            let outcome = outcome.unwrap_or(Ok(Outcome::NoAnswer)).unwrap_or(Outcome::NoAnswer);
+            let outcome = outcome
+                .unwrap_or(Ok(Outcome::NoAnswer))
+                .unwrap_or(Outcome::NoAnswer);
             let _ = told.send((work, count, outcome)).await;
         });
         Vec::new()
@@ -148,24 +166,41 @@
         } else {
             self.sending = false;
         }
-        let cost = Cost { cpu: took.as_micros() as f64, bytes: 0.0, requests: 0.0 };
-        self.background.handle(shell.clock.now(), Event::Finished(work, cost))
+        let cost = Cost {
+            cpu: took.as_micros() as f64,
+            bytes: 0.0,
+            requests: 0.0,
+        };
+        self.background
+            .handle(shell.clock.now(), Event::Finished(work, cost))
     }
 
     fn take(&mut self, shell: &Shell) {
         let now = shell.clock.now();
         let every = u64::try_from(self.settings.every.as_micros()).unwrap_or(u64::MAX);
-        self.next_take = self.next_take.max(now.saturating_sub(every)).saturating_add(every);
-        shell.figures.set(names::BACKLOG, &[], self.backlog.bytes() as f64);
+        self.next_take = self
+            .next_take
+            .max(now.saturating_sub(every))
+            .saturating_add(every);
+        shell
+            .figures
+            .set(names::BACKLOG, &[], self.backlog.bytes() as f64);
         let mut external = vec![("instance".to_owned(), shell.config.name.clone())];
         external.extend(self.settings.labels.iter().cloned());
-        let made = samples(&shell.figures.gather(shell), &external, millis(now), millis(shell.clock.began()));
+        let made = samples(
+            &shell.figures.gather(shell),
+            &external,
+            millis(now),
+            millis(shell.clock.began()),
+        );
         for sample in &made {
             let bytes = postcard::to_stdvec(sample).unwrap_or_default();
             self.backlog.append(sample.at, &bytes);
         }
         // Told with the next ones: a figure cannot hold the push that carries it.
-        shell.figures.add(names::PUSHED, &["made"], made.len() as f64);
+        shell
+            .figures
+            .add(names::PUSHED, &["made"], made.len() as f64);
         self.count_lost(shell);
     }
 
@@ -183,7 +218,13 @@
         }
     }
 
-    fn answered(&mut self, shell: &Shell, work: WorkId, count: usize, outcome: Outcome) -> Vec<Action> {
+    fn answered(
+        &mut self,
+        shell: &Shell,
+        work: WorkId,
+        count: usize,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         let began = Instant::now();
         let status = match outcome {
             Outcome::Status(status, _) => status.to_string(),
@@ -198,7 +239,10 @@
             }
             Verdict::Drop => {
                 self.backlog.done(1);
-                tracing::warn!(status, "the receiver refuses a sample for good; it is dropped");
+                tracing::warn!(
+                    status,
+                    "the receiver refuses a sample for good; it is dropped"
+                );
                 shell.figures.add(names::PUSHED, &["dropped-refused"], 1.0);
             }
             Verdict::Keep => {}
@@ -234,11 +278,15 @@
             Ok(httparse::Status::Complete(_)) => {
                 let status = response.code.unwrap_or(0);
                 let named = |h: &&httparse::Header<'_>| h.name.eq_ignore_ascii_case("retry-after");
-                let after =
-                    response.headers.iter().find(named).and_then(|h| std::str::from_utf8(h.value).ok());
+                let after = response
+                    .headers
+                    .iter()
+                    .find(named)
+                    .and_then(|h| std::str::from_utf8(h.value).ok());
                 // A date is not read: it would trust the receiver's clock. The growing waits stand then.
-                let after =
-                    after.and_then(|v| v.trim().parse::<u64>().ok()).map(|s| s.saturating_mul(1_000_000));
+                let after = after
+                    .and_then(|v| v.trim().parse::<u64>().ok())
+                    .map(|s| s.saturating_mul(1_000_000));
                 return Ok(Outcome::Status(status, after));
             }
             Ok(httparse::Status::Partial) if answer.len() < LONGEST_HEAD => {}
--- a/crates/controller/src/session.rs
+++ b/crates/controller/src/session.rs
@@ -85,12 +85,17 @@
         self.leave(id);
         if let Some(c) = self.connections.get_mut(&id) {
             (c.session, c.notify) = (Some(session.into()), notify);
-            self.by_session.entry(session.into()).or_default().insert(id);
+            self.by_session
+                .entry(session.into())
+                .or_default()
+                .insert(id);
         }
     }
 
     fn leave(&mut self, id: u64) {
-        let Some(c) = self.connections.get_mut(&id) else { return };
+        let Some(c) = self.connections.get_mut(&id) else {
+            return;
+        };
         if let Some(session) = c.session.take()
             && let Some(ids) = self.by_session.get_mut(&session)
         {
@@ -114,7 +119,9 @@
     }
 
     pub(crate) fn is_flushed(&self) -> bool {
-        self.connections.values().all(|c| c.out.capacity() == c.out.max_capacity())
+        self.connections
+            .values()
+            .all(|c| c.out.capacity() == c.out.max_capacity())
     }
 
     pub(crate) fn close(&mut self) {
@@ -151,13 +158,25 @@
 async fn serve(shell: Rc<Shell>, stream: TcpStream, full: bool) {
     let mut lines = Framed::new(stream, LinesCodec::new_with_max_length(rpc::LONGEST_LINE));
     if full {
-        let fault = try_later(shell.config.limits.retry_after, "too many clients are connected");
-        let _ = timeout(Duration::from_secs(1), lines.send(reply(Value::Null, Err(fault)))).await;
+        let fault = try_later(
+            shell.config.limits.retry_after,
+            "too many clients are connected",
+        );
+        let _ = timeout(
+            Duration::from_secs(1),
+            lines.send(reply(Value::Null, Err(fault))),
+        )
+        .await;
         return;
     }
     let (out, mut queue) = mpsc::channel(shell.config.limits.client_queue);
     let close = Rc::new(Notify::new());
-    let connection = Connection { session: None, notify: false, out: out.clone(), close: close.clone() };
+    let connection = Connection {
+        session: None,
+        notify: false,
+        out: out.clone(),
+        close: close.clone(),
+    };
     let id = shell.sessions.borrow_mut().open(connection);
     let mut calls = JoinSet::new();
     let mut begun: Option<Instant> = None;
@@ -210,7 +229,10 @@
         }
     }
     while let Ok(line) = queue.try_recv() {
-        if !matches!(timeout(Duration::from_millis(200), lines.send(line)).await, Ok(Ok(()))) {
+        if !matches!(
+            timeout(Duration::from_millis(200), lines.send(line)).await,
+            Ok(Ok(()))
+        ) {
             break;
         }
     }
@@ -222,12 +244,20 @@
         Ok(result) => (Some(result), None),
         Err(fault) => (None, Some(fault)),
     };
-    serde_json::to_string(&Reply { jsonrpc: "2.0".into(), id, result, error }).unwrap_or_default()
+    serde_json::to_string(&Reply {
+        jsonrpc: "2.0".into(),
+        id,
+        result,
+        error,
+    })
+    .unwrap_or_default()
 }
 
 fn try_later(after: Duration, message: &str) -> Fault {
-    let mut fault =
-        Fault::drmaa(Errno::TryLater, format!("{message}; come again in {} ms", after.as_millis()));
+    let mut fault = Fault::drmaa(
+        Errno::TryLater,
+        format!("{message}; come again in {} ms", after.as_millis()),
+    );
     if let Some(data) = &mut fault.data {
         data.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
     }
@@ -236,22 +266,37 @@
 
 /// Answers a line at once, or starts the call that waits and answers later.
 fn take_line(
-    shell: &Rc<Shell>, connection: u64, line: &str, out: &mpsc::Sender<String>, calls: &mut JoinSet<()>,
+    shell: &Rc<Shell>,
+    connection: u64,
+    line: &str,
+    out: &mpsc::Sender<String>,
+    calls: &mut JoinSet<()>,
     busy: bool,
 ) -> Option<String> {
     let value: Value = match serde_json::from_str(line) {
         Ok(value) => value,
         Err(e) => {
-            return Some(reply(Value::Null, Err(Fault::rpc(rpc::PARSE_ERROR, format!("not JSON: {e}")))));
+            return Some(reply(
+                Value::Null,
+                Err(Fault::rpc(rpc::PARSE_ERROR, format!("not JSON: {e}"))),
+            ));
         }
     };
     let id = value.get("id").cloned().unwrap_or_default();
     let call: Call = match serde_json::from_value(value) {
         Ok(call) => call,
-        Err(e) => return Some(reply(id, Err(Fault::rpc(rpc::INVALID_REQUEST, format!("not a call: {e}"))))),
+        Err(e) => {
+            return Some(reply(
+                id,
+                Err(Fault::rpc(rpc::INVALID_REQUEST, format!("not a call: {e}"))),
+            ));
+        }
     };
     if call.jsonrpc != "2.0" {
-        return Some(reply(id, Err(Fault::rpc(rpc::INVALID_REQUEST, "jsonrpc must be \"2.0\""))));
+        return Some(reply(
+            id,
+            Err(Fault::rpc(rpc::INVALID_REQUEST, "jsonrpc must be \"2.0\"")),
+        ));
     }
     let waits = matches!(call.method.as_str(), "wait" | "synchronize" | "outcome");
     if !waits {
@@ -259,7 +304,10 @@
         return call.id.map(|id| reply(id, result));
     }
     if busy {
-        let fault = try_later(shell.config.limits.retry_after, "too many calls of this connection wait");
+        let fault = try_later(
+            shell.config.limits.retry_after,
+            "too many calls of this connection wait",
+        );
         return Some(reply(id, Err(fault)));
     }
     let (shell, out) = (shell.clone(), out.clone());
@@ -273,9 +321,17 @@
 
 fn params<T: DeserializeOwned>(call: &Call) -> Result<T, Fault> {
     // GFD.133 gives every parameter a name, so only objects are read.
-    let params = if call.params.is_null() { json!({}) } else { call.params.clone() };
-    serde_json::from_value(params)
-        .map_err(|e| Fault::rpc(rpc::INVALID_PARAMS, format!("parameters of {}: {e}", call.method)))
+    let params = if call.params.is_null() {
+        json!({})
+    } else {
+        call.params.clone()
+    };
+    serde_json::from_value(params).map_err(|e| {
+        Fault::rpc(
+            rpc::INVALID_PARAMS,
+            format!("parameters of {}: {e}", call.method),
+        )
+    })
 }
 
 fn result<T: Serialize>(value: T) -> Result<Value, Fault> {
@@ -284,7 +340,10 @@
 
 fn session_of(shell: &Shell, connection: u64) -> Result<String, Fault> {
     let sessions = shell.sessions.borrow();
-    let session = sessions.connections.get(&connection).and_then(|c| c.session.clone());
+    let session = sessions
+        .connections
+        .get(&connection)
+        .and_then(|c| c.session.clone());
     session.ok_or_else(|| Fault::drmaa(Errno::NoActiveSession, "init comes first"))
 }
 
@@ -306,9 +365,17 @@
         "findJob" => {
             let session = session_of(shell, connection)?;
             let p: rpc::FindJob = params(call)?;
-            let job = shell.core.borrow().jobs().by_key(&session, &p.submission_key);
-            let none =
-                || Fault::drmaa(Errno::InvalidJob, "no job of this session was submitted under that key");
+            let job = shell
+                .core
+                .borrow()
+                .jobs()
+                .by_key(&session, &p.submission_key);
+            let none = || {
+                Fault::drmaa(
+                    Errno::InvalidJob,
+                    "no job of this session was submitted under that key",
+                )
+            };
             Ok(json!({ "jobId": shell.job_name(job.ok_or_else(none)?) }))
         }
         "control" => control(shell, &session_of(shell, connection)?, &params(call)?),
@@ -317,10 +384,16 @@
             let p: rpc::JobRef = params(call)?;
             let job = own_job(shell, &session, &p.job_id)?;
             let core = shell.core.borrow();
-            let state = core.jobs().get(job).map_or(State::Undetermined, |j| state_of(j.state));
+            let state = core
+                .jobs()
+                .get(job)
+                .map_or(State::Undetermined, |j| state_of(j.state));
             Ok(json!({ "state": state.number(), "name": state.name() }))
         }
-        other => Err(Fault::rpc(rpc::METHOD_NOT_FOUND, format!("there is no method '{other}'"))),
+        other => Err(Fault::rpc(
+            rpc::METHOD_NOT_FOUND,
+            format!("there is no method '{other}'"),
+        )),
     }
 }
 
@@ -343,7 +416,10 @@
     let mut sessions = shell.sessions.borrow_mut();
     let known = sessions.by_session.contains_key(&p.session);
     if !known && sessions.by_session.len() >= shell.config.limits.sessions {
-        return Err(try_later(shell.config.limits.retry_after, "too many sessions are open"));
+        return Err(try_later(
+            shell.config.limits.retry_after,
+            "too many sessions are open",
+        ));
     }
     sessions.join(connection, &p.session, p.notify);
     let settle_ms = shell.config.module.settle.div_ceil(1000);
@@ -357,15 +433,28 @@
         drm_system: "peppercove".into(),
         implementation: concat!("peppercove ", env!("CARGO_PKG_VERSION")).into(),
         default_category: shell.config.classes[usize::from(shell.config.default_class)].clone(),
-        categories: shell.config.classes.iter().zip(&shell.config.module.classes).map(category).collect(),
+        categories: shell
+            .config
+            .classes
+            .iter()
+            .zip(&shell.config.module.classes)
+            .map(category)
+            .collect(),
     })
 }
 
 fn own_job(shell: &Shell, session: &str, name: &str) -> Result<JobId, Fault> {
     let core = shell.core.borrow();
     let job = shell.job_named(name).and_then(|id| core.jobs().get(id));
-    let own = job.filter(|j| j.submission.session == session).map(|j| j.id);
-    own.ok_or_else(|| Fault::drmaa(Errno::InvalidJob, format!("there is no job '{name}' in this session")))
+    let own = job
+        .filter(|j| j.submission.session == session)
+        .map(|j| j.id);
+    own.ok_or_else(|| {
+        Fault::drmaa(
+            Errno::InvalidJob,
+            format!("there is no job '{name}' in this session"),
+        )
+    })
 }
 
 fn reason(why: TurnedAway) -> &'static str {
@@ -387,13 +476,15 @@
     match why {
         TurnedAway::Full(after) => try_later(micros(after), "a bound is met"),
         TurnedAway::Stopping(after) => try_later(micros(after), "the controller stops"),
-        TurnedAway::InDoubt(after) => try_later(micros(after), "an earlier attempt of the task may run"),
-        TurnedAway::RanAlready => {
-            Fault::drmaa(Errno::DeniedByDrm, "the task ran, or may have run, and must not be started twice")
+        TurnedAway::InDoubt(after) => {
+            try_later(micros(after), "an earlier attempt of the task may run")
         }
+        TurnedAway::RanAlready => Fault::drmaa(
+            Errno::DeniedByDrm,
+            "the task ran, or may have run, and must not be started twice",
+        ),
         TurnedAway::AskedElsewhere => {
-            let what =
-                "another controller was asked for the task before and may have started it: ask that one";
+            let what = "another controller was asked for the task before and may have started it: ask that one";
             Fault::drmaa(Errno::DeniedByDrm, what)
         }
         TurnedAway::NotKnown => {
@@ -401,7 +492,10 @@
             Fault::drmaa(Errno::DeniedByDrm, what)
         }
         TurnedAway::TaskTaken(job) => {
-            let what = format!("the task is that of job {}, which is not finished", shell.job_name(job));
+            let what = format!(
+                "the task is that of job {}, which is not finished",
+                shell.job_name(job)
+            );
             Fault::drmaa(Errno::DeniedByDrm, what)
         }
         TurnedAway::NoSuchJob => Fault::drmaa(Errno::InvalidJob, "there is no such job"),
@@ -419,7 +513,11 @@
 }
 
 fn submit(
-    shell: &Rc<Shell>, session: &str, key: &str, template: &rpc::JobTemplate, index: Option<i64>,
+    shell: &Rc<Shell>,
+    session: &str,
+    key: &str,
+    template: &rpc::JobTemplate,
+    index: Option<i64>,
 ) -> Result<JobId, Fault> {
     // The same key again is the same job, whatever else the call says.
     if let Some(job) = shell.core.borrow().jobs().by_key(session, key) {
@@ -433,7 +531,9 @@
     for output in shell.input(Input::Submit { ticket, submission }) {
         match output {
             Output::Accepted { ticket: t, job } if t == ticket => {
-                shell.figures.add(names::SUBMISSIONS, &[shell.class_name(class)], 1.0);
+                shell
+                    .figures
+                    .add(names::SUBMISSIONS, &[shell.class_name(class)], 1.0);
                 if let Some(at) = prepared.start_at {
                     release_at(shell, job, at);
                 }
@@ -446,7 +546,10 @@
             _ => {}
         }
     }
-    Err(Fault::drmaa(Errno::InternalError, "the submission was left without an answer"))
+    Err(Fault::drmaa(
+        Errno::InternalError,
+        "the submission was left without an answer",
+    ))
 }
 
 /// `drmaa_start_time`: the job is on hold until then.
@@ -458,19 +561,33 @@
         tokio::time::sleep(wait).await;
         if let Some(shell) = shell.upgrade() {
             let ticket = shell.ticket();
-            shell.input(Input::Control { ticket, job, control: Control::Release });
+            shell.input(Input::Control {
+                ticket,
+                job,
+                control: Control::Release,
+            });
         }
     });
 }
 
 fn run_bulk(shell: &Rc<Shell>, session: &str, p: &rpc::RunBulkJobs) -> Result<Value, Fault> {
     let invalid = |what: String| Err(Fault::drmaa(Errno::InvalidArgument, what));
-    if p.start < 1 || p.incr == 0 || (p.incr > 0) != (p.start <= p.end) && p.start != p.end || p.end < 1 {
-        return invalid(format!("start {}, end {} and incr {} make no range", p.start, p.end, p.incr));
+    if p.start < 1
+        || p.incr == 0
+        || (p.incr > 0) != (p.start <= p.end) && p.start != p.end
+        || p.end < 1
+    {
+        return invalid(format!(
+            "start {}, end {} and incr {} make no range",
+            p.start, p.end, p.incr
+        ));
     }
     let count = ((p.end - p.start) / p.incr + 1).unsigned_abs();
     if count > shell.config.limits.bulk as u64 {
-        return invalid(format!("{count} jobs are more than {} at once", shell.config.limits.bulk));
+        return invalid(format!(
+            "{count} jobs are more than {} at once",
+            shell.config.limits.bulk
+        ));
     }
     if !shell.core.borrow().has_room(session, count as usize) {
         return Err(try_later(shell.config.limits.retry_after, "a bound is met"));
@@ -485,7 +602,11 @@
                 // All or none: what was taken in is ended again.
                 for job in jobs {
                     let ticket = shell.ticket();
-                    shell.input(Input::Control { ticket, job, control: Control::Terminate });
+                    shell.input(Input::Control {
+                        ticket,
+                        job,
+                        control: Control::Terminate,
+                    });
                 }
                 return Err(fault);
             }
@@ -496,8 +617,12 @@
 }
 
 fn control(shell: &Rc<Shell>, session: &str, p: &rpc::ControlJob) -> Result<Value, Fault> {
-    let action = Action::from_name(&p.action)
-        .ok_or_else(|| Fault::drmaa(Errno::InvalidArgument, format!("there is no action '{}'", p.action)))?;
+    let action = Action::from_name(&p.action).ok_or_else(|| {
+        Fault::drmaa(
+            Errno::InvalidArgument,
+            format!("there is no action '{}'", p.action),
+        )
+    })?;
     let control = match action {
         Action::Suspend => Control::Suspend,
         Action::Resume => Control::Resume,
@@ -508,14 +633,22 @@
     let all = p.job_id == ALL_JOBS;
     let jobs: Vec<JobId> = if all {
         let core = shell.core.borrow();
-        core.jobs().of_session(session).filter(|j| !j.state.is_final()).map(|j| j.id).collect()
+        core.jobs()
+            .of_session(session)
+            .filter(|j| !j.state.is_final())
+            .map(|j| j.id)
+            .collect()
     } else {
         vec![own_job(shell, session, &p.job_id)?]
     };
     let mut first_fault = None;
     for job in jobs {
         let ticket = shell.ticket();
-        for output in shell.input(Input::Control { ticket, job, control }) {
+        for output in shell.input(Input::Control {
+            ticket,
+            job,
+            control,
+        }) {
             if let Output::TurnedAway { ticket: t, why } = output
                 && t == ticket
                 && first_fault.is_none()
@@ -583,13 +716,26 @@
         let notice = shell.sessions.borrow_mut().any_waiter(session);
         let finished = || {
             let core = shell.core.borrow();
-            core.jobs().of_session(session).find(|j| j.state.is_final()).map(|j| j.id)
+            core.jobs()
+                .of_session(session)
+                .find(|j| j.state.is_final())
+                .map(|j| j.id)
         };
         if let Some(job) = finished() {
             return reap(shell, job);
         }
-        if shell.core.borrow().jobs().of_session(session).next().is_none() {
-            return Err(Fault::drmaa(Errno::InvalidJob, "there is no job in this session"));
+        if shell
+            .core
+            .borrow()
+            .jobs()
+            .of_session(session)
+            .next()
+            .is_none()
+        {
+            return Err(Fault::drmaa(
+                Errno::InvalidJob,
+                "there is no job in this session",
+            ));
         }
         if !noticed(&notice, until, || finished().is_some()).await {
             return Err(timed_out());
@@ -599,17 +745,32 @@
 
 /// Gives what is known of a finished job, and forgets it: a job is waited for once.
 fn reap(shell: &Shell, job: JobId) -> Result<Value, Fault> {
-    let finished = shell.core.borrow().jobs().get(job).map(|j| shell.finished_of(j));
+    let finished = shell
+        .core
+        .borrow()
+        .jobs()
+        .get(job)
+        .map(|j| shell.finished_of(j));
     shell.input(Input::Dispose(job));
     match finished {
         Some(finished) => result(finished),
-        None => Err(Fault::drmaa(Errno::InvalidJob, "another call has waited for the job")),
+        None => Err(Fault::drmaa(
+            Errno::InvalidJob,
+            "another call has waited for the job",
+        )),
     }
 }
 
 async fn until_finished(shell: &Shell, job: JobId, until: Option<Instant>) -> Result<(), Fault> {
     // A job that is gone was reaped, so it was finished.
-    let finished = || shell.core.borrow().jobs().get(job).is_none_or(|j| j.state.is_final());
+    let finished = || {
+        shell
+            .core
+            .borrow()
+            .jobs()
+            .get(job)
+            .is_none_or(|j| j.state.is_final())
+    };
     while !finished() {
         let notice = shell.sessions.borrow_mut().waiter(job);
         if !noticed(&notice, until, finished).await {
@@ -624,7 +785,12 @@
     loop {
         let answer = || shell.core.borrow().jobs().get(job).map(|j| j.answer);
         match answer() {
-            None => return Err(Fault::drmaa(Errno::InvalidJob, "the job was forgotten meanwhile")),
+            None => {
+                return Err(Fault::drmaa(
+                    Errno::InvalidJob,
+                    "the job was forgotten meanwhile",
+                ));
+            }
             Some(Some(answer)) => {
                 let core = shell.core.borrow();
                 let settled = core.jobs().get(job).map(|j| shell.settled_of(j, answer));
@@ -643,9 +809,18 @@
     let until = until(p.timeout_ms);
     let all = p.job_ids.iter().any(|j| j == ALL_JOBS);
     let jobs: Vec<JobId> = if all {
-        shell.core.borrow().jobs().of_session(session).map(|j| j.id).collect()
+        shell
+            .core
+            .borrow()
+            .jobs()
+            .of_session(session)
+            .map(|j| j.id)
+            .collect()
     } else {
-        p.job_ids.iter().map(|name| own_job(shell, session, name)).collect::<Result<_, _>>()?
+        p.job_ids
+            .iter()
+            .map(|name| own_job(shell, session, name))
+            .collect::<Result<_, _>>()?
     };
     for job in &jobs {
         until_finished(shell, *job, until).await?;
--- a/crates/controller/src/shell.rs
+++ b/crates/controller/src/shell.rs
@@ -58,18 +58,27 @@
         // Lives only have to differ: the time of the start, scattered so that two in one microsecond do as well.
         let life = clock.now() ^ (fastrand::u64(..) & 0xfff) << 52;
         let (limits, began) = (limits(&config, life), clock.now());
-        let mut core =
-            Core::new(View::new(Scheduler::new(config.module.clone(), seed), &config.module), limits);
+        let mut core = Core::new(
+            View::new(Scheduler::new(config.module.clone(), seed), &config.module),
+            limits,
+        );
         let mut recovered = Vec::new();
         let journal = match &config.journal {
             Some(path) => {
-                let wrong = |source| StartError::Journal { path: path.clone(), source };
+                let wrong = |source| StartError::Journal {
+                    path: path.clone(),
+                    source,
+                };
                 let (mut journal, entries) =
                     Journal::open(path, &config.name, config.journal_sync).map_err(wrong)?;
                 core.recover(began, &entries);
                 // What is settled is left out of the new file.
                 journal.replace(&core.snapshot()).map_err(wrong)?;
-                tracing::info!(entries = entries.len(), open = core.doubtful_tasks(), "journal read");
+                tracing::info!(
+                    entries = entries.len(),
+                    open = core.doubtful_tasks(),
+                    "journal read"
+                );
                 recovered = entries;
                 Some(RefCell::new(journal))
             }
@@ -77,11 +86,19 @@
         };
         let record = match &config.record {
             Some(path) => {
-                let file =
-                    File::create(path).map_err(|source| StartError::Record { path: path.clone(), source })?;
+                let file = File::create(path).map_err(|source| StartError::Record {
+                    path: path.clone(),
+                    source,
+                })?;
                 let mut file = BufWriter::new(file);
                 let schedulers = (config.module.schedulers, config.module.own_number);
-                let head = record::Head { seed, life, schedulers, began, journal: recovered };
+                let head = record::Head {
+                    seed,
+                    life,
+                    schedulers,
+                    began,
+                    journal: recovered,
+                };
                 let _ = writeln!(file, "{}", serde_json::to_string(&head).unwrap_or_default());
                 Some(RefCell::new(file))
             }
@@ -133,28 +150,44 @@
 
     fn carry_out(&self, output: Output, inputs: &mut VecDeque<Input>, answers: &mut Vec<Output>) {
         match output {
-            Output::Accepted { .. } | Output::Done { .. } | Output::TurnedAway { .. } => answers.push(output),
+            Output::Accepted { .. } | Output::Done { .. } | Output::TurnedAway { .. } => {
+                answers.push(output)
+            }
             Output::Settled { job, answer } => {
                 self.settled.notify_one();
                 let core = self.core.borrow();
                 if let Some(j) = core.jobs().get(job) {
                     let after = self.clock.now().saturating_sub(j.asked_at);
                     let class = self.class_name(j.submission.class);
-                    self.figures.answered(class, answer, (j.asked_at > 0).then_some(after));
+                    self.figures
+                        .answered(class, answer, (j.asked_at > 0).then_some(after));
                     let settled = self.settled_of(j, answer);
-                    self.sessions.borrow_mut().settled(&j.submission.session, job, settled);
+                    self.sessions
+                        .borrow_mut()
+                        .settled(&j.submission.session, job, settled);
                 }
             }
             Output::Finished(job) => {
                 let core = self.core.borrow();
                 if let Some(j) = core.jobs().get(job) {
-                    self.sessions.borrow_mut().finished(&j.submission.session, job);
+                    self.sessions
+                        .borrow_mut()
+                        .finished(&j.submission.session, job);
                 }
             }
-            Output::Connect { node, address, name } => {
-                let Some(shell) = self.me.borrow().upgrade() else { return };
+            Output::Connect {
+                node,
+                address,
+                name,
+            } => {
+                let Some(shell) = self.me.borrow().upgrade() else {
+                    return;
+                };
                 let task = spawn_local(link::keep(shell, node, address, name)).abort_handle();
-                let old = self.links.borrow_mut().insert(node, LinkHandle { queue: None, task });
+                let old = self
+                    .links
+                    .borrow_mut()
+                    .insert(node, LinkHandle { queue: None, task });
                 if let Some(old) = old {
                     old.task.abort();
                     inputs.push_back(Input::LinkDown(node));
@@ -166,11 +199,20 @@
                 }
             }
             Output::Journal(entries) => self.write_down(&entries),
-            Output::Offer { node, request, attempt, .. } => {
+            Output::Offer {
+                node,
+                request,
+                attempt,
+                ..
+            } => {
                 self.figures.add(names::ATTEMPTS, &[], 1.0);
                 // What is not written down does not leave: it would be unknown to the next life.
                 if !self.is_written() || !self.send_output(&output) {
-                    inputs.push_back(Input::Unsent { node, request, attempt });
+                    inputs.push_back(Input::Unsent {
+                        node,
+                        request,
+                        attempt,
+                    });
                 }
             }
             Output::Withdraw { .. }
@@ -200,7 +242,9 @@
 
     /// All that was to be written down is.
     pub(crate) fn is_written(&self) -> bool {
-        self.journal.as_ref().is_none_or(|journal| journal.borrow().is_whole())
+        self.journal
+            .as_ref()
+            .is_none_or(|journal| journal.borrow().is_whole())
     }
 
     /// A journal that has grown is written anew with what still counts; one that failed is tried again.
@@ -218,7 +262,9 @@
     /// Queues the frame that an output is; false where there is no link or its queue is full.
     fn send_output(&self, output: &Output) -> bool {
         let core = self.core.borrow();
-        let frame = frame(&self.config, self.clock.now(), output, |job| core.jobs().get(job));
+        let frame = frame(&self.config, self.clock.now(), output, |job| {
+            core.jobs().get(job)
+        });
         frame.is_some_and(|(node, message)| self.send(node, message))
     }
 
@@ -236,7 +282,10 @@
 
     /// The name of a class, as the settings have it.
     pub(crate) fn class_name(&self, class: u16) -> &str {
-        self.config.classes.get(usize::from(class)).map_or("unknown", String::as_str)
+        self.config
+            .classes
+            .get(usize::from(class))
+            .map_or("unknown", String::as_str)
     }
 
     /// The text by which clients know a job.
@@ -246,7 +295,9 @@
 
     /// The job of a text, if it is one of this life.
     pub(crate) fn job_named(&self, text: &str) -> Option<JobId> {
-        let own = text.strip_prefix(self.config.name.as_str())?.strip_prefix('.')?;
+        let own = text
+            .strip_prefix(self.config.name.as_str())?
+            .strip_prefix('.')?;
         let (life, number) = own.split_once('.')?;
         (u64::from_str_radix(life, 16).ok()? == self.life).then_some(JobId(number.parse().ok()?))
     }
@@ -273,7 +324,10 @@
 
     /// What `wait` tells of a finished job.
     pub(crate) fn finished_of(&self, job: &Job) -> rpc::Finished {
-        let mut finished = rpc::Finished { job_id: self.job_name(job.id), ..rpc::Finished::default() };
+        let mut finished = rpc::Finished {
+            job_id: self.job_name(job.id),
+            ..rpc::Finished::default()
+        };
         let mut usage = |name: &str, value: String| {
             finished.rusage.insert(name.into(), value);
         };
@@ -290,7 +344,14 @@
         };
         usage("outcome", outcome.into());
         match job.end {
-            Some(End::Exited { wall, cpu, memory, .. } | End::Signalled { wall, cpu, memory, .. }) => {
+            Some(
+                End::Exited {
+                    wall, cpu, memory, ..
+                }
+                | End::Signalled {
+                    wall, cpu, memory, ..
+                },
+            ) => {
                 usage("wallclock_s", format!("{:.6}", wall as f64 / 1e6));
                 usage("cpu_s", format!("{:.6}", cpu as f64 / 1e6));
                 usage("memory", format!("{memory:.3}"));
--- a/crates/core/src/alarms.rs
+++ b/crates/core/src/alarms.rs
@@ -12,7 +12,10 @@
 
 impl<T> Default for Alarms<T> {
     fn default() -> Self {
-        Alarms { queue: BTreeMap::new(), set: 0 }
+        Alarms {
+            queue: BTreeMap::new(),
+            set: 0,
+        }
     }
 }
 
@@ -30,6 +33,10 @@
 
     /// The first that is due at `now`, taken out.
     pub fn due(&mut self, now: Micros) -> Option<T> {
-        if self.next()? <= now { self.queue.pop_first().map(|(_, alarm)| alarm) } else { None }
+        if self.next()? <= now {
+            self.queue.pop_first().map(|(_, alarm)| alarm)
+        } else {
+            None
+        }
     }
 }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -7,8 +7,8 @@
 use crate::life::{After, Ask, Attempt, Life};
 use crate::nodes::{Link, NodeLine, Nodes};
 use peppercove::{
-    Action, Class, Confirms, Event, ListScope, Load, MachineId, MachineState, Micros, Note, Outcome, Repeat,
-    Request, RequestId, Spread, TaskKey, Why,
+    Action, Class, Confirms, Event, ListScope, Load, MachineId, MachineState, Micros, Note,
+    Outcome, Repeat, Request, RequestId, Spread, TaskKey, Why,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -483,7 +483,10 @@
 
     /// Tasks that are placed and have not ended.
     pub fn placed_tasks(&self) -> usize {
-        self.asks.values().filter(|a| matches!(a.life, Life::Placed(_))).count()
+        self.asks
+            .values()
+            .filter(|a| matches!(a.life, Life::Placed(_)))
+            .count()
     }
 
     /// Tasks whose fate is in doubt.
@@ -498,7 +501,10 @@
 
     /// When it wants to be called at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
-        [self.alarms.next(), self.evidence.next()].into_iter().flatten().min()
+        [self.alarms.next(), self.evidence.next()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Takes one input in and answers with what to do, in order.
@@ -566,8 +572,16 @@
         for Copy { at, .. } in due.recall {
             if self.nodes.is_up(at.node) {
                 // Its node answers with what it knows of the attempt, or refuses it for ever.
-                let Trace { node, request, attempt } = at;
-                self.out.push(Output::Withdraw { node, request, attempt });
+                let Trace {
+                    node,
+                    request,
+                    attempt,
+                } = at;
+                self.out.push(Output::Withdraw {
+                    node,
+                    request,
+                    attempt,
+                });
             }
         }
     }
@@ -575,26 +589,73 @@
     fn take_in(&mut self, input: Input) {
         match input {
             Input::Tick => {}
-            Input::List { scope, generation, lines } => self.on_list(scope, generation, &lines),
+            Input::List {
+                scope,
+                generation,
+                lines,
+            } => self.on_list(scope, generation, &lines),
             Input::ListFailed => {
                 let (scope, version) = (ListScope::Failed, self.nodes.generation);
-                self.events.push(Event::MachineList { scope, version, lines: Vec::new() });
+                self.events.push(Event::MachineList {
+                    scope,
+                    version,
+                    lines: Vec::new(),
+                });
             }
             Input::Submit { ticket, submission } => self.on_submit(ticket, *submission),
-            Input::Control { ticket, job, control } => self.on_control(ticket, job, control),
+            Input::Control {
+                ticket,
+                job,
+                control,
+            } => self.on_control(ticket, job, control),
             Input::Dispose(job) => {
                 self.jobs.remove(job);
             }
-            Input::LinkUp { node, life, whole, standing } => self.on_link_up(node, life, whole, standing),
+            Input::LinkUp {
+                node,
+                life,
+                whole,
+                standing,
+            } => self.on_link_up(node, life, whole, standing),
             Input::LinkDown(node) => self.on_link_down(node),
-            Input::News { node, request, attempt, news, load } => {
-                self.on_news(Trace { node, request, attempt }, news, load);
+            Input::News {
+                node,
+                request,
+                attempt,
+                news,
+                load,
+            } => {
+                self.on_news(
+                    Trace {
+                        node,
+                        request,
+                        attempt,
+                    },
+                    news,
+                    load,
+                );
             }
-            Input::Probed { node, answered, load } => {
-                self.events.push(Event::Probed { machine: node, answered, load });
+            Input::Probed {
+                node,
+                answered,
+                load,
+            } => {
+                self.events.push(Event::Probed {
+                    machine: node,
+                    answered,
+                    load,
+                });
             }
-            Input::Unsent { node, request, attempt } => {
-                if self.out_at(Trace { node, request, attempt }) {
+            Input::Unsent {
+                node,
+                request,
+                attempt,
+            } => {
+                if self.out_at(Trace {
+                    node,
+                    request,
+                    attempt,
+                }) {
                     self.counters.unreachable += 1;
                     self.end_attempt(request, attempt, Outcome::Unreachable, Why::Unknown, None);
                 }
@@ -609,18 +670,30 @@
 
     fn on_list(&mut self, scope: ListScope, generation: u64, lines: &[NodeLine]) {
         let (told, changes) = self.nodes.take_in(self.now, scope, generation, lines);
-        self.events.push(Event::MachineList { scope, version: generation, lines: told });
+        self.events.push(Event::MachineList {
+            scope,
+            version: generation,
+            lines: told,
+        });
         for node in changes.added {
             for (copy, of) in self.evidence.back(node) {
                 self.haunt(copy, of);
             }
             if let Some(n) = self.nodes.get(node) {
-                self.out.push(Output::Connect { node, address: n.address, name: n.name.clone() });
+                self.out.push(Output::Connect {
+                    node,
+                    address: n.address,
+                    name: n.name.clone(),
+                });
             }
         }
         if scope != ListScope::Delta {
             // Nodes of an earlier life that no list names any more can tell nothing.
-            let unknown = self.evidence.nodes().into_iter().filter(|n| self.nodes.get(*n).is_none());
+            let unknown = self
+                .evidence
+                .nodes()
+                .into_iter()
+                .filter(|n| self.nodes.get(*n).is_none());
             for node in unknown.collect::<Vec<_>>() {
                 self.node_is_gone(node);
             }
@@ -636,8 +709,15 @@
 
     /// A node that the list names no more keeps its link while it holds anything of ours: its answers count.
     fn let_go(&mut self, node: MachineId) {
-        let gone = self.nodes.get(node).is_some_and(|n| n.line.state == MachineState::Gone);
-        let holds = |a: &Ask| a.attempts.iter().any(|t| t.node == node && t.ended.is_none());
+        let gone = self
+            .nodes
+            .get(node)
+            .is_some_and(|n| n.line.state == MachineState::Gone);
+        let holds = |a: &Ask| {
+            a.attempts
+                .iter()
+                .any(|t| t.node == node && t.ended.is_none())
+        };
         if gone && !self.asks.values().any(holds) {
             self.node_is_gone(node);
             self.nodes.forget(node);
@@ -657,7 +737,10 @@
             self.out.push(Output::Accepted { ticket, job });
             if let Some(Answer::Placed(node)) = self.jobs.get(job).and_then(|j| j.answer) {
                 self.counters.placed += 1;
-                self.out.push(Output::Settled { job, answer: Answer::Placed(node) });
+                self.out.push(Output::Settled {
+                    job,
+                    answer: Answer::Placed(node),
+                });
             }
             return;
         }
@@ -672,7 +755,11 @@
         self.remember_first(&submission);
         self.counters.submitted += 1;
         let held = submission.held && matches!(verdict, Verdict::Free);
-        let state = if held { JobState::OnHold } else { JobState::Queued };
+        let state = if held {
+            JobState::OnHold
+        } else {
+            JobState::Queued
+        };
         let job = self.jobs.add(submission, state);
         self.out.push(Output::Accepted { ticket, job });
         match verdict {
@@ -726,8 +813,15 @@
             return None;
         }
         let told = self.nodes.generation > 0
-            && self.nodes.iter().all(|(_, n)| n.link == Link::Up || n.line.state == MachineState::Gone);
-        Some(if told { TurnedAway::NotKnown } else { TurnedAway::InDoubt(self.limits.settle) })
+            && self
+                .nodes
+                .iter()
+                .all(|(_, n)| n.link == Link::Up || n.line.state == MachineState::Gone);
+        Some(if told {
+            TurnedAway::NotKnown
+        } else {
+            TurnedAway::InDoubt(self.limits.settle)
+        })
     }
 
     fn turned_away(&self, submission: &Submission, verdict: Verdict) -> Option<TurnedAway> {
@@ -761,15 +855,26 @@
 
     /// Asks the module to place a job's task.
     fn ask(&mut self, job: JobId) {
-        let Some(j) = self.jobs.get_mut(job) else { return };
+        let Some(j) = self.jobs.get_mut(job) else {
+            return;
+        };
         let request = RequestId(self.next_request);
         self.next_request += 1;
         (j.ask, j.state, j.asked_at) = (Some(request), JobState::Queued, self.now);
         let deadline_in = j.submission.deadline_in;
-        let request =
-            request_of(&j.submission, request, deadline_in.saturating_sub(self.limits.answer_reserve));
+        let request = request_of(
+            &j.submission,
+            request,
+            deadline_in.saturating_sub(self.limits.answer_reserve),
+        );
         let deadline = self.now.saturating_add(deadline_in);
-        let ask = Ask { request: request.clone(), job, deadline, life: Life::Waiting, attempts: Vec::new() };
+        let ask = Ask {
+            request: request.clone(),
+            job,
+            deadline,
+            life: Life::Waiting,
+            attempts: Vec::new(),
+        };
         self.alarms.set(deadline, Alarm::Deadline(request.request));
         self.asks.insert(request.request, ask);
         self.open += 1;
@@ -778,7 +883,10 @@
 
     fn on_control(&mut self, ticket: u64, job: JobId, control: Control) {
         let Some(j) = self.jobs.get(job) else {
-            self.out.push(Output::TurnedAway { ticket, why: TurnedAway::NoSuchJob });
+            self.out.push(Output::TurnedAway {
+                ticket,
+                why: TurnedAway::NoSuchJob,
+            });
             return;
         };
         let (state, ask) = (j.state, j.ask);
@@ -803,8 +911,11 @@
             (Control::Suspend, JobState::Running) | (Control::Resume, JobState::Suspended) => {
                 if let Some(at) = placed.filter(|at| self.nodes.is_up(at.node)) {
                     self.out.push(act(at, control));
-                    let to =
-                        if control == Control::Suspend { JobState::Suspended } else { JobState::Running };
+                    let to = if control == Control::Suspend {
+                        JobState::Suspended
+                    } else {
+                        JobState::Running
+                    };
                     if let Some(j) = self.jobs.get_mut(job) {
                         j.state = to;
                     }
@@ -833,8 +944,12 @@
             }
             _ => false,
         };
-        let wrong = Output::TurnedAway { ticket, why: TurnedAway::WrongState(state) };
-        self.out.push(if ok { Output::Done { ticket } } else { wrong });
+        let wrong = Output::TurnedAway {
+            ticket,
+            why: TurnedAway::WrongState(state),
+        };
+        self.out
+            .push(if ok { Output::Done { ticket } } else { wrong });
     }
 
     /// An ask that never left is forgotten, unanswered: its job makes another one later.
@@ -846,7 +961,9 @@
     }
 
     fn terminate_open(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request) else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         let (life, job) = (ask.life, ask.job);
         self.events.push(Event::Unwanted(request));
         self.leave(request, false);
@@ -863,9 +980,16 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Watch => self.out.push(Output::Watch),
-            Action::Bind { request, machine, timeout } => self.bind(request, machine, timeout),
+            Action::Bind {
+                request,
+                machine,
+                timeout,
+            } => self.bind(request, machine, timeout),
             Action::Withdraw { request, attempt } => self.withdraw(request, attempt),
-            Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
+            Action::Refuse {
+                request,
+                retry_after,
+            } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::Move(request) => match self.asks.get(&request).and_then(placed_at) {
                 Some(at) if self.nodes.is_up(at.node) => {
@@ -874,12 +998,18 @@
                 }
                 _ => self.counters.void_actions += 1,
             },
-            Action::SetTimer { label, at } => self.alarms.set(at.max(self.now + 1), Alarm::Module(label)),
+            Action::SetTimer { label, at } => {
+                self.alarms.set(at.max(self.now + 1), Alarm::Module(label))
+            }
             Action::Probe(node) => {
                 if self.nodes.is_up(node) {
                     self.out.push(Output::Probe(node));
                 } else {
-                    self.events.push(Event::Probed { machine: node, answered: false, load: None });
+                    self.events.push(Event::Probed {
+                        machine: node,
+                        answered: false,
+                        load: None,
+                    });
                 }
             }
             Action::Tell(message) => self.out.push(Output::Tell(message)),
@@ -920,17 +1050,36 @@
             return;
         }
         self.counters.offers += 1;
-        self.intend(request, Trace { node, request, attempt: number });
+        self.intend(
+            request,
+            Trace {
+                node,
+                request,
+                attempt: number,
+            },
+        );
         self.alarms.set(expires_at, Alarm::Attempt(request, number));
         let expires_in = expires_at - self.now;
-        self.out.push(Output::Offer { node, request, attempt: number, expires_in, job });
+        self.out.push(Output::Offer {
+            node,
+            request,
+            attempt: number,
+            expires_in,
+            job,
+        });
     }
 
     /// What is about to be sent is known, and written down, before it leaves.
     fn intend(&mut self, request: RequestId, at: Trace) {
-        let Some(of) = self.asks.get(&request).map(|a| of(&a.request)) else { return };
+        let Some(of) = self.asks.get(&request).map(|a| of(&a.request)) else {
+            return;
+        };
         if self.is_kept(of.class) {
-            let node_life = self.nodes.get(at.node).and_then(|n| n.own_life).unwrap_or(0);
+            let node_life = self
+                .nodes
+                .get(at.node)
+                .and_then(|n| n.own_life)
+                .unwrap_or(0);
             let copy = self.copy(at);
             self.evidence.sent(copy, node_life, of);
             self.write_down();
@@ -943,7 +1092,11 @@
             self.counters.void_actions += 1;
             return;
         };
-        self.out.push(Output::Withdraw { node: at.node, request, attempt });
+        self.out.push(Output::Withdraw {
+            node: at.node,
+            request,
+            attempt,
+        });
         self.end_attempt(request, attempt, Outcome::Withdrawn, Why::Unknown, None);
     }
 
@@ -954,8 +1107,10 @@
             self.counters.void_actions += 1;
             return;
         };
-        let harmful =
-            !ask.never_ran() && self.class(ask.request.class).is_none_or(|c| c.repeat == Repeat::Unsafe);
+        let harmful = !ask.never_ran()
+            && self
+                .class(ask.request.class)
+                .is_none_or(|c| c.repeat == Repeat::Unsafe);
         let (job, mut answer) = (ask.job, answer);
         if harmful && matches!(answer, Answer::Refused(_)) {
             // Guard of the second rule: a refusal promises that a retry does no harm.
@@ -969,15 +1124,29 @@
     }
 
     fn copy(&self, at: Trace) -> Copy {
-        Copy { life: self.limits.life, at }
+        Copy {
+            life: self.limits.life,
+            at,
+        }
     }
 
     /// An ask ends here: nobody waits for the copies that may run.
     fn leave(&mut self, request: RequestId, wanted: bool) {
-        let Some(ask) = self.asks.get(&request) else { return };
-        let traces = ask.attempts.iter().enumerate().filter(|(_, a)| !a.never_ran());
-        let traces: Vec<Trace> =
-            traces.map(|(i, a)| Trace { node: a.node, request, attempt: i as u16 }).collect();
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
+        let traces = ask
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| !a.never_ran());
+        let traces: Vec<Trace> = traces
+            .map(|(i, a)| Trace {
+                node: a.node,
+                request,
+                attempt: i as u16,
+            })
+            .collect();
         for at in traces {
             let copy = self.copy(at);
             self.evidence.left(self.now, copy, wanted);
@@ -989,11 +1158,20 @@
     /// A copy may run that no open attempt stands for: the module counts it as standing until it is known to be over,
     /// so that neither spread nor room is given away twice.
     fn haunt(&mut self, copy: Copy, of: Of) {
-        if self.class(of.class).is_none_or(|c| c.spread == Spread::Off) || self.ghosts.contains_key(&copy) {
+        if self.class(of.class).is_none_or(|c| c.spread == Spread::Off)
+            || self.ghosts.contains_key(&copy)
+        {
             return;
         }
         let id = self.new_request();
-        let Of { task, service, class, tenant, cores, memory } = of;
+        let Of {
+            task,
+            service,
+            class,
+            tenant,
+            cores,
+            memory,
+        } = of;
         let (deadline_in, life_hint, again) = (0, None, true);
         let request = Request {
             request: id,
@@ -1008,15 +1186,28 @@
             again,
         };
         self.ghosts.insert(copy, id);
-        self.events.push(Event::Standing { request, machine: copy.at.node });
+        self.events.push(Event::Standing {
+            request,
+            machine: copy.at.node,
+        });
     }
 
     /// The copy is over, or somebody's again.
     fn lay(&mut self, copy: Copy) {
-        let Some(request) = self.ghosts.remove(&copy) else { return };
+        let Some(request) = self.ghosts.remove(&copy) else {
+            return;
+        };
         let (machine, outcome, why) = (copy.at.node, Outcome::Withdrawn, Why::Unknown);
         let (attempt, over, load) = (0, true, None);
-        self.events.push(Event::Ended { request, attempt, machine, outcome, why, over, load });
+        self.events.push(Event::Ended {
+            request,
+            attempt,
+            machine,
+            outcome,
+            why,
+            over,
+            load,
+        });
     }
 
     /// It is proved that the copy never ran, or was stopped before its end.
@@ -1038,7 +1229,9 @@
             End::GivenUp if matches!(why, Why::Evicted | Why::PushedOut | Why::SentAway) => {
                 self.copy_closed(copy);
             }
-            End::Signalled { .. } | End::GivenUp | End::Lost => self.copy_over(copy, Past::MayHaveRun),
+            End::Signalled { .. } | End::GivenUp | End::Lost => {
+                self.copy_over(copy, Past::MayHaveRun)
+            }
         }
     }
 
@@ -1051,7 +1244,9 @@
 
     /// The one place where a job's ask is answered.
     fn settle_job(&mut self, job: JobId, answer: Answer) {
-        let Some(j) = self.jobs.get_mut(job) else { return };
+        let Some(j) = self.jobs.get_mut(job) else {
+            return;
+        };
         // A task that was moved or came again was answered when it was first placed.
         if j.answer.is_none() {
             j.answer = Some(answer);
@@ -1081,7 +1276,9 @@
     }
 
     fn step(&mut self, request: RequestId, to: Life) -> bool {
-        let Some(ask) = self.asks.get_mut(&request) else { return false };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return false;
+        };
         let was_open = ask.life.is_open();
         let legal = ask.life.step(to);
         self.open -= usize::from(was_open && !ask.life.is_open());
@@ -1094,27 +1291,54 @@
     }
 
     fn out_trace(&self, request: RequestId, attempt: u16) -> Option<Trace> {
-        let a = self.asks.get(&request)?.attempts.get(usize::from(attempt))?;
+        let a = self
+            .asks
+            .get(&request)?
+            .attempts
+            .get(usize::from(attempt))?;
         let placed = self.asks.get(&request)?.life == Life::Placed(attempt);
-        (a.ended.is_none() && !placed).then_some(Trace { node: a.node, request, attempt })
+        (a.ended.is_none() && !placed).then_some(Trace {
+            node: a.node,
+            request,
+            attempt,
+        })
     }
 
     fn out_at(&self, trace: Trace) -> bool {
-        self.out_trace(trace.request, trace.attempt).is_some_and(|t| t.node == trace.node)
+        self.out_trace(trace.request, trace.attempt)
+            .is_some_and(|t| t.node == trace.node)
     }
 
     /// An attempt that is out ends: the ask waits again, if it is not over.
     fn end_attempt(
-        &mut self, request: RequestId, attempt: u16, outcome: Outcome, why: Why, load: Option<Load>,
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        outcome: Outcome,
+        why: Why,
+        load: Option<Load>,
     ) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
-        let Some(a) = ask.attempts.get_mut(usize::from(attempt)).filter(|a| a.ended.is_none()) else {
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
+        let Some(a) = ask
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|a| a.ended.is_none())
+        else {
             return;
         };
         a.ended = Some(outcome);
         let (machine, life, of) = (a.node, ask.life, of(&ask.request));
-        let copy = self.copy(Trace { node: machine, request, attempt });
-        if matches!(outcome, Outcome::Refused | Outcome::Unreachable | Outcome::NotSent) {
+        let copy = self.copy(Trace {
+            node: machine,
+            request,
+            attempt,
+        });
+        if matches!(
+            outcome,
+            Outcome::Refused | Outcome::Unreachable | Outcome::NotSent
+        ) {
             self.copy_closed(copy);
         } else if self.evidence.is_open(copy) {
             self.haunt(copy, of);
@@ -1128,7 +1352,15 @@
         self.settle_by_what_was_found(request);
         let over = self.asks.get(&request).is_none_or(|a| !a.life.is_open());
         self.count_end(outcome, why);
-        self.events.push(Event::Ended { request, attempt, machine, outcome, why, over, load });
+        self.events.push(Event::Ended {
+            request,
+            attempt,
+            machine,
+            outcome,
+            why,
+            over,
+            load,
+        });
         self.forget_if_done(request);
         self.let_go(machine);
     }
@@ -1139,18 +1371,29 @@
     }
 
     fn on_expired(&mut self, request: RequestId, attempt: u16) {
-        let Some(at) = self.out_trace(request, attempt) else { return };
+        let Some(at) = self.out_trace(request, attempt) else {
+            return;
+        };
         self.counters.timed_out += 1;
-        self.out.push(Output::Withdraw { node: at.node, request, attempt });
+        self.out.push(Output::Withdraw {
+            node: at.node,
+            request,
+            attempt,
+        });
         self.end_attempt(request, attempt, Outcome::TimedOut, Why::Unknown, None);
     }
 
     /// Guard of the first rule: the module had until the reserve before this.
     fn on_overdue(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request).filter(|a| a.life.is_open()) else { return };
+        let Some(ask) = self.asks.get(&request).filter(|a| a.life.is_open()) else {
+            return;
+        };
         let (job, life) = (ask.job, ask.life);
         self.counters.overdue += 1;
-        self.out.push(Output::Log(format!("fault: ask {} was left without an answer", request.0)));
+        self.out.push(Output::Log(format!(
+            "fault: ask {} was left without an answer",
+            request.0
+        )));
         self.events.push(Event::Unwanted(request));
         self.leave(request, true);
         self.step(request, Life::Over);
@@ -1183,12 +1426,18 @@
     }
 
     fn on_news_of_offer(&mut self, at: Trace, news: NodeNews, load: Option<Load>) {
-        let Trace { node, request, attempt } = at;
+        let Trace {
+            node,
+            request,
+            attempt,
+        } = at;
         let over = self.asks.get(&request).is_none_or(|a| a.life == Life::Over);
         match news {
             NodeNews::Accepted => {
-                if let Some(a) =
-                    self.asks.get_mut(&request).and_then(|a| a.attempts.get_mut(usize::from(attempt)))
+                if let Some(a) = self
+                    .asks
+                    .get_mut(&request)
+                    .and_then(|a| a.attempts.get_mut(usize::from(attempt)))
                 {
                     a.accepted = true;
                 }
@@ -1205,7 +1454,12 @@
             NodeNews::Running => {
                 self.on_confirmed(at);
                 if self.limits.confirms == Confirms::Accepted {
-                    self.events.push(Event::Noted { request, attempt, machine: node, note: Note::Runs });
+                    self.events.push(Event::Noted {
+                        request,
+                        attempt,
+                        machine: node,
+                        note: Note::Runs,
+                    });
                 }
                 self.report(node, load);
             }
@@ -1226,18 +1480,31 @@
                 self.on_confirmed(at);
                 self.on_news_of_placed(at, news, load);
             }
-            NodeNews::Note(note) => self.events.push(Event::Noted { request, attempt, machine: node, note }),
+            NodeNews::Note(note) => self.events.push(Event::Noted {
+                request,
+                attempt,
+                machine: node,
+                note,
+            }),
         }
     }
 
     fn report(&mut self, node: MachineId, load: Option<Load>) {
         if load.is_some() {
-            self.events.push(Event::Probed { machine: node, answered: true, load });
+            self.events.push(Event::Probed {
+                machine: node,
+                answered: true,
+                load,
+            });
         }
     }
 
     fn on_confirmed(&mut self, at: Trace) {
-        let Trace { node, request, attempt } = at;
+        let Trace {
+            node,
+            request,
+            attempt,
+        } = at;
         if !self.step(request, Life::Placed(attempt)) {
             return;
         }
@@ -1245,24 +1512,42 @@
         // Earlier attempts that may run as well are nobody's.
         self.leave(request, false);
         self.evidence.claimed(copy);
-        self.events.push(Event::Placed { request, attempt, machine: node });
+        self.events.push(Event::Placed {
+            request,
+            attempt,
+            machine: node,
+        });
         if let Some(job) = self.asks.get(&request).map(|a| a.job) {
             self.settle_job(job, Answer::Placed(node));
         }
     }
 
     fn on_news_of_placed(&mut self, at: Trace, news: NodeNews, load: Option<Load>) {
-        let Trace { node, request, attempt } = at;
+        let Trace {
+            node,
+            request,
+            attempt,
+        } = at;
         let (outcome, end, why) = match news {
             NodeNews::Accepted => return self.report(node, load),
             NodeNews::Running => {
                 if self.limits.confirms == Confirms::Accepted {
-                    self.events.push(Event::Noted { request, attempt, machine: node, note: Note::Runs });
+                    self.events.push(Event::Noted {
+                        request,
+                        attempt,
+                        machine: node,
+                        note: Note::Runs,
+                    });
                 }
                 return self.report(node, load);
             }
             NodeNews::Note(note) => {
-                self.events.push(Event::Noted { request, attempt, machine: node, note });
+                self.events.push(Event::Noted {
+                    request,
+                    attempt,
+                    machine: node,
+                    note,
+                });
                 return;
             }
             NodeNews::Ended(end @ End::Exited { .. }, why) => (Outcome::Done, end, why),
@@ -1288,8 +1573,14 @@
     }
 
     fn end_placed(&mut self, at: Trace, outcome: Outcome, end: End, why: Why, load: Option<Load>) {
-        let Trace { node, request, attempt } = at;
-        let Some(ask) = self.asks.get_mut(&request) else { return };
+        let Trace {
+            node,
+            request,
+            attempt,
+        } = at;
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
         let (job, of) = (ask.job, of(&ask.request));
         if let Some(a) = ask.attempts.get_mut(usize::from(attempt)) {
             a.ended = Some(outcome);
@@ -1302,7 +1593,15 @@
             self.evidence.left(self.now, copy, true);
         }
         self.count_end(outcome, why);
-        self.events.push(Event::Ended { request, attempt, machine: node, outcome, why, over: true, load });
+        self.events.push(Event::Ended {
+            request,
+            attempt,
+            machine: node,
+            outcome,
+            why,
+            over: true,
+            load,
+        });
         // Moved, it is asked for again only where it is known to be stopped before its end.
         let stopped = !matches!(end, End::Exited { .. })
             && (!self.is_strict(of.class) || self.evidence.ask(of.task, true) == Verdict::Free);
@@ -1315,7 +1614,14 @@
                 j.end = Some(end);
             }
             let done = matches!(end, End::Exited { .. } | End::Signalled { .. });
-            self.finish(job, if done { JobState::Done } else { JobState::Failed });
+            self.finish(
+                job,
+                if done {
+                    JobState::Done
+                } else {
+                    JobState::Failed
+                },
+            );
         }
         self.let_go(node);
     }
@@ -1325,10 +1631,15 @@
     fn on_news_out_of_place(&mut self, at: Trace, news: &NodeNews) {
         self.counters.out_of_place += 1;
         // A node that names another's attempt is not to be told anything about it.
-        let known = self.asks.get(&at.request).and_then(|a| a.attempts.get(usize::from(at.attempt)));
+        let known = self
+            .asks
+            .get(&at.request)
+            .and_then(|a| a.attempts.get(usize::from(at.attempt)));
         if known.is_some_and(|a| a.node != at.node) {
-            self.out
-                .push(Output::Log(format!("node {:x} speaks of an attempt that is not its own", at.node.0)));
+            self.out.push(Output::Log(format!(
+                "node {:x} speaks of an attempt that is not its own",
+                at.node.0
+            )));
             return;
         }
         match news {
@@ -1348,13 +1659,22 @@
                 let (copy, went_on) = (self.copy(at), self.went_on(at));
                 let of = self.asks.get(&at.request).map(|a| of(&a.request));
                 self.copy_ended(copy, *end, *why);
-                let ran = of.is_some_and(|of| match self.evidence.ask(of.task, self.is_strict(of.class)) {
-                    Verdict::Ran(..) | Verdict::Never => true,
-                    // A second run of what does no harm is not needed either.
-                    _ => matches!(end, End::Exited { .. }),
+                let ran = of.is_some_and(|of| {
+                    match self.evidence.ask(of.task, self.is_strict(of.class)) {
+                        Verdict::Ran(..) | Verdict::Never => true,
+                        // A second run of what does no harm is not needed either.
+                        _ => matches!(end, End::Exited { .. }),
+                    }
                 });
                 if went_on {
-                    self.found(at, if ran { After::Ended(*end) } else { After::Nothing });
+                    self.found(
+                        at,
+                        if ran {
+                            After::Ended(*end)
+                        } else {
+                            After::Nothing
+                        },
+                    );
                 }
             }
             // An error proves nothing: its node's record does.
@@ -1376,7 +1696,9 @@
         if after == After::Runs {
             self.evidence.confirmed(copy);
         }
-        let Some(ask) = self.asks.get_mut(&at.request) else { return };
+        let Some(ask) = self.asks.get_mut(&at.request) else {
+            return;
+        };
         if let Some(a) = ask.attempts.get_mut(usize::from(at.attempt)) {
             a.after = after;
         }
@@ -1387,16 +1709,37 @@
     /// told that it is no longer wanted, and of the standing task in its place. While another attempt is out, that one
     /// comes to its end first: two answers must not be in the making.
     fn settle_by_what_was_found(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request).filter(|a| a.life == Life::Waiting) else { return };
-        let found = ask.attempts.iter().enumerate().find(|(_, a)| a.after != After::Nothing);
+        let Some(ask) = self.asks.get(&request).filter(|a| a.life == Life::Waiting) else {
+            return;
+        };
+        let found = ask
+            .attempts
+            .iter()
+            .enumerate()
+            .find(|(_, a)| a.after != After::Nothing);
         let Some((i, a)) = found else { return };
-        let (job, at, after) = (ask.job, Trace { node: a.node, request, attempt: i as u16 }, a.after);
+        let (job, at, after) = (
+            ask.job,
+            Trace {
+                node: a.node,
+                request,
+                attempt: i as u16,
+            },
+            a.after,
+        );
         self.call_off(request);
         match after {
             After::Runs => self.take_over(job, self.copy(at)),
             After::Ended(end) => {
                 let exited = matches!(end, End::Exited { .. });
-                self.settle_job(job, if exited { Answer::Placed(at.node) } else { Answer::Failed });
+                self.settle_job(
+                    job,
+                    if exited {
+                        Answer::Placed(at.node)
+                    } else {
+                        Answer::Failed
+                    },
+                );
                 if exited {
                     if let Some(j) = self.jobs.get_mut(job) {
                         j.end = Some(end);
@@ -1426,19 +1769,37 @@
             // A second link stands for the first: what was under way on that one is as lost as if it had broken.
             self.on_link_down(node);
         }
-        let Some(n) = self.nodes.get_mut(node) else { return };
+        let Some(n) = self.nodes.get_mut(node) else {
+            return;
+        };
         (n.link, n.own_life) = (Link::Up, Some(life));
         // The list tells of a restart seconds later; until then all controllers would push a cold node over.
         if let Some(line) = n.restarted(self.now, life) {
             let (scope, version) = (ListScope::Delta, self.nodes.generation);
-            self.events.push(Event::MachineList { scope, version, lines: vec![line] });
-        }
-        let standing: Vec<Standing> =
-            standing.into_iter().filter_map(|s| self.by_its_present_number(node, s)).collect();
+            self.events.push(Event::MachineList {
+                scope,
+                version,
+                lines: vec![line],
+            });
+        }
+        let standing: Vec<Standing> = standing
+            .into_iter()
+            .filter_map(|s| self.by_its_present_number(node, s))
+            .collect();
         let own = |s: &&Standing| s.life == self.limits.life;
-        let trace = |s: &Standing| Trace { node, request: s.request, attempt: s.attempt };
+        let trace = |s: &Standing| Trace {
+            node,
+            request: s.request,
+            attempt: s.attempt,
+        };
         let held: Vec<Trace> = standing.iter().filter(own).map(trace).collect();
-        let named: Vec<Copy> = standing.iter().map(|s| Copy { life: s.life, at: trace(s) }).collect();
+        let named: Vec<Copy> = standing
+            .iter()
+            .map(|s| Copy {
+                life: s.life,
+                at: trace(s),
+            })
+            .collect();
         for copy in self.evidence.greeted(self.now, node, life, whole, &named) {
             self.lay(copy);
         }
@@ -1471,23 +1832,59 @@
     /// one, and the job would be taken for lost and the copy for a stray: stopped, and counted no more while it goes on.
     fn by_its_present_number(&mut self, node: MachineId, s: Standing) -> Option<Standing> {
         let (life, was, attempt) = (s.life, s.request, s.attempt);
-        let copy = Copy { life, at: Trace { node, request: was, attempt } };
-        let Some(&named) = self.former.get(&copy) else { return Some(s) };
+        let copy = Copy {
+            life,
+            at: Trace {
+                node,
+                request: was,
+                attempt,
+            },
+        };
+        let Some(&named) = self.former.get(&copy) else {
+            return Some(s);
+        };
         if let Some(end) = s.ended {
-            self.out.push(Output::StopStanding { node, life, was, attempt });
+            self.out.push(Output::StopStanding {
+                node,
+                life,
+                was,
+                attempt,
+            });
             self.on_news(named, NodeNews::Ended(end, s.why), None);
             return None;
         }
-        self.out.push(Output::Adopt { node, life, was, attempt, request: named.request });
-        Some(Standing { life: self.limits.life, request: named.request, attempt: named.attempt, ..s })
+        self.out.push(Output::Adopt {
+            node,
+            life,
+            was,
+            attempt,
+            request: named.request,
+        });
+        Some(Standing {
+            life: self.limits.life,
+            request: named.request,
+            attempt: named.attempt,
+            ..s
+        })
     }
 
     /// Nothing that a node may still call by a former number is remembered for longer than the copy matters.
     fn forget_former(&mut self, node: MachineId) {
-        let Core { asks, evidence, former, limits, .. } = self;
+        let Core {
+            asks,
+            evidence,
+            former,
+            limits,
+            ..
+        } = self;
         former.retain(|_, named| {
             let stands = asks.get(&named.request).and_then(placed_at) == Some(*named);
-            named.node != node || stands || evidence.is_open(Copy { life: limits.life, at: *named })
+            named.node != node
+                || stands
+                || evidence.is_open(Copy {
+                    life: limits.life,
+                    at: *named,
+                })
         });
     }
 
@@ -1496,17 +1893,35 @@
     fn learn_of_past(&mut self, node: MachineId, s: Standing, end: End) {
         let ran = matches!(end, End::Exited { .. } | End::Signalled { .. });
         let (life, was, attempt) = (s.life, s.request, s.attempt);
-        let copy = Copy { life, at: Trace { node, request: was, attempt } };
+        let copy = Copy {
+            life,
+            at: Trace {
+                node,
+                request: was,
+                attempt,
+            },
+        };
         if self.evidence.is_open(copy) {
             self.copy_ended(copy, end, s.why);
         } else if self.is_strict(s.submission.class) && ran {
-            let past =
-                if matches!(end, End::Exited { .. }) { Past::Ended(node, end) } else { Past::MayHaveRun };
+            let past = if matches!(end, End::Exited { .. }) {
+                Past::Ended(node, end)
+            } else {
+                Past::MayHaveRun
+            };
             self.evidence.ran(self.now, s.submission.task, past);
         }
         self.write_down();
-        self.out.push(Output::StopStanding { node, life, was, attempt });
-        let known = self.jobs.by_key(&s.submission.session, &s.submission.key).is_some();
+        self.out.push(Output::StopStanding {
+            node,
+            life,
+            was,
+            attempt,
+        });
+        let known = self
+            .jobs
+            .by_key(&s.submission.session, &s.submission.key)
+            .is_some();
         if known || self.jobs.by_task(s.submission.task).is_some() || !self.jobs.has_room() {
             return;
         }
@@ -1514,7 +1929,14 @@
         if let Some(j) = self.jobs.get_mut(job) {
             (j.answer, j.end) = (Some(Answer::Placed(node)), Some(end));
         }
-        self.finish(job, if ran { JobState::Done } else { JobState::Failed });
+        self.finish(
+            job,
+            if ran {
+                JobState::Done
+            } else {
+                JobState::Failed
+            },
+        );
     }
 
     fn new_request(&mut self) -> RequestId {
@@ -1524,15 +1946,33 @@
 
     /// A task that an earlier life placed runs on; its job is found again under its key.
     fn adopt(&mut self, node: MachineId, s: Standing) {
-        let Standing { life, request: was, attempt, submission, .. } = s;
-        let copy = Copy { life, at: Trace { node, request: was, attempt } };
+        let Standing {
+            life,
+            request: was,
+            attempt,
+            submission,
+            ..
+        } = s;
+        let copy = Copy {
+            life,
+            at: Trace {
+                node,
+                request: was,
+                attempt,
+            },
+        };
         let known = self.class(submission.class).is_some();
         let taken = self.jobs.by_task(submission.task).is_some();
         if !known || taken || !self.jobs.has_room() {
             self.counters.strays += 1;
             self.copy_over(copy, Past::MayHaveRun);
             self.write_down();
-            self.out.push(Output::StopStanding { node, life, was, attempt });
+            self.out.push(Output::StopStanding {
+                node,
+                life,
+                was,
+                attempt,
+            });
             return;
         }
         let job = self.jobs.add_unclaimed(submission);
@@ -1541,7 +1981,13 @@
             (j.answer, j.state) = (Some(Answer::Placed(node)), JobState::Running);
         }
         self.write_down();
-        self.out.push(Output::Adopt { node, life, was, attempt, request });
+        self.out.push(Output::Adopt {
+            node,
+            life,
+            was,
+            attempt,
+            request,
+        });
     }
 
     /// A doubtful copy was found running and its owner asks again: that copy is the new job's.
@@ -1550,18 +1996,34 @@
         self.settle_job(job, Answer::Placed(copy.at.node));
         self.write_down();
         let (life, was, attempt) = (copy.life, copy.at.request, copy.at.attempt);
-        self.out.push(Output::Adopt { node: copy.at.node, life, was, attempt, request });
+        self.out.push(Output::Adopt {
+            node: copy.at.node,
+            life,
+            was,
+            attempt,
+            request,
+        });
     }
 
     fn stand(&mut self, job: JobId, copy: Copy) -> RequestId {
         let (id, node) = (self.new_request(), copy.at.node);
         self.counters.adopted += 1;
         self.lay(copy);
-        let Some(j) = self.jobs.get_mut(job) else { return id };
+        let Some(j) = self.jobs.get_mut(job) else {
+            return id;
+        };
         j.ask = Some(id);
         let request = request_of(&j.submission, id, 0);
-        let named = self.copy(Trace { node, request: id, attempt: 0 });
-        for later in self.former.values_mut().filter(|n| **n == copy.at && copy.life == self.limits.life) {
+        let named = self.copy(Trace {
+            node,
+            request: id,
+            attempt: 0,
+        });
+        for later in self
+            .former
+            .values_mut()
+            .filter(|n| **n == copy.at && copy.life == self.limits.life)
+        {
             *later = named.at;
         }
         self.former.insert(copy, named.at);
@@ -1581,37 +2043,64 @@
             after: After::Nothing,
         };
         let (deadline, attempts) = (self.now, vec![attempt]);
-        let ask = Ask { request: request.clone(), job, deadline, life: Life::Waiting, attempts };
+        let ask = Ask {
+            request: request.clone(),
+            job,
+            deadline,
+            life: Life::Waiting,
+            attempts,
+        };
         self.asks.insert(id, ask);
         self.open += 1;
         self.step(id, Life::Placed(0));
-        self.events.push(Event::Standing { request, machine: node });
+        self.events.push(Event::Standing {
+            request,
+            machine: node,
+        });
         id
     }
 
     fn on_link_down(&mut self, node: MachineId) {
-        let Some(n) = self.nodes.get_mut(node) else { return };
+        let Some(n) = self.nodes.get_mut(node) else {
+            return;
+        };
         if n.link == Link::Up {
             n.link = Link::Down(self.now);
-            self.alarms.set(self.now.saturating_add(self.limits.lost_after), Alarm::Lost(node));
+            self.alarms.set(
+                self.now.saturating_add(self.limits.lost_after),
+                Alarm::Lost(node),
+            );
         }
         let out: Vec<(RequestId, u16)> = self
             .asks
             .iter()
-            .flat_map(|(r, a)| a.attempts.iter().enumerate().map(move |(i, t)| (*r, a, i as u16, t)))
-            .filter(|(_, a, i, t)| t.node == node && t.ended.is_none() && a.life != Life::Placed(*i))
+            .flat_map(|(r, a)| {
+                a.attempts
+                    .iter()
+                    .enumerate()
+                    .map(move |(i, t)| (*r, a, i as u16, t))
+            })
+            .filter(|(_, a, i, t)| {
+                t.node == node && t.ended.is_none() && a.life != Life::Placed(*i)
+            })
             .map(|(r, _, i, _)| (r, i))
             .collect();
         for (request, attempt) in out {
             self.end_attempt(request, attempt, Outcome::Lost, Why::Unknown, None);
         }
-        if self.nodes.get(node).is_some_and(|n| n.line.state == MachineState::Gone) {
+        if self
+            .nodes
+            .get(node)
+            .is_some_and(|n| n.line.state == MachineState::Gone)
+        {
             self.lose_placed(node);
         }
     }
 
     fn on_lost(&mut self, node: MachineId) {
-        let Some(Link::Down(since)) = self.nodes.get(node).map(|n| n.link) else { return };
+        let Some(Link::Down(since)) = self.nodes.get(node).map(|n| n.link) else {
+            return;
+        };
         if since.saturating_add(self.limits.lost_after) <= self.now {
             self.lose_placed(node);
         }
@@ -1620,8 +2109,12 @@
     /// Tasks on a node that is gone, or was out of reach for too long, count as lost; whether they still run
     /// stays in doubt until the node is heard again or gone for good.
     fn lose_placed(&mut self, node: MachineId) {
-        let placed: Vec<Trace> =
-            self.asks.values().filter_map(placed_at).filter(|t| t.node == node).collect();
+        let placed: Vec<Trace> = self
+            .asks
+            .values()
+            .filter_map(placed_at)
+            .filter(|t| t.node == node)
+            .collect();
         for at in placed {
             self.end_placed(at, Outcome::Lost, End::Lost, Why::Unknown, None);
         }
@@ -1632,33 +2125,92 @@
 
     fn on_abandon(&mut self) {
         self.stopping = true;
-        let open: Vec<RequestId> = self.asks.values().filter(|a| a.life.is_open()).map(Ask::id).collect();
+        let open: Vec<RequestId> = self
+            .asks
+            .values()
+            .filter(|a| a.life.is_open())
+            .map(Ask::id)
+            .collect();
         for request in open {
             self.events.push(Event::Unwanted(request));
             let harmless = self.asks.get(&request).is_some_and(Ask::never_ran);
             let retry_after = Some(self.limits.retry_after);
-            self.answer(request, if harmless { Answer::Refused(retry_after) } else { Answer::Failed });
+            self.answer(
+                request,
+                if harmless {
+                    Answer::Refused(retry_after)
+                } else {
+                    Answer::Failed
+                },
+            );
         }
     }
 }
 
 fn placed_at(ask: &Ask) -> Option<Trace> {
-    let Life::Placed(attempt) = ask.life else { return None };
+    let Life::Placed(attempt) = ask.life else {
+        return None;
+    };
     let node = ask.attempts.get(usize::from(attempt))?.node;
-    Some(Trace { node, request: ask.id(), attempt })
+    Some(Trace {
+        node,
+        request: ask.id(),
+        attempt,
+    })
 }
 
 fn act(at: Trace, control: Control) -> Output {
-    Output::Act { node: at.node, request: at.request, attempt: at.attempt, control }
+    Output::Act {
+        node: at.node,
+        request: at.request,
+        attempt: at.attempt,
+        control,
+    }
 }
 
 /// What a copy of the ask is of.
 fn of(r: &Request) -> Of {
-    let Request { task, service, class, tenant, cores, memory, .. } = *r;
-    Of { task, service, class, tenant, cores, memory }
+    let Request {
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+        ..
+    } = *r;
+    Of {
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+    }
 }
 
 fn request_of(s: &Submission, request: RequestId, deadline_in: Micros) -> Request {
-    let Submission { task, service, class, tenant, cores, memory, life_hint, again, .. } = s.clone();
-    Request { request, task, service, class, tenant, cores, memory, deadline_in, life_hint, again }
+    let Submission {
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+        life_hint,
+        again,
+        ..
+    } = s.clone();
+    Request {
+        request,
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+        deadline_in,
+        life_hint,
+        again,
+    }
 }
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -167,7 +167,13 @@
     /// Advises to come again after `settle`, remembers for `memory` what has run, and holds at most `most` copies that
     /// nobody waits for.
     pub fn new(settle: Micros, memory: Micros, most: usize) -> Evidence {
-        Evidence { settle: settle.max(1), memory, most, due_at: Micros::MAX, ..Evidence::default() }
+        Evidence {
+            settle: settle.max(1),
+            memory,
+            most,
+            due_at: Micros::MAX,
+            ..Evidence::default()
+        }
     }
 
     /// What is to be written down, in order, since this was called last.
@@ -178,10 +184,22 @@
     /// All that the next life must know, in as few entries as can say it.
     pub fn snapshot(&self) -> Vec<Entry> {
         let ran = self.ran.iter().map(|(task, past)| Entry::Ran(*task, *past));
-        let by_name = self.by_name.iter().map(|task| Entry::Ran(*task, Past::MayHaveRun));
+        let by_name = self
+            .by_name
+            .iter()
+            .map(|task| Entry::Ran(*task, Past::MayHaveRun));
         let open = self.open.iter().flat_map(|(copy, open)| {
-            let sent = Entry::Sent { copy: *copy, node_life: open.node_life, of: open.of };
-            [Some(sent), (open.known == Known::Runs).then_some(Entry::Runs(*copy))].into_iter().flatten()
+            let sent = Entry::Sent {
+                copy: *copy,
+                node_life: open.node_life,
+                of: open.of,
+            };
+            [
+                Some(sent),
+                (open.known == Known::Runs).then_some(Entry::Runs(*copy)),
+            ]
+            .into_iter()
+            .flatten()
         });
         by_name.chain(ran).chain(open).collect()
     }
@@ -190,7 +208,11 @@
     pub fn recover(&mut self, now: Micros, entries: &[Entry]) {
         for entry in entries {
             match entry {
-                Entry::Sent { copy, node_life, of } => self.add(*copy, *node_life, *of),
+                Entry::Sent {
+                    copy,
+                    node_life,
+                    of,
+                } => self.add(*copy, *node_life, *of),
                 Entry::Closed(copy) => drop(self.close(*copy)),
                 Entry::Ran(task, past) => self.has_run(now, *task, *past),
                 Entry::Renamed(from, to) => self.rename(*from, *to),
@@ -232,13 +254,28 @@
     /// A copy is about to be offered to a node of that life.
     pub fn sent(&mut self, copy: Copy, node_life: u64, of: Of) {
         self.add(copy, node_life, of);
-        self.journal.push(Entry::Sent { copy, node_life, of });
+        self.journal.push(Entry::Sent {
+            copy,
+            node_life,
+            of,
+        });
     }
 
     fn add(&mut self, copy: Copy, node_life: u64, of: Of) {
-        let open =
-            Open { of, node_life, known: Known::Out, left: None, unwanted: false, asked: (0, 0), gone: None };
-        if self.open.insert(copy, open).is_some_and(|old| old.left.is_some()) {
+        let open = Open {
+            of,
+            node_life,
+            known: Known::Out,
+            left: None,
+            unwanted: false,
+            asked: (0, 0),
+            gone: None,
+        };
+        if self
+            .open
+            .insert(copy, open)
+            .is_some_and(|old| old.left.is_some())
+        {
             self.left -= 1;
         }
         self.tasks.entry(of.task).or_default().insert(copy);
@@ -284,7 +321,9 @@
 
     /// The job of a copy is over while the copy is open; `wanted` unless its owner ended the job.
     pub fn left(&mut self, now: Micros, copy: Copy, wanted: bool) {
-        let Some(open) = self.open.get_mut(&copy) else { return };
+        let Some(open) = self.open.get_mut(&copy) else {
+            return;
+        };
         self.left += usize::from(open.left.is_none());
         open.left = Some(now.saturating_add(self.settle).saturating_add(1_000_000));
         open.unwanted |= !wanted;
@@ -326,7 +365,9 @@
             self.ran_order.push_back((now, task));
         }
         while self.ran_detailed.len() > self.most.max(1) {
-            let Some(oldest) = self.ran_detailed.pop_front() else { break };
+            let Some(oldest) = self.ran_detailed.pop_front() else {
+                break;
+            };
             if self.ran.remove(&oldest).is_some() {
                 self.by_name.insert(oldest);
             }
@@ -335,11 +376,17 @@
 
     /// What a new ask for the task may do. `strict` where a second effect would do harm.
     pub fn ask(&self, task: TaskKey, strict: bool) -> Verdict {
-        let copies = || self.copies(task).filter_map(|c| Some((c, self.open.get(&c)?)));
-        let runs = copies().find(|(_, o)| o.known == Known::Runs && !o.unwanted && o.left.is_some());
+        let copies = || {
+            self.copies(task)
+                .filter_map(|c| Some((c, self.open.get(&c)?)))
+        };
+        let runs =
+            copies().find(|(_, o)| o.known == Known::Runs && !o.unwanted && o.left.is_some());
         if strict {
             match self.ran.get(&task) {
-                Some(Past::Ended(node, end @ End::Exited { .. })) => return Verdict::Ran(*node, *end),
+                Some(Past::Ended(node, end @ End::Exited { .. })) => {
+                    return Verdict::Ran(*node, *end);
+                }
                 Some(_) => return Verdict::Never,
                 None if self.by_name.contains(&task) => return Verdict::Never,
                 None => {}
@@ -348,7 +395,9 @@
             if copies().any(|(_, o)| o.gone.is_some()) {
                 return Verdict::Never;
             }
-            if copies().any(|(c, o)| o.known == Known::Out || o.unwanted || Some(c) != runs.map(|(c, _)| c)) {
+            if copies().any(|(c, o)| {
+                o.known == Known::Out || o.unwanted || Some(c) != runs.map(|(c, _)| c)
+            }) {
                 return Verdict::Later(self.settle);
             }
         }
@@ -362,7 +411,9 @@
 
     /// The node says that a copy runs that nobody waits for.
     pub fn runs(&mut self, now: Micros, copy: Copy) -> Stray {
-        let Some(open) = self.open.get_mut(&copy) else { return Stray::Unknown };
+        let Some(open) = self.open.get_mut(&copy) else {
+            return Stray::Unknown;
+        };
         let news = open.known != Known::Runs;
         if news {
             open.known = Known::Runs;
@@ -403,7 +454,12 @@
     /// name and of which nothing was heard never ran, if it is the same process and has forgotten nothing; of the
     /// others nobody can tell any more. Gives the copies that are over with it.
     pub fn greeted(
-        &mut self, now: Micros, node: MachineId, life: u64, whole: bool, held: &[Copy],
+        &mut self,
+        now: Micros,
+        node: MachineId,
+        life: u64,
+        whole: bool,
+        held: &[Copy],
     ) -> Vec<Copy> {
         let over: Vec<(Copy, Open)> = self
             .open
@@ -436,7 +492,9 @@
     /// The list names a node again: its copies count. Gives them.
     pub fn back(&mut self, node: MachineId) -> Vec<(Copy, Of)> {
         let there = self.open.iter_mut().filter(|(c, _)| c.at.node == node);
-        there.map(|(copy, open)| (open.gone.take(), (*copy, open.of)).1).collect()
+        there
+            .map(|(copy, open)| (open.gone.take(), (*copy, open.of)).1)
+            .collect()
     }
 
     /// Nodes that hold an open copy.
@@ -446,7 +504,11 @@
 
     /// What is due: copies to stop, copies to ask about again. Tasks that ran long ago are forgotten.
     pub fn due(&mut self, now: Micros, life: u64) -> Due {
-        while self.ran_order.front().is_some_and(|(at, _)| at.saturating_add(self.memory) <= now) {
+        while self
+            .ran_order
+            .front()
+            .is_some_and(|(at, _)| at.saturating_add(self.memory) <= now)
+        {
             if let Some((_, task)) = self.ran_order.pop_front() {
                 self.by_name.remove(&task);
                 if self.ran.remove(&task).is_some() {
@@ -460,12 +522,19 @@
         }
         let (settle, memory) = (self.settle, self.memory);
         let given_up = |o: &Open| o.gone.is_some_and(|at| at.saturating_add(memory) <= now);
-        let lost: Vec<Copy> = self.open.iter().filter(|(_, o)| given_up(o)).map(|(c, _)| *c).collect();
+        let lost: Vec<Copy> = self
+            .open
+            .iter()
+            .filter(|(_, o)| given_up(o))
+            .map(|(c, _)| *c)
+            .collect();
         for copy in lost {
             self.over(now, copy, Past::MayHaveRun);
         }
         for (copy, open) in &mut self.open {
-            let Some(left) = open.left.filter(|_| open.gone.is_none()) else { continue };
+            let Some(left) = open.left.filter(|_| open.gone.is_none()) else {
+                continue;
+            };
             if open.known == Known::Runs && left <= now && !open.unwanted {
                 open.unwanted = true;
                 due.stop.push(*copy);
@@ -483,13 +552,22 @@
             Some(at) => Some(at.saturating_add(memory)),
             None => next_due(settle, copy, open, life),
         };
-        self.due_at = self.open.iter().filter_map(next).min().unwrap_or(Micros::MAX).max(now + 1);
+        self.due_at = self
+            .open
+            .iter()
+            .filter_map(next)
+            .min()
+            .unwrap_or(Micros::MAX)
+            .max(now + 1);
         due
     }
 
     /// When [`Evidence::due`] may have something to say.
     pub fn next(&self) -> Option<Micros> {
-        let memory = self.ran_order.front().map(|(at, _)| at.saturating_add(self.memory));
+        let memory = self
+            .ran_order
+            .front()
+            .map(|(at, _)| at.saturating_add(self.memory));
         let due = (self.left > 0 && self.due_at < Micros::MAX).then_some(self.due_at);
         [memory, due].into_iter().flatten().min()
     }
@@ -504,9 +582,15 @@
 
 /// When a node is asked about a copy: an eighth of the settling time after its job is over, then after growing waits.
 fn next_recall(settle: Micros, open: &Open) -> Micros {
-    let Some(left) = open.left else { return Micros::MAX };
+    let Some(left) = open.left else {
+        return Micros::MAX;
+    };
     let (at, times) = open.asked;
     let first = left.saturating_sub(settle.saturating_add(1_000_000));
     let wait = (settle / 8).max(1) << times.min(4);
-    if times == 0 { first.saturating_add(wait) } else { at.saturating_add(wait) }
+    if times == 0 {
+        first.saturating_add(wait)
+    } else {
+        at.saturating_add(wait)
+    }
 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -164,7 +164,10 @@
 impl Jobs {
     /// A table of at most `most` jobs.
     pub fn new(most: usize) -> Jobs {
-        Jobs { most: most.max(1), ..Jobs::default() }
+        Jobs {
+            most: most.max(1),
+            ..Jobs::default()
+        }
     }
 
     /// Jobs in the table.
@@ -204,7 +207,9 @@
 
     /// The job submitted under a key.
     pub fn by_key(&self, session: &str, key: &str) -> Option<JobId> {
-        self.keys.get(&(session.to_owned(), key.to_owned())).copied()
+        self.keys
+            .get(&(session.to_owned(), key.to_owned()))
+            .copied()
     }
 
     /// The unfinished job that asks for, or runs, a task.
@@ -220,15 +225,24 @@
     /// Takes a job in; the oldest finished one makes room where there is none.
     pub fn add(&mut self, submission: Submission, state: JobState) -> JobId {
         while self.jobs.len() >= self.most {
-            let Some(oldest) = self.finished.pop_front() else { break };
+            let Some(oldest) = self.finished.pop_front() else {
+                break;
+            };
             self.forgotten += u64::from(self.remove(oldest));
         }
         let id = JobId(self.next);
         self.next += 1;
-        self.keys.insert((submission.session.clone(), submission.key.clone()), id);
+        self.keys
+            .insert((submission.session.clone(), submission.key.clone()), id);
         self.tasks.insert(submission.task, id);
-        self.sessions.entry(submission.session.clone()).or_default().insert(id);
-        *self.unfinished.entry(submission.session.clone()).or_insert(0) += 1;
+        self.sessions
+            .entry(submission.session.clone())
+            .or_default()
+            .insert(id);
+        *self
+            .unfinished
+            .entry(submission.session.clone())
+            .or_insert(0) += 1;
         let job = Job {
             id,
             submission,
@@ -262,14 +276,20 @@
         }
         job.unclaimed = false;
         // Whoever still knows it by its first key finds it too.
-        job.first_key = Some(std::mem::replace(&mut job.submission.key, submission.key.clone()));
-        self.keys.insert((submission.session.clone(), submission.key.clone()), id);
+        job.first_key = Some(std::mem::replace(
+            &mut job.submission.key,
+            submission.key.clone(),
+        ));
+        self.keys
+            .insert((submission.session.clone(), submission.key.clone()), id);
         Some(id)
     }
 
     /// A job reached its end: its task may be asked for by another.
     pub(crate) fn finish(&mut self, id: JobId, state: JobState) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.state.is_final()) else { return };
+        let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.state.is_final()) else {
+            return;
+        };
         (job.state, job.ask) = (state, None);
         if self.tasks.get(&job.submission.task) == Some(&id) {
             self.tasks.remove(&job.submission.task);
@@ -293,7 +313,9 @@
         if !self.jobs.get(&id).is_some_and(|j| j.state.is_final()) {
             return false;
         }
-        let Some(job) = self.jobs.remove(&id) else { return false };
+        let Some(job) = self.jobs.remove(&id) else {
+            return false;
+        };
         if let Some(ids) = self.sessions.get_mut(&job.submission.session) {
             ids.remove(&id);
             if ids.is_empty() {
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -27,7 +27,11 @@
     /// The settings of the module as they were.
     pub fn module(&self, settings: &peppercove::Settings) -> peppercove::Settings {
         let (schedulers, own_number) = self.schedulers;
-        peppercove::Settings { schedulers, own_number, ..settings.clone() }
+        peppercove::Settings {
+            schedulers,
+            own_number,
+            ..settings.clone()
+        }
     }
 }
 
@@ -52,7 +56,11 @@
 
 /// Writes one line, without its end.
 pub fn write(at: Micros, input: &Input) -> String {
-    serde_json::to_string(&Line { at, input: input.clone() }).unwrap_or_default()
+    serde_json::to_string(&Line {
+        at,
+        input: input.clone(),
+    })
+    .unwrap_or_default()
 }
 
 /// Puts a record, without its head, through a core and hands each input's outputs to `each`.
@@ -60,13 +68,23 @@
 /// # Errors
 /// [`RecordError`] at the first line that cannot be read; what came before it has been played.
 pub fn replay<D: Decide>(
-    head: &Head, text: &str, decider: D, limits: Limits, mut each: impl FnMut(&Line, &[Output]),
+    head: &Head,
+    text: &str,
+    decider: D,
+    limits: Limits,
+    mut each: impl FnMut(&Line, &[Output]),
 ) -> Result<Core<D>, RecordError> {
     let mut core = Core::new(decider, limits);
     core.recover(head.began, &head.journal);
-    for (i, text) in text.lines().enumerate().filter(|(_, text)| !text.is_empty()) {
-        let line: Line =
-            serde_json::from_str(text).map_err(|source| RecordError { number: i + 1, source })?;
+    for (i, text) in text
+        .lines()
+        .enumerate()
+        .filter(|(_, text)| !text.is_empty())
+    {
+        let line: Line = serde_json::from_str(text).map_err(|source| RecordError {
+            number: i + 1,
+            source,
+        })?;
         let outputs = core.handle(line.at, line.input.clone());
         each(&line, &outputs);
     }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -13,7 +13,11 @@
 impl Retry {
     /// The first wait is up to `least`, each one up to twice the one before, `most` at the most.
     pub fn new(least: Duration, most: Duration) -> Retry {
-        Retry { least, most, next: least }
+        Retry {
+            least,
+            most,
+            next: least,
+        }
     }
 
     /// It worked: the next failure waits as the first.
