--- a/crates/day/src/cluster.rs
+++ b/crates/day/src/cluster.rs
@@ -41,7 +41,9 @@
     /// # Errors
     /// [`ClusterError`] where a socket or the controller cannot be had.
     pub fn start(
-        config: Config, nodes: usize, shape: impl Fn(Spec) -> Spec + Send + 'static,
+        config: Config,
+        nodes: usize,
+        shape: impl Fn(Spec) -> Spec + Send + 'static,
     ) -> Result<Cluster, ClusterError> {
         let (ready, told) = mpsc::channel();
         let (stop, stopped) = oneshot::channel();
@@ -51,7 +53,11 @@
             }
         });
         let contact = told.recv().map_err(|_| ClusterError::Ended)??;
-        Ok(Cluster { contact, stop: Some(stop), thread: Some(thread) })
+        Ok(Cluster {
+            contact,
+            stop: Some(stop),
+            thread: Some(thread),
+        })
     }
 }
 
@@ -69,15 +75,21 @@
 type Ready = mpsc::Sender<Result<SocketAddr, ClusterError>>;
 
 fn serve(
-    mut config: Config, nodes: usize, shape: &impl Fn(Spec) -> Spec, ready: &Ready,
+    mut config: Config,
+    nodes: usize,
+    shape: &impl Fn(Spec) -> Spec,
+    ready: &Ready,
     stopped: oneshot::Receiver<()>,
 ) -> Result<(), ClusterError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, async {
         let (clock, shared) = (Clock::default(), Shared::default());
         let list = List::start(clock, 100_000, Duration::from_millis(250)).await?;
         for i in 0..nodes {
-            let node = Node::start(shape(spec(&config, i)), shared.clone(), clock, i as u64).await?;
+            let node =
+                Node::start(shape(spec(&config, i)), shared.clone(), clock, i as u64).await?;
             list.add(&node, node.address());
         }
         config.listen.node_list = list.address().into();
--- a/crates/drmaa/src/connection.rs
+++ b/crates/drmaa/src/connection.rs
@@ -35,33 +35,63 @@
         let stream = TcpStream::connect_timeout(&address, CONNECT).map_err(connect)?;
         stream.set_nodelay(true).map_err(connect)?;
         stream.set_write_timeout(Some(ANSWER)).map_err(connect)?;
-        let mut connection = Connection { reader: BufReader::new(stream), next: 0, info: Session::default() };
-        let params =
-            serde_json::to_value(Init { session: session.into(), notify: false }).unwrap_or_default();
+        let mut connection = Connection {
+            reader: BufReader::new(stream),
+            next: 0,
+            info: Session::default(),
+        };
+        let params = serde_json::to_value(Init {
+            session: session.into(),
+            notify: false,
+        })
+        .unwrap_or_default();
         // Opening a session has no effect that could happen twice.
-        let info = connection.call("init", params, ANSWER).map_err(|f| match f {
-            Failure::Unknown(what) => Failure::NotSent(what),
-            other => other,
+        let info = connection
+            .call("init", params, ANSWER)
+            .map_err(|f| match f {
+                Failure::Unknown(what) => Failure::NotSent(what),
+                other => other,
+            })?;
+        connection.info = serde_json::from_value(info).map_err(|e| {
+            Failure::NotSent(format!("{address}: no session in the answer to init: {e}"))
         })?;
-        connection.info = serde_json::from_value(info)
-            .map_err(|e| Failure::NotSent(format!("{address}: no session in the answer to init: {e}")))?;
         Ok(connection)
     }
 
-    pub(crate) fn call(&mut self, method: &str, params: Value, within: Duration) -> Result<Value, Failure> {
+    pub(crate) fn call(
+        &mut self,
+        method: &str,
+        params: Value,
+        within: Duration,
+    ) -> Result<Value, Failure> {
         self.next += 1;
         let id = Value::from(self.next);
-        let call = Call { jsonrpc: "2.0".into(), id: Some(id.clone()), method: method.into(), params };
+        let call = Call {
+            jsonrpc: "2.0".into(),
+            id: Some(id.clone()),
+            method: method.into(),
+            params,
+        };
         let mut line = serde_json::to_string(&call).map_err(|e| Failure::NotSent(e.to_string()))?;
         line.push('\n');
         if line.len() > rpc::LONGEST_LINE {
-            let what = format!("the call takes {} bytes, {} at most", line.len(), rpc::LONGEST_LINE);
+            let what = format!(
+                "the call takes {} bytes, {} at most",
+                line.len(),
+                rpc::LONGEST_LINE
+            );
             return Err(Failure::Answered(Error::new(Errno::InvalidArgument, what)));
         }
         let unknown = |e: std::io::Error| Failure::Unknown(e.to_string());
         // A part of the line may have left, but only a whole line is a call.
-        self.reader.get_mut().write_all(line.as_bytes()).map_err(unknown)?;
-        self.reader.get_ref().set_read_timeout(Some(within)).map_err(unknown)?;
+        self.reader
+            .get_mut()
+            .write_all(line.as_bytes())
+            .map_err(unknown)?;
+        self.reader
+            .get_ref()
+            .set_read_timeout(Some(within))
+            .map_err(unknown)?;
         loop {
             let reply = self.read()?;
             if reply.id != id {
@@ -79,7 +109,9 @@
         let most = rpc::LONGEST_LINE as u64 * 4;
         let read = (&mut self.reader).take(most).read_line(&mut line);
         match read {
-            Ok(0) => Err(Failure::Unknown("the controller closed the connection".into())),
+            Ok(0) => Err(Failure::Unknown(
+                "the controller closed the connection".into(),
+            )),
             Ok(_) if line.ends_with('\n') => {
                 // A notification is no reply: it has no id, which is that of no call.
                 serde_json::from_str(&line)
@@ -92,6 +124,14 @@
 }
 
 fn error_of(fault: &Fault) -> Error {
-    let retry_after = fault.data.as_ref().and_then(|d| d.retry_after_ms).map(Duration::from_millis);
-    Error { errno: fault.errno(), message: fault.message.clone(), retry_after }
+    let retry_after = fault
+        .data
+        .as_ref()
+        .and_then(|d| d.retry_after_ms)
+        .map(Duration::from_millis);
+    Error {
+        errno: fault.errno(),
+        message: fault.message.clone(),
+        retry_after,
+    }
 }
--- a/crates/drmaa/src/lib.rs
+++ b/crates/drmaa/src/lib.rs
@@ -32,6 +32,10 @@
 impl Error {
     /// An error with its message.
     pub fn new(errno: Errno, message: impl Into<String>) -> Error {
-        Error { errno, message: message.into(), retry_after: None }
+        Error {
+            errno,
+            message: message.into(),
+            retry_after: None,
+        }
     }
 }
--- a/crates/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -93,7 +93,11 @@
             implementation: String::new(),
             submitted: 0,
         };
-        let session = Session { contact: contact.into(), name: name.into(), shared: Mutex::new(shared) };
+        let session = Session {
+            contact: contact.into(),
+            name: name.into(),
+            shared: Mutex::new(shared),
+        };
         let mut failures = Vec::new();
         let count = session.lock().endpoints.len();
         for i in 0..count {
@@ -107,7 +111,10 @@
                 Err(Failure::NotSent(what) | Failure::Unknown(what)) => failures.push(what),
             }
         }
-        Err(Error::new(Errno::DrmCommunicationFailure, failures.join("; ")))
+        Err(Error::new(
+            Errno::DrmCommunicationFailure,
+            failures.join("; "),
+        ))
     }
 
     fn lock(&self) -> MutexGuard<'_, Shared> {
@@ -164,7 +171,11 @@
 
     /// Makes a call. An idle connection may have broken since, so a call without effect is made once more.
     fn call_at(
-        &self, endpoint: usize, method: &str, params: &Value, within: Duration,
+        &self,
+        endpoint: usize,
+        method: &str,
+        params: &Value,
+        within: Duration,
     ) -> Result<(Value, u64), Failure> {
         let mut connection = self.connect(endpoint)?;
         let life = connection.info.life;
@@ -186,17 +197,30 @@
     }
 
     fn settle(&self) -> Duration {
-        let most = self.lock().categories.values().map(|c| c.settle_ms).max().unwrap_or(0);
+        let most = self
+            .lock()
+            .categories
+            .values()
+            .map(|c| c.settle_ms)
+            .max()
+            .unwrap_or(0);
         Duration::from_millis(most)
     }
 
     /// A second start of such a job does no harm.
     fn is_safe(&self, template: &JobTemplate) -> bool {
         let shared = self.lock();
-        let spec = template.get("drmaa_native_specification").unwrap_or_default();
+        let spec = template
+            .get("drmaa_native_specification")
+            .unwrap_or_default();
         let named = native::parse(spec).ok().and_then(|n| n.class);
-        let category = template.get("drmaa_job_category").unwrap_or(&shared.default_category);
-        shared.categories.get(named.as_deref().unwrap_or(category)).is_some_and(|c| c.safe)
+        let category = template
+            .get("drmaa_job_category")
+            .unwrap_or(&shared.default_category);
+        shared
+            .categories
+            .get(named.as_deref().unwrap_or(category))
+            .is_some_and(|c| c.safe)
     }
 
     // ---- Submission ----
@@ -220,7 +244,11 @@
     /// # Errors
     /// As [`Session::run_job`]; all jobs are taken, or none.
     pub fn run_bulk_jobs(
-        &self, template: &JobTemplate, start: i64, end: i64, incr: i64,
+        &self,
+        template: &JobTemplate,
+        start: i64,
+        end: i64,
+        incr: i64,
     ) -> Result<Vec<String>, Error> {
         let key = self.next_key();
         let params = json!({
@@ -243,12 +271,22 @@
     }
 
     fn remember(&self, id: &str, endpoint: usize, life: u64, key: &str, template: &JobTemplate) {
-        let job = Submitted { endpoint, id: id.into(), life, key: key.into(), template: template.clone() };
+        let job = Submitted {
+            endpoint,
+            id: id.into(),
+            life,
+            key: key.into(),
+            template: template.clone(),
+        };
         self.lock().jobs.insert(id.into(), job);
     }
 
     fn submit(
-        &self, method: &str, params: &Value, key: &str, template: &JobTemplate,
+        &self,
+        method: &str,
+        params: &Value,
+        key: &str,
+        template: &JobTemplate,
     ) -> Result<(Value, usize, u64), Error> {
         let (first, count) = {
             let shared = self.lock();
@@ -264,32 +302,43 @@
                 }
                 Err(Failure::Answered(error)) => return Err(error),
                 Err(Failure::NotSent(what)) => failures.push(what),
-                Err(Failure::Unknown(what)) => match self.submit_again(endpoint, method, params, key) {
-                    Some(Ok((value, life))) => return Ok((value, endpoint, life)),
-                    Some(Err(error)) => return Err(error),
-                    // It may have been taken in; elsewhere it would be another job.
-                    None if !self.is_safe(template) => {
-                        let what = format!("the job may have been submitted: {what}");
-                        return Err(Error::new(Errno::DrmCommunicationFailure, what));
+                Err(Failure::Unknown(what)) => {
+                    match self.submit_again(endpoint, method, params, key) {
+                        Some(Ok((value, life))) => return Ok((value, endpoint, life)),
+                        Some(Err(error)) => return Err(error),
+                        // It may have been taken in; elsewhere it would be another job.
+                        None if !self.is_safe(template) => {
+                            let what = format!("the job may have been submitted: {what}");
+                            return Err(Error::new(Errno::DrmCommunicationFailure, what));
+                        }
+                        None => failures.push(what),
                     }
-                    None => failures.push(what),
-                },
+                }
             }
         }
-        Err(Error::new(Errno::DrmCommunicationFailure, failures.join("; ")))
+        Err(Error::new(
+            Errno::DrmCommunicationFailure,
+            failures.join("; "),
+        ))
     }
 
     /// A submission whose answer was lost, made again under its key. The same life of the controller gives the
     /// same job; another one knows it only if a node runs it. `None` where the fate of the first stays unknown.
     fn submit_again(
-        &self, endpoint: usize, method: &str, params: &Value, key: &str,
+        &self,
+        endpoint: usize,
+        method: &str,
+        params: &Value,
+        key: &str,
     ) -> Option<Result<(Value, u64), Error>> {
         let was = self.lock().endpoints[endpoint].known.clone();
         let end = Instant::now() + self.settle();
         loop {
             let same = match self.connect(endpoint) {
                 Ok(connection) => {
-                    let same = was.as_ref().is_some_and(|(_, life)| *life == connection.info.life);
+                    let same = was
+                        .as_ref()
+                        .is_some_and(|(_, life)| *life == connection.info.life);
                     self.give_back(endpoint, connection);
                     Some(same)
                 }
@@ -322,21 +371,36 @@
         }
         // A job of an earlier session of this name: its controller is in its id.
         let own = |e: &Endpoint| {
-            e.known
-                .as_ref()
-                .is_some_and(|(n, _)| id.strip_prefix(n.as_str()).is_some_and(|r| r.starts_with('.')))
+            e.known.as_ref().is_some_and(|(n, _)| {
+                id.strip_prefix(n.as_str())
+                    .is_some_and(|r| r.starts_with('.'))
+            })
         };
         let endpoint = shared.endpoints.iter().position(own);
-        let endpoint =
-            endpoint.ok_or_else(|| Error::new(Errno::InvalidJob, format!("there is no job '{id}'")))?;
-        let life = shared.endpoints[endpoint].known.as_ref().map_or(0, |(_, life)| *life);
+        let endpoint = endpoint
+            .ok_or_else(|| Error::new(Errno::InvalidJob, format!("there is no job '{id}'")))?;
+        let life = shared.endpoints[endpoint]
+            .known
+            .as_ref()
+            .map_or(0, |(_, life)| *life);
         let (key, template) = (String::new(), JobTemplate::default());
-        Ok(Submitted { endpoint, id: id.into(), life, key, template })
+        Ok(Submitted {
+            endpoint,
+            id: id.into(),
+            life,
+            key,
+            template,
+        })
     }
 
     /// Makes a call about a job, wherever it has gone meanwhile.
     fn call_for(
-        &self, id: &str, method: &str, extra: &Value, within: Duration, until: Option<Instant>,
+        &self,
+        id: &str,
+        method: &str,
+        extra: &Value,
+        within: Duration,
+        until: Option<Instant>,
     ) -> Result<Value, Error> {
         let give_up = Instant::now() + self.settle().max(ANSWER);
         let give_up = until.map_or(give_up, |u| u.max(give_up));
@@ -346,7 +410,9 @@
             params["jobId"] = Value::from(job.id.clone());
             let what = match self.call_at(job.endpoint, method, &params, within) {
                 Ok((value, _)) => return Ok(value),
-                Err(Failure::Answered(e)) if e.errno == Errno::InvalidJob && self.is_elsewhere(&job) => {
+                Err(Failure::Answered(e))
+                    if e.errno == Errno::InvalidJob && self.is_elsewhere(&job) =>
+                {
                     self.find_again(id, &job)?;
                     continue;
                 }
@@ -379,7 +445,8 @@
                 Err(_) if Instant::now() < end => std::thread::sleep(PAUSE),
                 Err(_) if self.is_safe(&job.template) => {
                     let params = json!({ "jobTemplate": job.template, "submissionKey": job.key });
-                    let (value, endpoint, life) = self.submit("runJob", &params, &job.key, &job.template)?;
+                    let (value, endpoint, life) =
+                        self.submit("runJob", &params, &job.key, &job.template)?;
                     self.moved(id, endpoint, field(&value, "jobId")?, life);
                     return Ok(());
                 }
@@ -406,7 +473,9 @@
     pub fn control(&self, id: &str, action: Action) -> Result<(), Error> {
         let extra = json!({ "action": action.name() });
         if id != ALL_JOBS {
-            return self.call_for(id, "control", &extra, ANSWER, None).map(|_| ());
+            return self
+                .call_for(id, "control", &extra, ANSWER, None)
+                .map(|_| ());
         }
         let params = json!({ "jobId": ALL_JOBS, "action": action.name() });
         let endpoints: Vec<usize> = (0..self.lock().endpoints.len()).collect();
@@ -465,7 +534,10 @@
     }
 
     fn waited<T: DeserializeOwned>(
-        &self, id: &str, method: &str, timeout: Option<Duration>,
+        &self,
+        id: &str,
+        method: &str,
+        timeout: Option<Duration>,
     ) -> Result<T, Error> {
         let until = timeout.and_then(|t| Instant::now().checked_add(t));
         loop {
@@ -486,14 +558,21 @@
                 let shared = self.lock();
                 let used: std::collections::BTreeSet<usize> =
                     shared.jobs.values().map(|j| j.endpoint).collect();
-                (used.into_iter().collect::<Vec<usize>>(), shared.jobs.is_empty())
+                (
+                    used.into_iter().collect::<Vec<usize>>(),
+                    shared.jobs.is_empty(),
+                )
             };
             if none {
                 endpoints.push(self.lock().current);
             }
             let (turn, mut last) = turn(until);
             // One controller is waited at for the whole turn; several take short turns.
-            let share = if endpoints.len() > 1 { turn.min(Duration::from_millis(50)) } else { turn };
+            let share = if endpoints.len() > 1 {
+                turn.min(Duration::from_millis(50))
+            } else {
+                turn
+            };
             last &= share == turn;
             for endpoint in endpoints {
                 let params = json!({ "jobId": ANY_JOB, "timeoutMs": millis(share) });
@@ -546,7 +625,11 @@
 
     fn reaped(&self, mut finished: Finished) -> Result<Finished, Error> {
         let mut shared = self.lock();
-        let ours = shared.jobs.iter().find(|(_, j)| j.id == finished.job_id).map(|(id, _)| id.clone());
+        let ours = shared
+            .jobs
+            .iter()
+            .find(|(_, j)| j.id == finished.job_id)
+            .map(|(id, _)| id.clone());
         if let Some(id) = ours {
             shared.jobs.remove(&id);
             finished.job_id = id;
@@ -558,7 +641,12 @@
     ///
     /// # Errors
     /// `ExitTimeout` when the time is over, `InvalidJob` where one is not known.
-    pub fn synchronize(&self, ids: &[&str], timeout: Option<Duration>, dispose: bool) -> Result<(), Error> {
+    pub fn synchronize(
+        &self,
+        ids: &[&str],
+        timeout: Option<Duration>,
+        dispose: bool,
+    ) -> Result<(), Error> {
         let until = timeout.and_then(|t| Instant::now().checked_add(t));
         let ids: Vec<String> = if ids.contains(&ALL_JOBS) {
             self.lock().jobs.keys().cloned().collect()
@@ -569,11 +657,14 @@
             loop {
                 let (turn, last) = turn(until);
                 let job = self.find(id)?;
-                let params = json!({ "jobIds": [job.id], "timeoutMs": millis(turn), "dispose": dispose });
+                let params =
+                    json!({ "jobIds": [job.id], "timeoutMs": millis(turn), "dispose": dispose });
                 match self.call_at(job.endpoint, "synchronize", &params, turn + ANSWER) {
                     Ok(_) => break,
                     Err(Failure::Answered(e)) if e.errno == Errno::ExitTimeout && !last => {}
-                    Err(Failure::Answered(e)) if e.errno == Errno::InvalidJob && self.is_elsewhere(&job) => {
+                    Err(Failure::Answered(e))
+                        if e.errno == Errno::InvalidJob && self.is_elsewhere(&job) =>
+                    {
                         self.find_again(id, &job)?;
                     }
                     Err(Failure::Answered(e)) => return Err(e),
@@ -616,9 +707,17 @@
     for part in contact.split(',').map(str::trim).filter(|p| !p.is_empty()) {
         let mut found = part.to_socket_addrs().map_err(|_| invalid(part))?;
         let address = found.next().ok_or_else(|| invalid(part))?;
-        endpoints.push(Endpoint { address, idle: Vec::new(), known: None });
+        endpoints.push(Endpoint {
+            address,
+            idle: Vec::new(),
+            known: None,
+        });
+    }
+    if endpoints.is_empty() {
+        Err(invalid(contact))
+    } else {
+        Ok(endpoints)
     }
-    if endpoints.is_empty() { Err(invalid(contact)) } else { Ok(endpoints) }
 }
 
 /// How long to wait at a controller now, and whether the time is over after it.
@@ -640,5 +739,6 @@
 
 fn field<T: DeserializeOwned>(value: &Value, name: &str) -> Result<T, Error> {
     let found = value.get(name).cloned().unwrap_or_default();
-    serde_json::from_value(found).map_err(|e| Error::new(Errno::InternalError, format!("{name}: {e}")))
+    serde_json::from_value(found)
+        .map_err(|e| Error::new(Errno::InternalError, format!("{name}: {e}")))
 }
--- a/crates/exchange/src/greeting.rs
+++ b/crates/exchange/src/greeting.rs
@@ -47,13 +47,27 @@
 impl Greeting {
     /// A greeting with the node that the list calls `name`; it may hold `most` tasks of this controller.
     pub fn new(node: MachineId, name: &str, most: usize) -> Greeting {
-        Greeting { node, name: name.into(), most, life: None, whole: false, left: 0, standing: Vec::new() }
+        Greeting {
+            node,
+            name: name.into(),
+            most,
+            life: None,
+            whole: false,
+            left: 0,
+            standing: Vec::new(),
+        }
     }
 
     /// The message that opens a link.
     pub fn hello(config: &Config, life: u64) -> ToNode {
-        let controller = Party { name: config.name.clone(), life };
-        ToNode::Hello { version: peppercove_protocol::VERSION, controller }
+        let controller = Party {
+            name: config.name.clone(),
+            life,
+        };
+        ToNode::Hello {
+            version: peppercove_protocol::VERSION,
+            controller,
+        }
     }
 
     /// Takes one message of the node in.
@@ -63,7 +77,15 @@
     pub fn hear(&mut self, message: FromNode) -> Result<Step, GreetError> {
         let mut meanwhile = None;
         match (self.life, message) {
-            (None, FromNode::Welcome { version, node, standing, whole }) => {
+            (
+                None,
+                FromNode::Welcome {
+                    version,
+                    node,
+                    standing,
+                    whole,
+                },
+            ) => {
                 if version != peppercove_protocol::VERSION {
                     return Err(GreetError::WrongVersion(version));
                 }
@@ -76,11 +98,26 @@
                 (self.life, self.left, self.whole) = (Some(node.life), standing, whole);
             }
             (None, _) => return Err(GreetError::NotGreeted),
-            (Some(_), FromNode::Standing { life, attempt, work, ended }) => {
+            (
+                Some(_),
+                FromNode::Standing {
+                    life,
+                    attempt,
+                    work,
+                    ended,
+                },
+            ) => {
                 let (request, submission) = (request_of(attempt), submission_of(work));
                 let (ended, why) = ended.map_or((None, Why::Unknown), past);
                 let attempt = attempt.number;
-                self.standing.push(Standing { life, request, attempt, submission, ended, why });
+                self.standing.push(Standing {
+                    life,
+                    request,
+                    attempt,
+                    submission,
+                    ended,
+                    why,
+                });
                 self.left = self.left.saturating_sub(1);
             }
             // An end that was not acknowledged counts among what follows.
@@ -92,7 +129,12 @@
         match self.life {
             Some(life) if self.left == 0 => {
                 let standing = std::mem::take(&mut self.standing);
-                let up = Input::LinkUp { node: self.node, life, whole: self.whole, standing };
+                let up = Input::LinkUp {
+                    node: self.node,
+                    life,
+                    whole: self.whole,
+                    standing,
+                };
                 Ok(Step::Up(meanwhile, up))
             }
             _ => Ok(Step::More(meanwhile)),
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -7,12 +7,23 @@
 
 /// The input that a message of the list is; `None` where it holds no news.
 pub fn list_input(news: FromList) -> Option<Input> {
-    let FromList::News { generation, scope, lines } = news else { return None };
+    let FromList::News {
+        generation,
+        scope,
+        lines,
+    } = news
+    else {
+        return None;
+    };
     let scope = match scope {
         Scope::Delta => ListScope::Delta,
         Scope::Full => ListScope::Full,
     };
-    Some(Input::List { scope, generation, lines: lines.into_iter().map(line).collect() })
+    Some(Input::List {
+        scope,
+        generation,
+        lines: lines.into_iter().map(line).collect(),
+    })
 }
 
 fn line(line: Line) -> NodeLine {
--- a/crates/exchange/src/nodes.rs
+++ b/crates/exchange/src/nodes.rs
@@ -3,7 +3,9 @@
 use peppercove::{Load, MachineId, Note, RequestId, Why};
 use peppercove_config::Config;
 use peppercove_core::{Control, End, Input, Job, Limits, NodeNews, Output, Submission};
-use peppercove_protocol::node::{self, AttemptId, FromNode, Program, Reason, Report, TaskNote, ToNode, Work};
+use peppercove_protocol::node::{
+    self, AttemptId, FromNode, Program, Reason, Report, TaskNote, ToNode, Work,
+};
 use std::time::Duration;
 
 /// What bounds a core, by the settings.
@@ -57,7 +59,11 @@
 
 /// A standing task as the core knows submissions.
 pub fn submission_of(work: Work) -> Submission {
-    let (session, key) = work.program.key.split_once('\n').unwrap_or(("", &work.program.key));
+    let (session, key) = work
+        .program
+        .key
+        .split_once('\n')
+        .unwrap_or(("", &work.program.key));
     Submission {
         session: session.into(),
         key: key.into(),
@@ -89,31 +95,88 @@
 /// The frame that an output is, and the node that it is for; `None` where it is for somebody else. `job` finds the job
 /// of an offer.
 pub fn frame<'a>(
-    config: &Config, nonce: u64, output: &Output, job: impl FnOnce(peppercove_core::JobId) -> Option<&'a Job>,
+    config: &Config,
+    nonce: u64,
+    output: &Output,
+    job: impl FnOnce(peppercove_core::JobId) -> Option<&'a Job>,
 ) -> Option<(MachineId, ToNode)> {
-    let id = |request: RequestId, number: u16| AttemptId { request: request.0, number };
+    let id = |request: RequestId, number: u16| AttemptId {
+        request: request.0,
+        number,
+    };
     Some(match *output {
-        Output::Offer { node, request, attempt, expires_in, job: number } => {
+        Output::Offer {
+            node,
+            request,
+            attempt,
+            expires_in,
+            job: number,
+        } => {
             let work = work_of(config, &job(number)?.submission);
-            (node, ToNode::Offer { attempt: id(request, attempt), expires_in, work })
-        }
-        Output::Withdraw { node, request, attempt } => {
-            (node, ToNode::Withdraw { attempt: id(request, attempt) })
+            (
+                node,
+                ToNode::Offer {
+                    attempt: id(request, attempt),
+                    expires_in,
+                    work,
+                },
+            )
         }
-        Output::Act { node, request, attempt, control } => {
+        Output::Withdraw {
+            node,
+            request,
+            attempt,
+        } => (
+            node,
+            ToNode::Withdraw {
+                attempt: id(request, attempt),
+            },
+        ),
+        Output::Act {
+            node,
+            request,
+            attempt,
+            control,
+        } => {
             let action = match control {
                 Control::Suspend => node::Control::Suspend,
                 Control::Resume => node::Control::Resume,
                 Control::Terminate | Control::Hold | Control::Release => node::Control::Terminate,
             };
-            (node, ToNode::Control { attempt: id(request, attempt), action })
-        }
-        Output::Adopt { node, life, was, attempt, request } => {
-            (node, ToNode::Adopt { life, attempt: id(was, attempt), named: id(request, 0) })
-        }
-        Output::StopStanding { node, life, was, attempt } => {
-            (node, ToNode::Discard { life, attempt: id(was, attempt) })
+            (
+                node,
+                ToNode::Control {
+                    attempt: id(request, attempt),
+                    action,
+                },
+            )
         }
+        Output::Adopt {
+            node,
+            life,
+            was,
+            attempt,
+            request,
+        } => (
+            node,
+            ToNode::Adopt {
+                life,
+                attempt: id(was, attempt),
+                named: id(request, 0),
+            },
+        ),
+        Output::StopStanding {
+            node,
+            life,
+            was,
+            attempt,
+        } => (
+            node,
+            ToNode::Discard {
+                life,
+                attempt: id(was, attempt),
+            },
+        ),
         Output::Probe(node) => (node, ToNode::Probe { nonce }),
         _ => return None,
     })
@@ -134,7 +197,11 @@
     let (attempt, news, load) = match message {
         FromNode::Accepted { attempt, load } => (attempt, NodeNews::Accepted, load),
         FromNode::Running { attempt, load } => (attempt, NodeNews::Running, load),
-        FromNode::Refused { attempt, reason, load } => (attempt, NodeNews::Refused(why(reason)), load),
+        FromNode::Refused {
+            attempt,
+            reason,
+            load,
+        } => (attempt, NodeNews::Refused(why(reason)), load),
         FromNode::Ended { attempt, end, load } => {
             // The node keeps an end until it is taken note of; it may have been told on a link that broke.
             reply = Some(ToNode::Noted { attempt });
@@ -142,14 +209,24 @@
         }
         FromNode::Note { attempt, note } => (attempt, NodeNews::Note(noted(note)), None),
         FromNode::Probed { load, .. } => {
-            let input = Some(Input::Probed { node, answered: true, load: load.map(loaded) });
+            let input = Some(Input::Probed {
+                node,
+                answered: true,
+                load: load.map(loaded),
+            });
             return Heard { input, reply };
         }
         // Out of turn: a node tells what it holds when it is greeted.
         FromNode::Welcome { .. } | FromNode::Standing { .. } => return Heard::default(),
     };
     let (request, attempt) = (request_of(attempt), attempt.number);
-    let input = Some(Input::News { node, request, attempt, news, load: load.map(loaded) });
+    let input = Some(Input::News {
+        node,
+        request,
+        attempt,
+        news,
+        load: load.map(loaded),
+    });
     Heard { input, reply }
 }
 
@@ -178,11 +255,22 @@
 
 fn ended(end: node::End) -> NodeNews {
     match end {
-        node::End::Exited { status, usage: u } => {
-            NodeNews::Ended(End::Exited { status, wall: u.wall, cpu: u.cpu, memory: u.memory }, Why::Unknown)
-        }
+        node::End::Exited { status, usage: u } => NodeNews::Ended(
+            End::Exited {
+                status,
+                wall: u.wall,
+                cpu: u.cpu,
+                memory: u.memory,
+            },
+            Why::Unknown,
+        ),
         node::End::Signalled { signal, usage: u } => NodeNews::Ended(
-            End::Signalled { signal, wall: u.wall, cpu: u.cpu, memory: u.memory },
+            End::Signalled {
+                signal,
+                wall: u.wall,
+                cpu: u.cpu,
+                memory: u.memory,
+            },
             Why::Unknown,
         ),
         node::End::Error => NodeNews::Error,
--- a/crates/fleet/src/places.rs
+++ b/crates/fleet/src/places.rs
@@ -22,10 +22,17 @@
 fn slots_for(share: f64, schedulers: u32) -> u32 {
     let missed = (1.0 - 1.0 / f64::from(schedulers.max(1))).ln();
     let least = f64::from(COLD_SLOTS);
-    let slots =
-        if share < NEARLY_ALL { ((1.0 - share).ln() / missed).ceil().max(least) } else { f64::INFINITY };
+    let slots = if share < NEARLY_ALL {
+        ((1.0 - share).ln() / missed).ceil().max(least)
+    } else {
+        f64::INFINITY
+    };
     let reached = 1.0 - (missed * slots).exp();
-    if reached < NEARLY_ALL { slots as u32 } else { u32::MAX }
+    if reached < NEARLY_ALL {
+        slots as u32
+    } else {
+        u32::MAX
+    }
 }
 
 #[derive(Debug)]
@@ -39,7 +46,11 @@
 
 impl Places {
     pub(crate) fn new(each: u64) -> Places {
-        Places { each, ready: BTreeMap::new(), slots: BTreeMap::new() }
+        Places {
+            each,
+            ready: BTreeMap::new(),
+            slots: BTreeMap::new(),
+        }
     }
 
     /// A machine's line is taken in place of another; none where there was none, or is none any more.
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -145,7 +145,11 @@
 
     /// Machines that the module works with.
     pub fn len(&self) -> usize {
-        if self.bounded { self.shown.len() } else { self.fleet.len() }
+        if self.bounded {
+            self.shown.len()
+        } else {
+            self.fleet.len()
+        }
     }
 
     /// Nothing is in view.
@@ -155,7 +159,11 @@
 
     /// Whether the module works with a machine.
     pub fn shows(&self, machine: MachineId) -> bool {
-        if self.bounded { self.shown.contains(&machine) } else { self.fleet.contains_key(&machine) }
+        if self.bounded {
+            self.shown.contains(&machine)
+        } else {
+            self.fleet.contains_key(&machine)
+        }
     }
 
     /// The module itself.
@@ -199,22 +207,45 @@
     fn told(&self, line: &MachineLine, fresh: bool) -> MachineLine {
         let (own, all) = (self.settings.own_number, self.settings.schedulers);
         let bears = self.settings.cold_bears.max(0.0) as u64;
-        let split = || self.bounded.then(|| cold_share(line.machine, own, all, bears));
-        let cold_share = if self.now < self.unsettled_until { Some(0) } else { split() };
-        let room = if fresh { (line.free_cores, line.free_memory) } else { (None, None) };
-        MachineLine { cold_share, free_cores: room.0, free_memory: room.1, ..line.clone() }
+        let split = || {
+            self.bounded
+                .then(|| cold_share(line.machine, own, all, bears))
+        };
+        let cold_share = if self.now < self.unsettled_until {
+            Some(0)
+        } else {
+            split()
+        };
+        let room = if fresh {
+            (line.free_cores, line.free_memory)
+        } else {
+            (None, None)
+        };
+        MachineLine {
+            cold_share,
+            free_cores: room.0,
+            free_memory: room.1,
+            ..line.clone()
+        }
     }
 
     /// The module is to send nothing new there, whatever the list says. Its place stays known.
     fn gone(line: &MachineLine) -> MachineLine {
-        MachineLine { state: MachineState::Gone, free_cores: None, free_memory: None, ..line.clone() }
+        MachineLine {
+            state: MachineState::Gone,
+            free_cores: None,
+            free_memory: None,
+            ..line.clone()
+        }
     }
 
     /// What the module has to be told of these machines so that it works with those in view and no others.
     fn changes(&mut self, machines: impl IntoIterator<Item = MachineId>) -> Vec<MachineLine> {
         let mut lines = Vec::new();
         for machine in machines {
-            let Some(known) = self.fleet.get(&machine) else { continue };
+            let Some(known) = self.fleet.get(&machine) else {
+                continue;
+            };
             let wanted = self.is_in_view(known);
             if wanted && !self.shown.contains(&machine) {
                 lines.push(self.told(&known.line, !known.room_told));
@@ -236,34 +267,73 @@
     /// Tells the module of these lines, if there are any.
     fn tell(&self, lines: Vec<MachineLine>, events: &mut Vec<Event>) {
         if !lines.is_empty() {
-            events.push(Event::MachineList { scope: ListScope::View, version: self.version, lines });
+            events.push(Event::MachineList {
+                scope: ListScope::View,
+                version: self.version,
+                lines,
+            });
         }
     }
 
     // ---- The list ----
 
-    fn on_list(&mut self, scope: ListScope, version: u64, lines: &[MachineLine], events: &mut Vec<Event>) {
+    fn on_list(
+        &mut self,
+        scope: ListScope,
+        version: u64,
+        lines: &[MachineLine],
+        events: &mut Vec<Event>,
+    ) {
         let old = version < self.version && scope != ListScope::Cached;
         if matches!(scope, ListScope::Failed | ListScope::View) || old {
-            events.push(Event::MachineList { scope, version, lines: lines.to_vec() });
+            events.push(Event::MachineList {
+                scope,
+                version,
+                lines: lines.to_vec(),
+            });
             return;
         }
         self.version = version;
-        let (whole, was, first) = (scope != ListScope::Delta, self.bounded, self.fleet.is_empty());
+        let (whole, was, first) = (
+            scope != ListScope::Delta,
+            self.bounded,
+            self.fleet.is_empty(),
+        );
         let turned = self.take_in(whole, lines);
         self.bound(first);
         if !self.bounded && !was {
-            lines.iter().for_each(|line| drop(self.unplaced.remove(&line.machine)));
+            lines
+                .iter()
+                .for_each(|line| drop(self.unplaced.remove(&line.machine)));
             let settled = self.now >= self.unsettled_until;
-            lines.iter().for_each(|line| self.room_was_told(line.machine));
-            let told = |line: &MachineLine| if settled { line.clone() } else { self.told(line, true) };
-            events.push(Event::MachineList { scope, version, lines: lines.iter().map(told).collect() });
+            lines
+                .iter()
+                .for_each(|line| self.room_was_told(line.machine));
+            let told = |line: &MachineLine| {
+                if settled {
+                    line.clone()
+                } else {
+                    self.told(line, true)
+                }
+            };
+            events.push(Event::MachineList {
+                scope,
+                version,
+                lines: lines.iter().map(told).collect(),
+            });
             return;
         }
         let moved = self.bounded && self.places.settle(self.size, self.settings.schedulers);
         if moved || was != self.bounded {
-            let own: Vec<bool> = self.fleet.values().map(|known| self.is_own(&known.line)).collect();
-            self.fleet.values_mut().zip(own).for_each(|(known, own)| known.own = own);
+            let own: Vec<bool> = self
+                .fleet
+                .values()
+                .map(|known| self.is_own(&known.line))
+                .collect();
+            self.fleet
+                .values_mut()
+                .zip(own)
+                .for_each(|(known, own)| known.own = own);
         }
         self.keep_homes(&turned);
         if whole || moved || was != self.bounded {
@@ -272,7 +342,10 @@
         }
         let mut told = Vec::new();
         for line in lines {
-            let wanted = self.fleet.get(&line.machine).is_some_and(|known| self.is_in_view(known));
+            let wanted = self
+                .fleet
+                .get(&line.machine)
+                .is_some_and(|known| self.is_in_view(known));
             if wanted {
                 self.shown.insert(line.machine);
                 self.room_was_told(line.machine);
@@ -283,7 +356,11 @@
         }
         told.extend(self.place_standing(lines));
         // Passed on also where it tells nothing: the call for the list was answered.
-        events.push(Event::MachineList { scope, version, lines: told });
+        events.push(Event::MachineList {
+            scope,
+            version,
+            lines: told,
+        });
         // A service that lost a home has another one now.
         let mut homes = std::mem::take(&mut self.left_homes);
         homes.extend(self.home_of.keys());
@@ -296,15 +373,29 @@
         let mut turned = BTreeSet::new();
         let ready = |line: &MachineLine| (line.state == MachineState::Ready).then_some(line.kind);
         // Danger: a list that names a machine twice, gone and back, would lose it. The last line stands.
-        let named: BTreeMap<MachineId, MachineState> = lines.iter().map(|l| (l.machine, l.state)).collect();
-        let unnamed = self.fleet.keys().copied().filter(|machine| whole && !named.contains_key(machine));
+        let named: BTreeMap<MachineId, MachineState> =
+            lines.iter().map(|l| (l.machine, l.state)).collect();
+        let unnamed = self
+            .fleet
+            .keys()
+            .copied()
+            .filter(|machine| whole && !named.contains_key(machine));
         // Bounded state: what has left is forgotten; the module knows by itself what it holds there.
-        let gone =
-            named.iter().filter(|(_, state)| **state == MachineState::Gone).map(|(machine, _)| *machine);
+        let gone = named
+            .iter()
+            .filter(|(_, state)| **state == MachineState::Gone)
+            .map(|(machine, _)| *machine);
         let left: Vec<MachineId> = unnamed.chain(gone).collect();
         for line in lines {
             let own = self.bounded && self.is_own(line);
-            let before = self.fleet.insert(line.machine, Known { line: line.clone(), own, room_told: false });
+            let before = self.fleet.insert(
+                line.machine,
+                Known {
+                    line: line.clone(),
+                    own,
+                    room_told: false,
+                },
+            );
             let before = before.as_ref().map(|known| &known.line);
             if before.and_then(ready) != ready(line) {
                 turned.insert(line.machine);
@@ -313,7 +404,8 @@
         }
         for machine in left {
             let before = self.fleet.remove(&machine);
-            self.places.change(before.as_ref().map(|known| &known.line), None);
+            self.places
+                .change(before.as_ref().map(|known| &known.line), None);
             self.more.remove(&machine);
             turned.insert(machine);
         }
@@ -321,17 +413,37 @@
     }
 
     /// The view changes as a whole, and the module is told all that is in it.
-    fn tell_whole(&mut self, scope: ListScope, version: u64, list: &[MachineLine], events: &mut Vec<Event>) {
+    fn tell_whole(
+        &mut self,
+        scope: ListScope,
+        version: u64,
+        list: &[MachineLine],
+        events: &mut Vec<Event>,
+    ) {
         self.left_homes.clear();
         let in_view = |known: &&Known| !self.bounded || self.is_in_view(known);
         let told = |known: &Known| self.told(&known.line, !known.room_told);
         let mut lines: Vec<MachineLine> = self.fleet.values().filter(in_view).map(told).collect();
-        lines.iter().for_each(|line| self.room_was_told(line.machine));
-        self.shown = lines.iter().filter(|_| self.bounded).map(|line| line.machine).collect();
+        lines
+            .iter()
+            .for_each(|line| self.room_was_told(line.machine));
+        self.shown = lines
+            .iter()
+            .filter(|_| self.bounded)
+            .map(|line| line.machine)
+            .collect();
         lines.extend(self.place_standing(list));
         // What is whole to the list is whole to the module: what is not named is gone for it.
-        let scope = if scope == ListScope::Cached { scope } else { ListScope::Full };
-        events.push(Event::MachineList { scope, version, lines });
+        let scope = if scope == ListScope::Cached {
+            scope
+        } else {
+            ListScope::Full
+        };
+        events.push(Event::MachineList {
+            scope,
+            version,
+            lines,
+        });
     }
 
     /// Tasks that were handed over on machines outside the view stand at a place now that the list names them, be it as
@@ -339,7 +451,11 @@
     fn place_standing(&mut self, list: &[MachineLine]) -> Vec<MachineLine> {
         let named = |line: &&MachineLine| self.unplaced.remove(&line.machine).is_some();
         let named: Vec<&MachineLine> = list.iter().filter(named).collect();
-        named.into_iter().filter(|line| !self.shows(line.machine)).map(Self::gone).collect()
+        named
+            .into_iter()
+            .filter(|line| !self.shows(line.machine))
+            .map(Self::gone)
+            .collect()
     }
 
     /// The view is bounded where the fleet is larger than it. Danger: bounds that follow from more than the list, such as
@@ -373,14 +489,22 @@
         }
         self.unsettled_until = 0;
         let shown = |known: &&Known| !self.bounded || self.shown.contains(&known.line.machine);
-        let lines = self.fleet.values().filter(shown).map(|known| self.told(&known.line, false)).collect();
+        let lines = self
+            .fleet
+            .values()
+            .filter(shown)
+            .map(|known| self.told(&known.line, false))
+            .collect();
         self.tell(lines, events);
     }
 
     // ---- Homes ----
 
     fn cores(&self, line: &MachineLine) -> f64 {
-        self.settings.kinds.get(usize::from(line.kind)).map_or(0.0, |kind| kind.cores)
+        self.settings
+            .kinds
+            .get(usize::from(line.kind))
+            .map_or(0.0, |kind| kind.cores)
     }
 
     /// The homes of a service, best first.
@@ -409,16 +533,33 @@
                 return Vec::new();
             }
         } else {
-            let kind = self.settings.classes.get(usize::from(class)).and_then(|class| class.kind);
+            let kind = self
+                .settings
+                .classes
+                .get(usize::from(class))
+                .and_then(|class| class.kind);
             let best = self.best(service, kind);
-            self.homes.insert(service, Homes { kind, best, used_at: now, in_view: false });
+            self.homes.insert(
+                service,
+                Homes {
+                    kind,
+                    best,
+                    used_at: now,
+                    in_view: false,
+                },
+            );
         }
         let mut changed = self.put_in_view(service, true);
         let most = (self.size / HOMES as u64).max(1);
         let oldest = |homes: &BTreeMap<ServiceId, Homes>, in_view: bool| {
-            let mut of = homes.iter().filter(|(s, h)| (h.in_view || !in_view) && **s != service);
+            let mut of = homes
+                .iter()
+                .filter(|(s, h)| (h.in_view || !in_view) && **s != service);
             let first = of.next()?;
-            Some(*of.fold(first, |a, b| if b.1.used_at < a.1.used_at { b } else { a }).0)
+            Some(
+                *of.fold(first, |a, b| if b.1.used_at < a.1.used_at { b } else { a })
+                    .0,
+            )
         };
         while self.homes.values().filter(|h| h.in_view).count() as u64 > most
             && let Some(service) = oldest(&self.homes, true)
@@ -436,14 +577,22 @@
 
     /// Counts the homes of a service in, or out.
     fn put_in_view(&mut self, service: ServiceId, in_view: bool) -> Vec<MachineId> {
-        let Some(homes) = self.homes.get_mut(&service).filter(|homes| homes.in_view != in_view) else {
+        let Some(homes) = self
+            .homes
+            .get_mut(&service)
+            .filter(|homes| homes.in_view != in_view)
+        else {
             return Vec::new();
         };
         homes.in_view = in_view;
         let machines: Vec<MachineId> = homes.best.iter().map(|(_, machine)| *machine).collect();
         for machine in &machines {
             let count = self.home_of.entry(*machine).or_insert(0);
-            *count = if in_view { *count + 1 } else { count.saturating_sub(1) };
+            *count = if in_view {
+                *count + 1
+            } else {
+                count.saturating_sub(1)
+            };
             if *count == 0 {
                 self.home_of.remove(machine);
             }
@@ -456,17 +605,35 @@
         if turned.is_empty() {
             return;
         }
-        let lines = turned.iter().filter_map(|machine| self.fleet.get(machine)).map(|known| &known.line);
-        let risen: Vec<&MachineLine> = lines.filter(|line| line.state == MachineState::Ready).collect();
+        let lines = turned
+            .iter()
+            .filter_map(|machine| self.fleet.get(machine))
+            .map(|known| &known.line);
+        let risen: Vec<&MachineLine> = lines
+            .filter(|line| line.state == MachineState::Ready)
+            .collect();
         let stale = |service: &ServiceId, homes: &Homes| {
-            let worst = homes.best.last().filter(|_| homes.best.len() == HOMES).map(|(worst, _)| *worst);
+            let worst = homes
+                .best
+                .last()
+                .filter(|_| homes.best.len() == HOMES)
+                .map(|(worst, _)| *worst);
             let better = |line: &&MachineLine| {
                 homes.kind.is_none_or(|kind| kind == line.kind)
                     && worst.is_none_or(|w| home_rank(*service, line.machine, self.cores(line)) > w)
             };
-            homes.best.iter().any(|(_, machine)| turned.contains(machine)) || risen.iter().any(better)
+            homes
+                .best
+                .iter()
+                .any(|(_, machine)| turned.contains(machine))
+                || risen.iter().any(better)
         };
-        let stale: Vec<ServiceId> = self.homes.iter().filter(|(s, h)| stale(s, h)).map(|(s, _)| *s).collect();
+        let stale: Vec<ServiceId> = self
+            .homes
+            .iter()
+            .filter(|(s, h)| stale(s, h))
+            .map(|(s, _)| *s)
+            .collect();
         let mut left = Vec::new();
         for service in stale {
             let in_view = self.homes.get(&service).is_some_and(|homes| homes.in_view);
@@ -491,9 +658,22 @@
     /// Danger: a keyed task that may have run goes on within its rack alone, and one machine of it may be all that the
     /// view has.
     fn bring_rack(&mut self, request: RequestId) -> Vec<MachineLine> {
-        let Some(open) = self.open.get(&request) else { return Vec::new() };
-        let repeat = self.settings.classes.get(usize::from(open.class)).map(|class| class.repeat);
-        let (Some(Repeat::Keyed { group: Group::Rack, window }), Some(rack)) = (repeat, open.rack) else {
+        let Some(open) = self.open.get(&request) else {
+            return Vec::new();
+        };
+        let repeat = self
+            .settings
+            .classes
+            .get(usize::from(open.class))
+            .map(|class| class.repeat);
+        let (
+            Some(Repeat::Keyed {
+                group: Group::Rack,
+                window,
+            }),
+            Some(rack),
+        ) = (repeat, open.rack)
+        else {
             return Vec::new();
         };
         self.racks.insert(rack, self.now + window);
@@ -503,12 +683,19 @@
 
     fn in_racks(&self, racks: &[Rack]) -> Vec<MachineId> {
         let lines = self.fleet.values().map(|known| &known.line);
-        lines.filter(|line| racks.contains(&(line.zone, line.rack))).map(|line| line.machine).collect()
+        lines
+            .filter(|line| racks.contains(&(line.zone, line.rack)))
+            .map(|line| line.machine)
+            .collect()
     }
 
     fn drop_racks(&mut self) -> Vec<MachineLine> {
-        let over: Vec<Rack> =
-            self.racks.iter().filter(|(_, until)| **until <= self.now).map(|(rack, _)| *rack).collect();
+        let over: Vec<Rack> = self
+            .racks
+            .iter()
+            .filter(|(_, until)| **until <= self.now)
+            .map(|(rack, _)| *rack)
+            .collect();
         if over.is_empty() {
             return Vec::new();
         }
@@ -523,20 +710,36 @@
         let waits = self.open.values().any(|open| open.waits);
         let due = self.now >= self.more_at;
         if waits && due {
-            let pause = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(0) / 8;
+            let pause = self
+                .settings
+                .classes
+                .iter()
+                .map(|c| c.aim)
+                .min()
+                .unwrap_or(0)
+                / 8;
             self.more_at = self.now + pause.max(self.settings.tick);
             let before = std::mem::take(&mut self.more);
-            let outside =
-                |(machine, known): (&MachineId, &Known)| (!self.is_in_view(known)).then_some(*machine);
-            let after = self.fleet.range((Bound::Excluded(self.next_more), Bound::Unbounded));
+            let outside = |(machine, known): (&MachineId, &Known)| {
+                (!self.is_in_view(known)).then_some(*machine)
+            };
+            let after = self
+                .fleet
+                .range((Bound::Excluded(self.next_more), Bound::Unbounded));
             let rest = self.fleet.range(..=self.next_more);
-            let more = after.chain(rest).filter_map(outside).take(self.size as usize);
+            let more = after
+                .chain(rest)
+                .filter_map(outside)
+                .take(self.size as usize);
             let more: Vec<MachineId> = more.collect();
             self.next_more = more.last().copied().unwrap_or(self.next_more);
             self.more = more.into_iter().collect();
             let changed: BTreeSet<MachineId> = before.union(&self.more).copied().collect();
             self.changes(changed)
-        } else if !waits && !self.more.is_empty() && self.now >= self.more_at + self.settings.ask_every {
+        } else if !waits
+            && !self.more.is_empty()
+            && self.now >= self.more_at + self.settings.ask_every
+        {
             let before = std::mem::take(&mut self.more);
             self.changes(before)
         } else {
@@ -550,7 +753,10 @@
     /// each list.
     fn place_outside(&mut self, events: &mut Vec<Event>) {
         let outside = std::mem::take(&mut self.outside);
-        let known = outside.iter().filter(|m| !self.shown.contains(m)).filter_map(|m| self.fleet.get(m));
+        let known = outside
+            .iter()
+            .filter(|m| !self.shown.contains(m))
+            .filter_map(|m| self.fleet.get(m));
         self.tell(known.map(|known| Self::gone(&known.line)).collect(), events);
     }
 
@@ -560,15 +766,27 @@
             self.place_outside(events);
         }
         match event {
-            Event::MachineList { scope, version, lines } => {
+            Event::MachineList {
+                scope,
+                version,
+                lines,
+            } => {
                 return self.on_list(*scope, *version, lines, events);
             }
             Event::Place(ask) if self.bounded => {
                 let lines = self.use_homes(ask.service, ask.class);
                 self.tell(lines, events);
             }
-            Event::Ended { request, outcome, over: false, .. } if self.bounded => {
-                let never_ran = matches!(outcome, Outcome::Refused | Outcome::Unreachable | Outcome::NotSent);
+            Event::Ended {
+                request,
+                outcome,
+                over: false,
+                ..
+            } if self.bounded => {
+                let never_ran = matches!(
+                    outcome,
+                    Outcome::Refused | Outcome::Unreachable | Outcome::NotSent
+                );
                 if !never_ran {
                     let lines = self.bring_rack(*request);
                     self.tell(lines, events);
@@ -579,12 +797,17 @@
         events.push(event.clone());
         match event {
             Event::Standing { request, machine } if !self.fleet.contains_key(machine) => {
-                self.unplaced.entry(*machine).or_default().insert(request.request);
+                self.unplaced
+                    .entry(*machine)
+                    .or_default()
+                    .insert(request.request);
             }
             Event::Standing { machine, .. } if self.bounded && !self.shown.contains(machine) => {
                 self.outside.insert(*machine);
             }
-            Event::Ended { request, machine, .. } => {
+            Event::Ended {
+                request, machine, ..
+            } => {
                 if let Some(requests) = self.unplaced.get_mut(machine) {
                     requests.remove(request);
                     if requests.is_empty() {
@@ -602,12 +825,20 @@
         for event in events {
             match event {
                 Event::Placed { request, .. }
-                | Event::Ended { request, over: true, .. }
+                | Event::Ended {
+                    request,
+                    over: true,
+                    ..
+                }
                 | Event::Unwanted(request) => {
                     self.open.remove(request);
                 }
                 Event::Place(ask) => {
-                    let open = Open { class: ask.class, waits: true, rack: None };
+                    let open = Open {
+                        class: ask.class,
+                        waits: true,
+                        rack: None,
+                    };
                     self.open.entry(ask.request).or_insert(open);
                 }
                 Event::Ended { request, .. } => self.waits(*request, true),
@@ -616,9 +847,14 @@
         }
         for action in actions {
             match action {
-                Action::Bind { request, machine, .. } => {
+                Action::Bind {
+                    request, machine, ..
+                } => {
                     self.waits(*request, false);
-                    let rack = self.fleet.get(machine).map(|known| (known.line.zone, known.line.rack));
+                    let rack = self
+                        .fleet
+                        .get(machine)
+                        .map(|known| (known.line.zone, known.line.rack));
                     if let Some(open) = self.open.get_mut(request) {
                         open.rack = rack;
                     }
@@ -642,8 +878,12 @@
     fn decide(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         // Times near the end of their type would overflow in sums.
         self.now = self.now.max(now.min(Micros::MAX / 4));
-        let news =
-            |e: &Event| matches!(e, Event::MachineList { .. } | Event::Standing { .. } | Event::Ended { .. });
+        let news = |e: &Event| {
+            matches!(
+                e,
+                Event::MachineList { .. } | Event::Standing { .. } | Event::Ended { .. }
+            )
+        };
         if !self.bounded && self.unsettled_until == 0 && !events.iter().any(news) {
             let actions = self.module.decide(now, events);
             self.follow(events, &actions);
