--- a/crates/kernel/src/hunt.rs
+++ b/crates/kernel/src/hunt.rs
@@ -191,7 +191,8 @@
             for _ in 0..jobs {
                 let (at, service) = (rng.u64(0..plan.length_ms), rng.u64(0..load.services));
                 let (life, controller) = (load.life_ms.min(800), rng.u64(0..plan.controllers));
-                plan.stated.push((at, load.class, service, life, controller));
+                plan.stated
+                    .push((at, load.class, service, life, controller));
             }
         }
         plan.stated.sort_unstable();
@@ -199,7 +200,14 @@
             let class = Some(*pick(&mut rng, &["fill", "render", "update"]));
             let hits = Hits::Share(1.0);
             let for_ms = plan.length_ms + 30_000;
-            plan.faults.push(Fault { kind: "class-error", at_ms: 0, for_ms, hits, class, size: 1.0 });
+            plan.faults.push(Fault {
+                kind: "class-error",
+                at_ms: 0,
+                for_ms,
+                hits,
+                class,
+                size: 1.0,
+            });
         }
         plan
     }
@@ -214,7 +222,9 @@
             (_, 1) => Hits::Rack(rng.u64(0..self.groups[0].racks)),
             _ => Hits::Share((rng.f64() * 100.0).round() / 100.0),
         };
-        let class = kind.starts_with("class-").then(|| *pick(rng, &["fill", "render", "update"]));
+        let class = kind
+            .starts_with("class-")
+            .then(|| *pick(rng, &["fill", "render", "update"]));
         let size = match kind {
             "list-stale" | "reports-late" => rng.f64() * 4.0,
             "burst" => 1.5 + rng.f64() * 2.0,
@@ -226,15 +236,25 @@
             "controller-killed" | "restarts" => rng.u64(50..1_500),
             _ => rng.u64(200..5_000),
         };
-        Fault { kind, at_ms, for_ms, hits, class, size: (size * 100.0).round() / 100.0 }
+        Fault {
+            kind,
+            at_ms,
+            for_ms,
+            hits,
+            class,
+            size: (size * 100.0).round() / 100.0,
+        }
     }
 
     /// The day as a file.
     pub fn xml(&self) -> String {
         let mut x = String::new();
         let p = self;
-        let _ =
-            writeln!(x, "<day name=\"hunt\" length=\"{}ms\" after=\"25s\" seed=\"{}\">", p.length_ms, p.seed);
+        let _ = writeln!(
+            x,
+            "<day name=\"hunt\" length=\"{}ms\" after=\"25s\" seed=\"{}\">",
+            p.length_ms, p.seed
+        );
         let _ = writeln!(
             x,
             "  <fleet controllers=\"{}\" list-late=\"{}ms\" confirms=\"{}\" preempts=\"{}\" owners-move=\"{}\">",
@@ -334,7 +354,13 @@
         if self.groups.len() > 1 && !self.faults.iter().any(|f| matches!(f.hits, Hits::Node(_))) {
             with(&|p| p.groups.truncate(p.groups.len() - 1));
         }
-        let controller = |f: &Fault| if let Hits::Controller(c) = f.hits { c + 1 } else { 0 };
+        let controller = |f: &Fault| {
+            if let Hits::Controller(c) = f.hits {
+                c + 1
+            } else {
+                0
+            }
+        };
         let least = self.faults.iter().map(controller).max().unwrap_or(0).max(1);
         with(&|p| p.controllers = least.max(p.controllers / 2));
         with(&|p| p.controllers = least.max(p.controllers - 1));
@@ -342,7 +368,12 @@
         let least = self.faults.iter().map(node).max().unwrap_or(0).max(1);
         with(&|p| p.groups[0].count = least.max(p.groups[0].count / 2));
         with(&|p| p.groups[0].count = least.max(p.groups[0].count - 1));
-        let last = self.faults.iter().map(|f| f.at_ms + 300).max().unwrap_or(500);
+        let last = self
+            .faults
+            .iter()
+            .map(|f| f.at_ms + 300)
+            .max()
+            .unwrap_or(500);
         with(&|p| p.length_ms = last.max(p.length_ms / 2));
         for i in 0..self.loads.len() {
             with(&|p| p.loads[i].rate = (p.loads[i].rate * 5.0).round().max(5.0) / 10.0);
@@ -460,11 +491,26 @@
         self.jobs += other.jobs;
         self.offers += other.offers;
         let add = |a: &mut u64, n: u64| *a += n;
-        other.by_rule.into_iter().for_each(|(k, n)| add(self.by_rule.entry(k).or_insert(0), n));
-        other.hazards.into_iter().for_each(|(k, n)| add(self.hazards.entry(k).or_insert(0), n));
-        other.pairs.into_iter().for_each(|(k, n)| add(self.pairs.entry(k).or_insert(0), n));
-        other.answers.into_iter().for_each(|(k, n)| add(self.answers.entry(k).or_insert(0), n));
-        other.turned_away.into_iter().for_each(|(k, n)| add(self.turned_away.entry(k).or_insert(0), n));
+        other
+            .by_rule
+            .into_iter()
+            .for_each(|(k, n)| add(self.by_rule.entry(k).or_insert(0), n));
+        other
+            .hazards
+            .into_iter()
+            .for_each(|(k, n)| add(self.hazards.entry(k).or_insert(0), n));
+        other
+            .pairs
+            .into_iter()
+            .for_each(|(k, n)| add(self.pairs.entry(k).or_insert(0), n));
+        other
+            .answers
+            .into_iter()
+            .for_each(|(k, n)| add(self.answers.entry(k).or_insert(0), n));
+        other
+            .turned_away
+            .into_iter()
+            .for_each(|(k, n)| add(self.turned_away.entry(k).or_insert(0), n));
         for (k, d) in other.delays {
             let sum = self.delays.entry(k).or_default();
             *sum = (sum.0 + d.0, sum.1 + d.1, sum.2 + d.2);
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -38,9 +38,15 @@
         ("liars", include_str!("../days/liars.xml")),
         ("burst", include_str!("../days/burst.xml")),
         ("bad-clients", include_str!("../days/bad-clients.xml")),
-        ("controller-killed", include_str!("../days/controller-killed.xml")),
+        (
+            "controller-killed",
+            include_str!("../days/controller-killed.xml"),
+        ),
         ("rack-cut-off", include_str!("../days/rack-cut-off.xml")),
-        ("update-in-doubt", include_str!("../days/update-in-doubt.xml")),
+        (
+            "update-in-doubt",
+            include_str!("../days/update-in-doubt.xml"),
+        ),
         ("overlapping", include_str!("../days/overlapping.xml")),
     ]
 }
--- a/crates/kernel/src/owners.rs
+++ b/crates/kernel/src/owners.rs
@@ -38,7 +38,12 @@
 }
 
 /// After the final answer. Owners wait a while before they ask again, and `settle` where a task may run.
-pub fn after_answer(outcome: Outcome, safe: bool, settle: Duration, rng: &mut fastrand::Rng) -> Next {
+pub fn after_answer(
+    outcome: Outcome,
+    safe: bool,
+    settle: Duration,
+    rng: &mut fastrand::Rng,
+) -> Next {
     match outcome {
         Outcome::Placed | Outcome::Withdrawn => Next::Done,
         Outcome::Refused => Next::Again(scattered(rng, 300, 900)),
@@ -49,12 +54,20 @@
 
 /// After being turned away at the door, with the advice that came along.
 pub fn after_door(retry_after_ms: Option<u64>, rng: &mut fastrand::Rng) -> Next {
-    retry_after_ms.map_or(Next::Done, |ms| Next::Again(Duration::from_millis(ms) + scattered(rng, 0, 200)))
+    retry_after_ms.map_or(Next::Done, |ms| {
+        Next::Again(Duration::from_millis(ms) + scattered(rng, 0, 200))
+    })
 }
 
 /// After its controller went away with the job unanswered; `others` may be asked. A share of `moves` of those whose
 /// task does harm twice asks there as well, and says so.
-pub fn after_loss(safe: bool, others: bool, moves: f64, settle: Duration, rng: &mut fastrand::Rng) -> Next {
+pub fn after_loss(
+    safe: bool,
+    others: bool,
+    moves: f64,
+    settle: Duration,
+    rng: &mut fastrand::Rng,
+) -> Next {
     if others && (safe || rng.f64() < moves) {
         Next::Elsewhere
     } else {
@@ -82,10 +95,19 @@
 impl Tally {
     /// An answer to a task came after this long, in microseconds.
     pub fn answered(&mut self, task: u64, class: &str, outcome: Outcome, after: u64) {
-        self.by_job.entry(task).or_default().push(outcome_name(outcome));
-        *self.answers.entry((class.into(), outcome_name(outcome))).or_insert(0) += 1;
+        self.by_job
+            .entry(task)
+            .or_default()
+            .push(outcome_name(outcome));
+        *self
+            .answers
+            .entry((class.into(), outcome_name(outcome)))
+            .or_insert(0) += 1;
         if outcome == Outcome::Placed {
-            let delays = self.delays.entry(class.into()).or_insert_with(new_histogram);
+            let delays = self
+                .delays
+                .entry(class.into())
+                .or_insert_with(new_histogram);
             let _ = delays.record(after);
         }
     }
--- a/crates/kernel/src/report.rs
+++ b/crates/kernel/src/report.rs
@@ -68,10 +68,24 @@
     /// Judges a day.
     #[allow(clippy::too_many_arguments)]
     pub fn judged(
-        script: &Script, seed: u64, events: &[Event], shared: &Shared, tally: &Tally, counters: Counters,
-        stall: u64, travel: u64, unanswered: usize, hazards: BTreeMap<&'static str, u64>,
+        script: &Script,
+        seed: u64,
+        events: &[Event],
+        shared: &Shared,
+        tally: &Tally,
+        counters: Counters,
+        stall: u64,
+        travel: u64,
+        unanswered: usize,
+        hazards: BTreeMap<&'static str, u64>,
     ) -> Report {
-        let rack = |name: &str| script.nodes.iter().find(|n| n.name == name).map_or(0, |n| n.rack);
+        let rack = |name: &str| {
+            script
+                .nodes
+                .iter()
+                .find(|n| n.name == name)
+                .map_or(0, |n| n.rack)
+        };
         let ledger = shared.ledger.borrow();
         let starts: Vec<Started> = ledger
             .starts
@@ -89,11 +103,23 @@
         let mut verdict = judge(events, &starts, &figures(&script.config, stall, travel));
         for (at, node) in &ledger.fallen {
             let what = format!("{node} fell over");
-            verdict.breaches.push(peppercove_audit::Breach { at: *at, rule: 4, what });
+            verdict.breaches.push(peppercove_audit::Breach {
+                at: *at,
+                rule: 4,
+                what,
+            });
         }
         let delays = tally.delays.iter().map(|(class, h)| {
             let at = |q| h.value_at_quantile(q);
-            (class.clone(), Delays { count: h.len(), p50: at(0.5), p99: at(0.99), max: h.max() })
+            (
+                class.clone(),
+                Delays {
+                    count: h.len(),
+                    p50: at(0.5),
+                    p99: at(0.99),
+                    max: h.max(),
+                },
+            )
         });
         Report {
             day: script.name.clone(),
@@ -130,12 +156,26 @@
     };
     let class = |c: &peppercove::Class| {
         let (group, window) = match c.repeat {
-            Repeat::Keyed { group: Group::Rack, window } => (Place::Rack, window),
-            Repeat::Keyed { group: Group::Zone, window } => (Place::Zone, window),
-            Repeat::Keyed { group: Group::All, window } => (Place::Off, window),
+            Repeat::Keyed {
+                group: Group::Rack,
+                window,
+            } => (Place::Rack, window),
+            Repeat::Keyed {
+                group: Group::Zone,
+                window,
+            } => (Place::Zone, window),
+            Repeat::Keyed {
+                group: Group::All,
+                window,
+            } => (Place::Off, window),
             Repeat::Safe | Repeat::Unsafe => (Place::Off, u64::MAX / 4),
         };
-        ClassFigures { spread: place(c.spread), most: c.most, group, window }
+        ClassFigures {
+            spread: place(c.spread),
+            most: c.most,
+            group,
+            window,
+        }
     };
     Figures {
         classes: m.classes.iter().map(class).collect(),
--- a/crates/kernel/src/script.rs
+++ b/crates/kernel/src/script.rs
@@ -8,9 +8,17 @@
 use std::time::Duration;
 
 const fn attribute(
-    name: &'static str, kind: Kind, default: Option<&'static str>, about: &'static str,
+    name: &'static str,
+    kind: Kind,
+    default: Option<&'static str>,
+    about: &'static str,
 ) -> Attribute {
-    Attribute { name, kind, default, about }
+    Attribute {
+        name,
+        kind,
+        default,
+        about,
+    }
 }
 
 const SHARE: Kind = Kind::Number(0.0, 1.0);
@@ -60,7 +68,12 @@
             Some("10s"),
             "How long the day goes on at most until all is answered.",
         ),
-        attribute("seed", Kind::Count(0, u64::MAX), Some("1"), "Seed of all that is drawn."),
+        attribute(
+            "seed",
+            Kind::Count(0, u64::MAX),
+            Some("1"),
+            "Seed of all that is drawn.",
+        ),
         attribute(
             "settings",
             Kind::Text,
@@ -74,9 +87,24 @@
             often: Often::Once,
             about: "Controllers, nodes and the node list.",
             attributes: &[
-                attribute("controllers", Kind::Count(1, 1000), Some("2"), "Controllers."),
-                attribute("list-late", Kind::Span, Some("300ms"), "How late the list tells changes."),
-                attribute("list-refresh", Kind::Span, Some("500ms"), "How often it looks at free room."),
+                attribute(
+                    "controllers",
+                    Kind::Count(1, 1000),
+                    Some("2"),
+                    "Controllers.",
+                ),
+                attribute(
+                    "list-late",
+                    Kind::Span,
+                    Some("300ms"),
+                    "How late the list tells changes.",
+                ),
+                attribute(
+                    "list-refresh",
+                    Kind::Span,
+                    Some("500ms"),
+                    "How often it looks at free room.",
+                ),
                 attribute(
                     "confirms",
                     Kind::Choice(&["accepted", "running"]),
@@ -95,8 +123,18 @@
                     Some("0"),
                     "Share of owners of keyed and unsafe tasks who ask another controller when theirs is gone.",
                 ),
-                attribute("preempts", Kind::Flag, Some(""), "In place of what the settings say."),
-                attribute("probes", Kind::Flag, Some(""), "In place of what the settings say."),
+                attribute(
+                    "preempts",
+                    Kind::Flag,
+                    Some(""),
+                    "In place of what the settings say.",
+                ),
+                attribute(
+                    "probes",
+                    Kind::Flag,
+                    Some(""),
+                    "In place of what the settings say.",
+                ),
             ],
             children: &[Element {
                 name: "nodes",
@@ -104,31 +142,86 @@
                 about: "Nodes of one kind.",
                 attributes: &[
                     attribute("count", Kind::Count(1, 10_000), None, "How many."),
-                    attribute("kind", Kind::Name, None, "Their kind, by its name in the settings."),
-                    attribute("racks", Kind::Count(1, 10_000), Some("2"), "Over so many racks, in turn."),
-                    attribute("first-rack", Kind::Count(0, 60_000), Some("0"), "Number of the first."),
-                    attribute("admit", Kind::Span, Some("3ms"), "Time to look at one offer."),
-                    attribute("line", Kind::Count(1, 10_000), Some("16"), "Offers that may wait."),
-                    attribute("starts", Kind::Count(1, 1000), Some("4"), "Tasks started at a time."),
+                    attribute(
+                        "kind",
+                        Kind::Name,
+                        None,
+                        "Their kind, by its name in the settings.",
+                    ),
+                    attribute(
+                        "racks",
+                        Kind::Count(1, 10_000),
+                        Some("2"),
+                        "Over so many racks, in turn.",
+                    ),
+                    attribute(
+                        "first-rack",
+                        Kind::Count(0, 60_000),
+                        Some("0"),
+                        "Number of the first.",
+                    ),
+                    attribute(
+                        "admit",
+                        Kind::Span,
+                        Some("3ms"),
+                        "Time to look at one offer.",
+                    ),
+                    attribute(
+                        "line",
+                        Kind::Count(1, 10_000),
+                        Some("16"),
+                        "Offers that may wait.",
+                    ),
+                    attribute(
+                        "starts",
+                        Kind::Count(1, 1000),
+                        Some("4"),
+                        "Tasks started at a time.",
+                    ),
                     attribute(
                         "start",
                         Kind::Span,
                         Some("30ms"),
                         "Time of a start where the program is kept.",
                     ),
-                    attribute("setup", POSITIVE, Some("6"), "Times longer where it is not."),
+                    attribute(
+                        "setup",
+                        POSITIVE,
+                        Some("6"),
+                        "Times longer where it is not.",
+                    ),
                     attribute("kept", Kind::Count(0, 1000), Some("8"), "Programs kept."),
-                    attribute("cold-from", SHARE, Some("0.16"), "Share of the pace just after a start."),
+                    attribute(
+                        "cold-from",
+                        SHARE,
+                        Some("0.16"),
+                        "Share of the pace just after a start.",
+                    ),
                     attribute("cold-for", Kind::Span, Some("8s"), "Warm after this."),
-                    attribute("report-every", Kind::Span, Some("200ms"), "How often load is measured."),
-                    attribute("report-late", Kind::Span, Some("100ms"), "How late it is told."),
+                    attribute(
+                        "report-every",
+                        Kind::Span,
+                        Some("200ms"),
+                        "How often load is measured.",
+                    ),
+                    attribute(
+                        "report-late",
+                        Kind::Span,
+                        Some("100ms"),
+                        "How late it is told.",
+                    ),
                     attribute(
                         "uses-least",
                         SHARE,
                         Some("0.4"),
                         "Share of its ask that a task uses, at least.",
                     ),
-                    attribute("uses-most", Kind::Number(0.0, 10.0), Some("0.9"), "And at most."),
+                    attribute(
+                        "uses-most",
+                        Kind::Number(0.0, 10.0),
+                        Some("0.9"),
+                        "And at most.",
+                    ),
                     attribute(
                         "drain",
                         Kind::Choice(&["none", "paced", "at-once"]),
@@ -145,10 +238,30 @@
             about: "Jobs of one class, submitted at random times.",
             attributes: &[
                 attribute("class", Kind::Name, None, "Their class."),
-                attribute("rate", POSITIVE, None, "New jobs a second, over all controllers."),
-                attribute("life", Kind::Span, Some("2s"), "How long one runs, in the mean."),
-                attribute("services", Kind::Count(1, 100_000), Some("4"), "Over so many services."),
-                attribute("cores", POSITIVE, Some(""), "Cores a job; that of its class where left out."),
+                attribute(
+                    "rate",
+                    POSITIVE,
+                    None,
+                    "New jobs a second, over all controllers.",
+                ),
+                attribute(
+                    "life",
+                    Kind::Span,
+                    Some("2s"),
+                    "How long one runs, in the mean.",
+                ),
+                attribute(
+                    "services",
+                    Kind::Count(1, 100_000),
+                    Some("4"),
+                    "Over so many services.",
+                ),
+                attribute(
+                    "cores",
+                    POSITIVE,
+                    Some(""),
+                    "Cores a job; that of its class where left out.",
+                ),
                 attribute("memory", POSITIVE, Some(""), "Memory a job."),
                 attribute("tenant", Kind::Name, Some(""), "Their tenant."),
             ],
@@ -165,7 +278,12 @@
                 attribute("life", Kind::Span, Some("2s"), "How long it runs."),
                 attribute("cores", POSITIVE, Some(""), "Cores."),
                 attribute("memory", POSITIVE, Some(""), "Memory."),
-                attribute("controller", Kind::Count(0, 1000), Some("0"), "Which controller it goes to."),
+                attribute(
+                    "controller",
+                    Kind::Count(0, 1000),
+                    Some("0"),
+                    "Which controller it goes to.",
+                ),
             ],
             children: &[],
         },
@@ -183,9 +301,24 @@
                     Some("0"),
                     "Of the nodes or controllers, drawn at random; at least one.",
                 ),
-                attribute("node", Kind::Name, Some(""), "Or this node: n0, n1 and so on."),
-                attribute("rack", Kind::Count(0, 60_000), Some(""), "Or the nodes of this rack."),
-                attribute("controller", Kind::Count(0, 1000), Some(""), "Or this controller."),
+                attribute(
+                    "node",
+                    Kind::Name,
+                    Some(""),
+                    "Or this node: n0, n1 and so on.",
+                ),
+                attribute(
+                    "rack",
+                    Kind::Count(0, 60_000),
+                    Some(""),
+                    "Or the nodes of this rack.",
+                ),
+                attribute(
+                    "controller",
+                    Kind::Count(0, 1000),
+                    Some(""),
+                    "Or this controller.",
+                ),
                 attribute("class", Kind::Name, Some(""), "The class that fails."),
                 attribute(
                     "size",
@@ -337,21 +470,34 @@
         let day = Document::parse(text, &DAY)?;
         let (settings, config) = match day.text("settings") {
             None => {
-                let config = Config::parse(embedded_default())
-                    .map_err(|source| ScriptError::Settings { path: "embedded default".into(), source })?;
+                let config =
+                    Config::parse(embedded_default()).map_err(|source| ScriptError::Settings {
+                        path: "embedded default".into(),
+                        source,
+                    })?;
                 (embedded_default().to_owned(), config)
             }
             Some(file) => {
                 let path = folder.join(file);
-                let text = std::fs::read_to_string(&path)
-                    .map_err(|source| ScriptError::Read { path: path.clone(), source })?;
-                let config = Config::parse(&text).map_err(|source| ScriptError::Settings { path, source })?;
+                let text = std::fs::read_to_string(&path).map_err(|source| ScriptError::Read {
+                    path: path.clone(),
+                    source,
+                })?;
+                let config = Config::parse(&text)
+                    .map_err(|source| ScriptError::Settings { path, source })?;
                 (text, config)
             }
         };
         let mut problems = Vec::new();
-        let script = Script { settings, ..read(&day, config, &mut problems) };
-        if problems.is_empty() { Ok(script) } else { Err(ConfigError { problems }.into()) }
+        let script = Script {
+            settings,
+            ..read(&day, config, &mut problems)
+        };
+        if problems.is_empty() {
+            Ok(script)
+        } else {
+            Err(ConfigError { problems }.into())
+        }
     }
 }
 
@@ -363,7 +509,9 @@
         Some(_) => module.confirms = peppercove::Confirms::Running,
         None => {}
     }
-    module.preempts = fleet.text("preempts").map_or(module.preempts, |f| f == "true");
+    module.preempts = fleet
+        .text("preempts")
+        .map_or(module.preempts, |f| f == "true");
     module.probes = fleet.text("probes").map_or(module.probes, |f| f == "true");
     let controllers = fleet.count("controllers") as usize;
     let class = |d: &Document, problems: &mut Vec<Problem>| {
@@ -379,8 +527,10 @@
     for group in fleet.children("nodes") {
         let kind = config.kinds.iter().position(|k| k == group.word("kind"));
         let Some(kind) = kind else {
-            problems
-                .push(group.problem(format!("kind=\"{}\" is no kind of the settings", group.word("kind"))));
+            problems.push(group.problem(format!(
+                "kind=\"{}\" is no kind of the settings",
+                group.word("kind")
+            )));
             continue;
         };
         for i in 0..group.count("count") {
@@ -433,7 +583,14 @@
             if kind.starts_with("class-") && f.text("class").is_none() {
                 problems.push(f.problem("class is missing: the one that fails"));
             }
-            Fault { kind, at: f.span("at"), lasts: f.span("for"), hits, class, size: f.number("size") }
+            Fault {
+                kind,
+                at: f.span("at"),
+                lasts: f.span("for"),
+                hits,
+                class,
+                size: f.number("size"),
+            }
         })
         .collect();
     Script {
@@ -492,7 +649,12 @@
             Some(Group::Rack) => (group.count("first-rack") + i % group.count("racks")) as u32,
             Some(Group::Zone | Group::All) | None => 0,
         },
-        key_window: module.classes.iter().map(|c| window_of(c.repeat)).max().unwrap_or(0),
+        key_window: module
+            .classes
+            .iter()
+            .map(|c| window_of(c.repeat))
+            .max()
+            .unwrap_or(0),
     }
 }
 
--- a/crates/kernel/src/world/faults.rs
+++ b/crates/kernel/src/world/faults.rs
@@ -14,7 +14,13 @@
             let hit = self.hit_by(&fault, index);
             self.hit.insert(index, hit);
             let lasts = fault.lasts.as_micros() as Micros;
-            self.after(lasts, Happens::Fault { index, begins: false });
+            self.after(
+                lasts,
+                Happens::Fault {
+                    index,
+                    begins: false,
+                },
+            );
         }
         let hit = self.hit.get(&index).cloned().unwrap_or_default();
         self.cause(&fault, &hit, begins);
@@ -23,7 +29,11 @@
     fn hit_by(&mut self, fault: &Fault, index: usize) -> Vec<usize> {
         let mut rng = fastrand::Rng::with_seed(self.seed ^ 0xfau64 ^ (index as u64) << 16);
         let of_seats = fault.kind == "controller-killed";
-        let count = if of_seats { self.seats.len() } else { self.stations.len() };
+        let count = if of_seats {
+            self.seats.len()
+        } else {
+            self.stations.len()
+        };
         let spec = |i: &usize| self.stations[*i].model.spec();
         match &fault.hits {
             Hits::Controller(i) if of_seats => vec![*i],
@@ -51,7 +61,8 @@
         }
         let (now, begin) = (self.now, 1_000_000);
         let near = |f: &Fault| {
-            f.kind == "controller-killed" && (begin + f.at.as_micros() as Micros).abs_diff(now) < begin
+            f.kind == "controller-killed"
+                && (begin + f.at.as_micros() as Micros).abs_diff(now) < begin
         };
         if self.script.faults.iter().any(near) {
             self.hazard("a node and a controller are lost within a second");
@@ -85,7 +96,9 @@
             }
             ("rack-cut", false) => hit.iter().for_each(|node| self.stations[*node].cut -= 1),
             ("cut" | "cut-midframe", true) => hit.iter().for_each(|node| self.links_die(*node)),
-            ("flush", true) => hit.iter().for_each(|node| self.stations[*node].model.flush(size)),
+            ("flush", true) => hit
+                .iter()
+                .for_each(|node| self.stations[*node].model.flush(size)),
             ("dies", true) => {
                 for &node in hit {
                     self.dies(node);
--- a/crates/libdrmaa/src/lib.rs
+++ b/crates/libdrmaa/src/lib.rs
@@ -73,7 +73,10 @@
 /// Writes text that must not be cut.
 unsafe fn write_whole(to: *mut c_char, length: usize, text: &str) -> Done {
     if to.is_null() || text.len() >= length {
-        return Err(invalid(&format!("a buffer of {} bytes or more is needed", text.len() + 1)));
+        return Err(invalid(&format!(
+            "a buffer of {} bytes or more is needed",
+            text.len() + 1
+        )));
     }
     // SAFETY: the text and its end fit.
     unsafe { write(to, length, text) };
@@ -86,7 +89,9 @@
     }
     // SAFETY: strings end with a zero byte.
     let text = unsafe { CStr::from_ptr(from) };
-    text.to_str().map(str::to_owned).map_err(|_| invalid(&format!("{what} is not UTF-8")))
+    text.to_str()
+        .map(str::to_owned)
+        .map_err(|_| invalid(&format!("{what} is not UTF-8")))
 }
 
 /// Reads a vector of strings that ends with a null pointer.
@@ -121,11 +126,17 @@
 }
 
 fn strings(values: Vec<String>) -> *mut Strings {
-    Box::into_raw(Box::new(Strings { values, next: Mutex::new(0) }))
+    Box::into_raw(Box::new(Strings {
+        values,
+        next: Mutex::new(0),
+    }))
 }
 
 fn session() -> Result<Arc<Session>, Error> {
-    let session = SESSION.read().unwrap_or_else(PoisonError::into_inner).clone();
+    let session = SESSION
+        .read()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
     session.ok_or_else(|| Error::new(Errno::NoActiveSession, "drmaa_init comes first"))
 }
 
@@ -133,14 +144,25 @@
 
 /// `drmaa_init`. A null contact is that of the environment variable `PEPPERCOVE_CONTACT`.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn drmaa_init(contact: *const c_char, diagnosis: *mut c_char, length: usize) -> c_int {
+pub unsafe extern "C" fn drmaa_init(
+    contact: *const c_char,
+    diagnosis: *mut c_char,
+    length: usize,
+) -> c_int {
     unsafe {
         call(diagnosis, length, || {
             let mut active = SESSION.write().unwrap_or_else(PoisonError::into_inner);
             if active.is_some() {
-                return Err(Error::new(Errno::AlreadyActiveSession, "a session is active"));
+                return Err(Error::new(
+                    Errno::AlreadyActiveSession,
+                    "a session is active",
+                ));
             }
-            let given = if contact.is_null() { String::new() } else { read(contact, "contact")? };
+            let given = if contact.is_null() {
+                String::new()
+            } else {
+                read(contact, "contact")?
+            };
             let contact = if given.is_empty() {
                 std::env::var("PEPPERCOVE_CONTACT").map_err(|_| {
                     let what = "no contact is given and PEPPERCOVE_CONTACT is not set";
@@ -160,8 +182,12 @@
 pub unsafe extern "C" fn drmaa_exit(diagnosis: *mut c_char, length: usize) -> c_int {
     unsafe {
         call(diagnosis, length, || {
-            let active = SESSION.write().unwrap_or_else(PoisonError::into_inner).take();
-            let active = active.ok_or_else(|| Error::new(Errno::NoActiveSession, "no session is active"))?;
+            let active = SESSION
+                .write()
+                .unwrap_or_else(PoisonError::into_inner)
+                .take();
+            let active =
+                active.ok_or_else(|| Error::new(Errno::NoActiveSession, "no session is active"))?;
             // Calls of other threads that are under way end with their own errors.
             Arc::try_unwrap(active).map_or(Ok(()), Session::exit)
         })
@@ -173,7 +199,9 @@
 /// `drmaa_allocate_job_template`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_allocate_job_template(
-    jt: *mut *mut Template, diagnosis: *mut c_char, length: usize,
+    jt: *mut *mut Template,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -181,7 +209,11 @@
             if jt.is_null() {
                 return Err(invalid("jt is null"));
             }
-            give(jt, Box::into_raw(Box::new(Template(Mutex::default()))), "jt")
+            give(
+                jt,
+                Box::into_raw(Box::new(Template(Mutex::default()))),
+                "jt",
+            )
         })
     }
 }
@@ -189,7 +221,9 @@
 /// `drmaa_delete_job_template`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_delete_job_template(
-    jt: *mut Template, diagnosis: *mut c_char, length: usize,
+    jt: *mut Template,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -201,8 +235,17 @@
 }
 
 fn known(name: &str, names: &[&str]) -> Done {
-    let unknown = || invalid(&format!("there is no attribute '{name}'; there are: {}", names.join(", ")));
-    if names.contains(&name) { Ok(()) } else { Err(unknown()) }
+    let unknown = || {
+        invalid(&format!(
+            "there is no attribute '{name}'; there are: {}",
+            names.join(", ")
+        ))
+    };
+    if names.contains(&name) {
+        Ok(())
+    } else {
+        Err(unknown())
+    }
 }
 
 fn scalars() -> &'static [&'static str] {
@@ -216,14 +259,23 @@
 /// `drmaa_set_attribute`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_set_attribute(
-    jt: *mut Template, name: *const c_char, value: *const c_char, diagnosis: *mut c_char, length: usize,
+    jt: *mut Template,
+    name: *const c_char,
+    value: *const c_char,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
             let template = handle(jt, "jt")?;
             let (name, value) = (read(name, "name")?, read(value, "value")?);
             known(&name, scalars())?;
-            template.0.lock().unwrap_or_else(PoisonError::into_inner).attributes.insert(name, value);
+            template
+                .0
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .attributes
+                .insert(name, value);
             Ok(())
         })
     }
@@ -232,7 +284,11 @@
 /// `drmaa_get_attribute`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_get_attribute(
-    jt: *mut Template, name: *const c_char, value: *mut c_char, value_length: usize, diagnosis: *mut c_char,
+    jt: *mut Template,
+    name: *const c_char,
+    value: *mut c_char,
+    value_length: usize,
+    diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
     unsafe {
@@ -250,7 +306,10 @@
 /// `drmaa_set_vector_attribute`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_set_vector_attribute(
-    jt: *mut Template, name: *const c_char, value: *const *const c_char, diagnosis: *mut c_char,
+    jt: *mut Template,
+    name: *const c_char,
+    value: *const *const c_char,
+    diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
     unsafe {
@@ -258,7 +317,12 @@
             let template = handle(jt, "jt")?;
             let (name, values) = (read(name, "name")?, read_all(value, "value")?);
             known(&name, vectors())?;
-            template.0.lock().unwrap_or_else(PoisonError::into_inner).vectors.insert(name, values);
+            template
+                .0
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .vectors
+                .insert(name, values);
             Ok(())
         })
     }
@@ -267,7 +331,11 @@
 /// `drmaa_get_vector_attribute`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_get_vector_attribute(
-    jt: *mut Template, name: *const c_char, values: *mut *mut Strings, diagnosis: *mut c_char, length: usize,
+    jt: *mut Template,
+    name: *const c_char,
+    values: *mut *mut Strings,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -292,12 +360,18 @@
 /// `drmaa_get_attribute_names`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_get_attribute_names(
-    values: *mut *mut Strings, diagnosis: *mut c_char, length: usize,
+    values: *mut *mut Strings,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
             session()?;
-            hand_out(values, scalars().iter().map(|n| (*n).into()).collect(), "values")
+            hand_out(
+                values,
+                scalars().iter().map(|n| (*n).into()).collect(),
+                "values",
+            )
         })
     }
 }
@@ -305,12 +379,18 @@
 /// `drmaa_get_vector_attribute_names`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_get_vector_attribute_names(
-    values: *mut *mut Strings, diagnosis: *mut c_char, length: usize,
+    values: *mut *mut Strings,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
             session()?;
-            hand_out(values, vectors().iter().map(|n| (*n).into()).collect(), "values")
+            hand_out(
+                values,
+                vectors().iter().map(|n| (*n).into()).collect(),
+                "values",
+            )
         })
     }
 }
@@ -334,7 +414,11 @@
 
 unsafe fn count(values: *mut Strings, size: *mut usize) -> c_int {
     // SAFETY: by the contract of the callers.
-    unsafe { call(std::ptr::null_mut(), 0, || give(size, handle(values, "values")?.values.len(), "size")) }
+    unsafe {
+        call(std::ptr::null_mut(), 0, || {
+            give(size, handle(values, "values")?.values.len(), "size")
+        })
+    }
 }
 
 unsafe fn release(values: *mut Strings) {
@@ -348,7 +432,11 @@
     ($next:ident, $count:ident, $release:ident) => {
         /// The next element; `DRMAA_ERRNO_NO_MORE_ELEMENTS` after the last.
         #[unsafe(no_mangle)]
-        pub unsafe extern "C" fn $next(values: *mut Strings, value: *mut c_char, length: usize) -> c_int {
+        pub unsafe extern "C" fn $next(
+            values: *mut Strings,
+            value: *mut c_char,
+            length: usize,
+        ) -> c_int {
             unsafe { next(values, value, length) }
         }
         /// How many elements there are.
@@ -363,23 +451,43 @@
         }
     };
 }
-string_vector!(drmaa_get_next_attr_name, drmaa_get_num_attr_names, drmaa_release_attr_names);
-string_vector!(drmaa_get_next_attr_value, drmaa_get_num_attr_values, drmaa_release_attr_values);
-string_vector!(drmaa_get_next_job_id, drmaa_get_num_job_ids, drmaa_release_job_ids);
+string_vector!(
+    drmaa_get_next_attr_name,
+    drmaa_get_num_attr_names,
+    drmaa_release_attr_names
+);
+string_vector!(
+    drmaa_get_next_attr_value,
+    drmaa_get_num_attr_values,
+    drmaa_release_attr_values
+);
+string_vector!(
+    drmaa_get_next_job_id,
+    drmaa_get_num_job_ids,
+    drmaa_release_job_ids
+);
 
 // ---- Jobs ----
 
 /// `drmaa_run_job`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_run_job(
-    job_id: *mut c_char, job_id_length: usize, jt: *const Template, diagnosis: *mut c_char, length: usize,
+    job_id: *mut c_char,
+    job_id_length: usize,
+    jt: *const Template,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
             if job_id.is_null() || job_id_length == 0 {
                 return Err(invalid("job_id is null or has no length"));
             }
-            let template = handle(jt, "jt")?.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
+            let template = handle(jt, "jt")?
+                .0
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clone();
             let id = session()?.run_job(&template)?;
             write_whole(job_id, job_id_length, &id)
         })
@@ -389,15 +497,24 @@
 /// `drmaa_run_bulk_jobs`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_run_bulk_jobs(
-    job_ids: *mut *mut Strings, jt: *const Template, start: c_int, end: c_int, incr: c_int,
-    diagnosis: *mut c_char, length: usize,
+    job_ids: *mut *mut Strings,
+    jt: *const Template,
+    start: c_int,
+    end: c_int,
+    incr: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
             if job_ids.is_null() {
                 return Err(invalid("jobids is null"));
             }
-            let template = handle(jt, "jt")?.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
+            let template = handle(jt, "jt")?
+                .0
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clone();
             let ids = session()?.run_bulk_jobs(&template, start.into(), end.into(), incr.into())?;
             hand_out(job_ids, ids, "jobids")
         })
@@ -407,7 +524,10 @@
 /// `drmaa_control`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_control(
-    job_id: *const c_char, action: c_int, diagnosis: *mut c_char, length: usize,
+    job_id: *const c_char,
+    action: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -422,7 +542,10 @@
 /// `drmaa_job_ps`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_job_ps(
-    job_id: *const c_char, remote_ps: *mut c_int, diagnosis: *mut c_char, length: usize,
+    job_id: *const c_char,
+    remote_ps: *mut c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -445,7 +568,11 @@
 /// `drmaa_synchronize`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_synchronize(
-    job_ids: *const *const c_char, timeout: c_long, dispose: c_int, diagnosis: *mut c_char, length: usize,
+    job_ids: *const *const c_char,
+    timeout: c_long,
+    dispose: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -462,8 +589,14 @@
 /// `drmaa_wait`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_wait(
-    job_id: *const c_char, job_id_out: *mut c_char, job_id_out_length: usize, stat: *mut c_int,
-    timeout: c_long, rusage: *mut *mut Strings, diagnosis: *mut c_char, length: usize,
+    job_id: *const c_char,
+    job_id_out: *mut c_char,
+    job_id_out_length: usize,
+    stat: *mut c_int,
+    timeout: c_long,
+    rusage: *mut *mut Strings,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -476,7 +609,10 @@
                 stat.write(encode(&finished));
             }
             if !rusage.is_null() {
-                let pairs = finished.rusage.iter().map(|(name, value)| format!("{name}={value}"));
+                let pairs = finished
+                    .rusage
+                    .iter()
+                    .map(|(name, value)| format!("{name}={value}"));
                 rusage.write(strings(pairs.collect()));
             }
             Ok(())
@@ -502,13 +638,20 @@
 
 unsafe fn flag(to: *mut c_int, set: bool, diagnosis: *mut c_char, length: usize) -> c_int {
     // SAFETY: by the contract of the callers.
-    unsafe { call(diagnosis, length, || give(to, c_int::from(set), "the result")) }
+    unsafe {
+        call(diagnosis, length, || {
+            give(to, c_int::from(set), "the result")
+        })
+    }
 }
 
 /// `drmaa_wifexited`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_wifexited(
-    exited: *mut c_int, stat: c_int, diagnosis: *mut c_char, length: usize,
+    exited: *mut c_int,
+    stat: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe { flag(exited, stat & EXITED != 0, diagnosis, length) }
 }
@@ -516,12 +659,23 @@
 /// `drmaa_wexitstatus`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_wexitstatus(
-    exit_status: *mut c_int, stat: c_int, diagnosis: *mut c_char, length: usize,
+    exit_status: *mut c_int,
+    stat: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
             // Existing clients ask without having asked whether it exited; the value then means nothing.
-            give(exit_status, if stat & EXITED == 0 { 0 } else { stat >> 8 & 0xff }, "exit_status")
+            give(
+                exit_status,
+                if stat & EXITED == 0 {
+                    0
+                } else {
+                    stat >> 8 & 0xff
+                },
+                "exit_status",
+            )
         })
     }
 }
@@ -529,7 +683,10 @@
 /// `drmaa_wifsignaled`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_wifsignaled(
-    signaled: *mut c_int, stat: c_int, diagnosis: *mut c_char, length: usize,
+    signaled: *mut c_int,
+    stat: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe { flag(signaled, stat & SIGNALLED != 0, diagnosis, length) }
 }
@@ -537,7 +694,11 @@
 /// `drmaa_wtermsig`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_wtermsig(
-    signal: *mut c_char, signal_length: usize, stat: c_int, diagnosis: *mut c_char, length: usize,
+    signal: *mut c_char,
+    signal_length: usize,
+    stat: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -561,7 +722,10 @@
 /// `drmaa_wcoredump`: nodes tell of none.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_wcoredump(
-    core_dumped: *mut c_int, _stat: c_int, diagnosis: *mut c_char, length: usize,
+    core_dumped: *mut c_int,
+    _stat: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe { flag(core_dumped, false, diagnosis, length) }
 }
@@ -569,7 +733,10 @@
 /// `drmaa_wifaborted`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_wifaborted(
-    aborted: *mut c_int, stat: c_int, diagnosis: *mut c_char, length: usize,
+    aborted: *mut c_int,
+    stat: c_int,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe { flag(aborted, stat & ABORTED != 0, diagnosis, length) }
 }
@@ -614,7 +781,10 @@
 /// `drmaa_get_contact`: the contact in use, or the default one before `drmaa_init`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_get_contact(
-    contact: *mut c_char, contact_length: usize, diagnosis: *mut c_char, length: usize,
+    contact: *mut c_char,
+    contact_length: usize,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -630,7 +800,10 @@
 /// `drmaa_version`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_version(
-    major: *mut c_uint, minor: *mut c_uint, diagnosis: *mut c_char, length: usize,
+    major: *mut c_uint,
+    minor: *mut c_uint,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -645,7 +818,10 @@
 #[unsafe(no_mangle)]
 #[allow(non_snake_case)]
 pub unsafe extern "C" fn drmaa_get_DRM_system(
-    system: *mut c_char, system_length: usize, diagnosis: *mut c_char, length: usize,
+    system: *mut c_char,
+    system_length: usize,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
@@ -659,7 +835,10 @@
 #[unsafe(no_mangle)]
 #[allow(non_snake_case)]
 pub unsafe extern "C" fn drmaa_get_DRMAA_implementation(
-    implementation: *mut c_char, implementation_length: usize, diagnosis: *mut c_char, length: usize,
+    implementation: *mut c_char,
+    implementation_length: usize,
+    diagnosis: *mut c_char,
+    length: usize,
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -34,9 +34,17 @@
 }
 
 const fn family(
-    name: &'static str, kind: Kind, labels: &'static [&'static str], help: &'static str,
+    name: &'static str,
+    kind: Kind,
+    labels: &'static [&'static str],
+    help: &'static str,
 ) -> Family {
-    Family { name, kind, labels, help }
+    Family {
+        name,
+        kind,
+        labels,
+        help,
+    }
 }
 
 macro_rules! families {
@@ -95,7 +103,9 @@
 }
 
 /// Upper bounds of the placing delays, in seconds: from what a controller adds itself up to the longest deadlines.
-pub const DELAY_BOUNDS: &[f64] = &[0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 12.0];
+pub const DELAY_BOUNDS: &[f64] = &[
+    0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 12.0,
+];
 
 /// Values that one label may have; further ones count under [`OTHER`].
 pub const MOST_VALUES: usize = 64;
@@ -147,25 +157,47 @@
 impl Metrics {
     /// All families of the table, without a value yet.
     pub fn new() -> Metrics {
-        let (mut counters, mut gauges, mut histograms) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (mut counters, mut gauges, mut histograms) =
+            (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let registry = Registry::new();
         for f in FAMILIES {
             let opts = Opts::new(f.name, f.help);
             // The table is checked by a test, so what is made of it cannot fail for what it holds.
             match f.kind {
                 Kind::Counter => {
-                    keep(&registry, CounterVec::new(opts, f.labels), f.name, &mut counters);
+                    keep(
+                        &registry,
+                        CounterVec::new(opts, f.labels),
+                        f.name,
+                        &mut counters,
+                    );
                 }
                 Kind::Gauge => {
-                    keep(&registry, GaugeVec::new(opts, f.labels), f.name, &mut gauges);
+                    keep(
+                        &registry,
+                        GaugeVec::new(opts, f.labels),
+                        f.name,
+                        &mut gauges,
+                    );
                 }
                 Kind::Histogram => {
                     let opts = HistogramOpts::from(opts).buckets(DELAY_BOUNDS.to_vec());
-                    keep(&registry, HistogramVec::new(opts, f.labels), f.name, &mut histograms);
+                    keep(
+                        &registry,
+                        HistogramVec::new(opts, f.labels),
+                        f.name,
+                        &mut histograms,
+                    );
                 }
             }
         }
-        Metrics { registry, counters, gauges, histograms, values: RefCell::default() }
+        Metrics {
+            registry,
+            counters,
+            gauges,
+            histograms,
+            values: RefCell::default(),
+        }
     }
 
     /// Adds to a counter.
@@ -175,7 +207,10 @@
     pub fn add(&self, name: &'static str, labels: &[&str], more: f64) -> Result<(), NoSuchFigure> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
-        let counter = self.counters.get(name).and_then(|c| c.get_metric_with_label_values(&labels).ok());
+        let counter = self
+            .counters
+            .get(name)
+            .and_then(|c| c.get_metric_with_label_values(&labels).ok());
         let counter = counter.ok_or_else(|| missing(name, Kind::Counter, labels.len()))?;
         // A counter that went down would look like a restart to whoever reads it.
         counter.inc_by(if more.is_finite() { more.max(0.0) } else { 0.0 });
@@ -189,8 +224,13 @@
     pub fn set(&self, name: &'static str, labels: &[&str], to: f64) -> Result<(), NoSuchFigure> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
-        let gauge = self.gauges.get(name).and_then(|g| g.get_metric_with_label_values(&labels).ok());
-        gauge.ok_or_else(|| missing(name, Kind::Gauge, labels.len()))?.set(to);
+        let gauge = self
+            .gauges
+            .get(name)
+            .and_then(|g| g.get_metric_with_label_values(&labels).ok());
+        gauge
+            .ok_or_else(|| missing(name, Kind::Gauge, labels.len()))?
+            .set(to);
         Ok(())
     }
 
@@ -198,11 +238,21 @@
     ///
     /// # Errors
     /// [`NoSuchFigure`].
-    pub fn observe(&self, name: &'static str, labels: &[&str], value: f64) -> Result<(), NoSuchFigure> {
+    pub fn observe(
+        &self,
+        name: &'static str,
+        labels: &[&str],
+        value: f64,
+    ) -> Result<(), NoSuchFigure> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
-        let histogram = self.histograms.get(name).and_then(|h| h.get_metric_with_label_values(&labels).ok());
-        histogram.ok_or_else(|| missing(name, Kind::Histogram, labels.len()))?.observe(value);
+        let histogram = self
+            .histograms
+            .get(name)
+            .and_then(|h| h.get_metric_with_label_values(&labels).ok());
+        histogram
+            .ok_or_else(|| missing(name, Kind::Histogram, labels.len()))?
+            .observe(value);
         Ok(())
     }
 
@@ -230,14 +280,22 @@
     pub fn gather(&self) -> Vec<Point> {
         let mut points = Vec::new();
         for gathered in self.registry.gather() {
-            let Some(family) = FAMILIES.iter().find(|f| f.name == gathered.name()) else { continue };
+            let Some(family) = FAMILIES.iter().find(|f| f.name == gathered.name()) else {
+                continue;
+            };
             for metric in gathered.get_metric() {
                 let pairs = metric.get_label().iter();
-                let mut labels: Vec<(String, String)> =
-                    pairs.map(|l| (l.name().to_owned(), l.value().to_owned())).collect();
+                let mut labels: Vec<(String, String)> = pairs
+                    .map(|l| (l.name().to_owned(), l.value().to_owned()))
+                    .collect();
                 labels.sort();
                 let mut point = |suffix: &str, labels: Vec<(String, String)>, value: f64| {
-                    points.push(Point { name: format!("{}{suffix}", family.name), labels, family, value });
+                    points.push(Point {
+                        name: format!("{}{suffix}", family.name),
+                        labels,
+                        family,
+                        value,
+                    });
                 };
                 match family.kind {
                     Kind::Counter => point("", labels, metric.get_counter().get_value()),
@@ -257,7 +315,11 @@
                                 b.cumulative_count() as f64,
                             );
                         }
-                        point("_bucket", bucket("+Inf".into()), h.get_sample_count() as f64);
+                        point(
+                            "_bucket",
+                            bucket("+Inf".into()),
+                            h.get_sample_count() as f64,
+                        );
                         point("_sum", labels.clone(), h.get_sample_sum());
                         point("_count", labels, h.get_sample_count() as f64);
                     }
@@ -270,11 +332,17 @@
 }
 
 fn missing(name: &str, kind: Kind, labels: usize) -> NoSuchFigure {
-    NoSuchFigure { name: name.into(), kind, labels }
+    NoSuchFigure {
+        name: name.into(),
+        kind,
+        labels,
+    }
 }
 
 fn keep<T: Collector + Clone + 'static>(
-    registry: &Registry, made: prometheus::Result<T>, name: &'static str,
+    registry: &Registry,
+    made: prometheus::Result<T>,
+    name: &'static str,
     into: &mut BTreeMap<&'static str, T>,
 ) {
     if let Ok(made) = made
@@ -297,7 +365,11 @@
             Kind::Histogram => "histogram",
         };
         let labels: Vec<String> = f.labels.iter().map(|l| format!("`{l}`")).collect();
-        let labels = if labels.is_empty() { "–".into() } else { labels.join(", ") };
+        let labels = if labels.is_empty() {
+            "–".into()
+        } else {
+            labels.join(", ")
+        };
         out += &format!("| `{}` | {kind} | {labels} | {} |\n", f.name, f.help);
     }
     out
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -98,30 +98,66 @@
     ///
     /// # Errors
     /// [`ConfigError`] names what is missing or wrong.
-    pub fn parse(text: &str, name: Option<&str>, listen: Option<&str>) -> Result<Config, ConfigError> {
+    pub fn parse(
+        text: &str,
+        name: Option<&str>,
+        listen: Option<&str>,
+    ) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text)?;
         let differs = |key, file: &str, variable, environment: Option<&str>| match environment {
-            Some(e) if e != file => {
-                Err(ConfigError::Differs { key, file: file.into(), variable, environment: e.into() })
-            }
+            Some(e) if e != file => Err(ConfigError::Differs {
+                key,
+                file: file.into(),
+                variable,
+                environment: e.into(),
+            }),
             _ => Ok(()),
         };
         differs("name", &file.name, "LB_NAME", name)?;
         differs("listen", &file.listen.to_string(), "LB_LISTEN", listen)?;
-        let wrong = |key, problem: &str| ConfigError::Value { key, problem: problem.into() };
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| wrong("seed", &e.to_string()))?;
+        let wrong = |key, problem: &str| ConfigError::Value {
+            key,
+            problem: problem.into(),
+        };
+        let seed =
+            u64::from_str_radix(&file.seed, 16).map_err(|e| wrong("seed", &e.to_string()))?;
         if file.limits.sockets < LEAST_SOCKETS {
-            let problem = format!("{} are too few, {LEAST_SOCKETS} are needed", file.limits.sockets);
+            let problem = format!(
+                "{} are too few, {LEAST_SOCKETS} are needed",
+                file.limits.sockets
+            );
             return Err(wrong("limits.sockets", &problem));
         }
         let (mut settings, shape) = read_settings(&serde_json::to_vec(&file.settings)?)?;
         if settings.classes.is_empty() || shape.classes.iter().any(String::is_empty) {
-            return Err(wrong("settings.classes", "each class needs a name, and one class is needed"));
+            return Err(wrong(
+                "settings.classes",
+                "each class needs a name, and one class is needed",
+            ));
         }
         let [first, most] = feed::ask_again(settings.drain_grace, dial_timeout(&shape));
-        settings.ask_again = [settings.ask_again[0].min(first), settings.ask_again[1].min(most)];
-        let File { name, listen, limits, journal, known, .. } = file;
-        Ok(Config { name, listen, seed, limits, journal, known, settings, shape })
+        settings.ask_again = [
+            settings.ask_again[0].min(first),
+            settings.ask_again[1].min(most),
+        ];
+        let File {
+            name,
+            listen,
+            limits,
+            journal,
+            known,
+            ..
+        } = file;
+        Ok(Config {
+            name,
+            listen,
+            seed,
+            limits,
+            journal,
+            known,
+            settings,
+            shape,
+        })
     }
 
     /// How long a connection may take to come up.
@@ -132,5 +168,9 @@
 
 /// The settings may leave it out; a link of the data centre is up within far less.
 fn dial_timeout(shape: &Shape) -> Micros {
-    if shape.dial_timeout > 0 { shape.dial_timeout } else { 1_000_000 }
+    if shape.dial_timeout > 0 {
+        shape.dial_timeout
+    } else {
+        1_000_000
+    }
 }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -145,7 +145,8 @@
     /// Bounds for a configuration.
     pub fn of(config: &Config) -> Bounds {
         // Some tens of KiB a set-up at the worst: a quarter of the memory may wait for answers.
-        let open = ((config.limits.memory_mb as usize).saturating_mul(1024) / 4 / 32).clamp(64, 65_536);
+        let open =
+            ((config.limits.memory_mb as usize).saturating_mul(1024) / 4 / 32).clamp(64, 65_536);
         // Owners keep to a third of the descriptors, and those that mean no good take as many again. Some are the
         // program's own: listener, journal service, log, runtime. Connections to hosts have what is left.
         let owners = config.limits.sockets / 3 * 2;
@@ -178,7 +179,11 @@
     pub fn tested_by(self, dial_timeout: Micros) -> Bounds {
         let test_every = (dial_timeout * 4).min(self.lost_after / 4);
         let test_within = (dial_timeout * 2).min(self.lost_after / 8 * 3);
-        Bounds { test_every, test_within, ..self }
+        Bounds {
+            test_every,
+            test_within,
+            ..self
+        }
     }
 }
 
@@ -329,7 +334,12 @@
 impl<D: Decide> Desk<D> {
     /// A desk that has just started.
     pub fn new(module: D, settings: Settings, shape: Shape, bounds: Bounds, seed: u64) -> Desk<D> {
-        let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
         Desk {
             late: Late::new(longest),
             module,
@@ -362,7 +372,11 @@
             Input::List(entries) => self.on_list(entries),
             Input::ListFailed => {
                 let (scope, version, lines) = (ListScope::Failed, 0, Vec::new());
-                self.events.push(Event::MachineList { scope, version, lines });
+                self.events.push(Event::MachineList {
+                    scope,
+                    version,
+                    lines,
+                });
             }
             Input::Owner(owner, message) => self.on_owner(owner, message),
             Input::Turn => {
@@ -372,7 +386,11 @@
             }
             Input::OwnerGone(owner) => self.on_owner_gone(owner),
             Input::Owners(open) => {
-                let Bounds { connections, owners, .. } = self.bounds;
+                let Bounds {
+                    connections,
+                    owners,
+                    ..
+                } = self.bounds;
                 self.bounds.all_links = Bounds::links(connections, owners, open);
                 self.hosts.keep_to(self.bounds.all_links, &mut self.out);
             }
@@ -398,7 +416,10 @@
     /// When it wants to be called at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
         let batch = (!self.events.is_empty()).then(|| self.next_batch());
-        [self.alarms.next(), self.line.next_end(), batch].into_iter().flatten().min()
+        [self.alarms.next(), self.line.next_end(), batch]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// What happened so far.
@@ -439,7 +460,8 @@
     // ---- The module ----
 
     fn next_batch(&self) -> Micros {
-        self.consulted.map_or(0, |at| at.saturating_add(self.settings.tick))
+        self.consulted
+            .map_or(0, |at| at.saturating_add(self.settings.tick))
     }
 
     /// Hands the module what has come since its last batch, and carries its actions out.
@@ -461,10 +483,18 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Watch => self.out.push(Output::Watch),
-            Action::Bind { request, machine, timeout } => self.bind(request, machine, timeout),
+            Action::Bind {
+                request,
+                machine,
+                timeout,
+            } => self.bind(request, machine, timeout),
             Action::Withdraw { request, attempt } => {
                 // The one that placed the task cannot be withdrawn any more.
-                let open = |a: &Ask| a.tries.get(usize::from(attempt)).is_some_and(|t| t.stage.is_open());
+                let open = |a: &Ask| {
+                    a.tries
+                        .get(usize::from(attempt))
+                        .is_some_and(|t| t.stage.is_open())
+                };
                 if self.asks.get(&request).is_some_and(open) {
                     self.give_up(request, attempt, Outcome::Withdrawn, false);
                 }
@@ -480,7 +510,9 @@
                 }
             }
             Action::Move(request) => self.move_on(request),
-            Action::SetTimer { label, at } => self.alarms.set(at.max(self.now + 1), Alarm::Module(label)),
+            Action::SetTimer { label, at } => {
+                self.alarms.set(at.max(self.now + 1), Alarm::Module(label))
+            }
             Action::Log(line) => self.out.push(Output::Log(line)),
             // Hosts here have no load to be asked for, and controllers no way to each other.
             Action::Probe(_) | Action::Tell(_) => {}
@@ -491,7 +523,11 @@
         match alarm {
             Alarm::Module(label) => self.events.push(Event::Timer(label)),
             Alarm::Try(request, attempt) => {
-                let open = |a: &Ask| a.tries.get(usize::from(attempt)).is_some_and(|t| t.stage.is_open());
+                let open = |a: &Ask| {
+                    a.tries
+                        .get(usize::from(attempt))
+                        .is_some_and(|t| t.stage.is_open())
+                };
                 if self.asks.get(&request).is_some_and(open) {
                     self.give_up(request, attempt, Outcome::TimedOut, false);
                 }
@@ -521,7 +557,11 @@
             self.hosts.learn(&hosts, &self.shape);
         }
         let lines = self.hosts.lines();
-        self.events.push(Event::MachineList { scope: ListScope::Cached, version, lines });
+        self.events.push(Event::MachineList {
+            scope: ListScope::Cached,
+            version,
+            lines,
+        });
     }
 
     fn on_list(&mut self, entries: Vec<Entry>) {
@@ -529,16 +569,28 @@
             // A call that brings nothing new is answered all the same.
             let version = self.hosts.version;
             let (scope, lines) = (ListScope::Delta, Vec::new());
-            self.events.push(Event::MachineList { scope, version, lines });
+            self.events.push(Event::MachineList {
+                scope,
+                version,
+                lines,
+            });
         }
         for entry in entries {
             let version = entry.pos;
             self.hosts.version = version;
             let Some(hosts) = entry.hosts else { continue };
-            let scope = if hosts.full { ListScope::Full } else { ListScope::Delta };
+            let scope = if hosts.full {
+                ListScope::Full
+            } else {
+                ListScope::Delta
+            };
             let news = self.hosts.learn(&hosts, &self.shape);
             let named: Vec<MachineId> = news.lines.iter().map(|l| l.machine).collect();
-            self.events.push(Event::MachineList { scope, version, lines: news.lines });
+            self.events.push(Event::MachineList {
+                scope,
+                version,
+                lines: news.lines,
+            });
             for machine in named.iter().chain(&news.gone) {
                 // Danger: a connection that comes up late would bring there what was bound before this was told.
                 for (request, attempt) in self.hosts.unsent_to_leaving(*machine) {
@@ -555,7 +607,8 @@
             }
             for machine in news.gone {
                 // What it still has to say on an open connection comes first.
-                self.alarms.set(self.now + self.bounds.test_within, Alarm::Forget(machine));
+                self.alarms
+                    .set(self.now + self.bounds.test_within, Alarm::Forget(machine));
             }
         }
     }
@@ -572,7 +625,8 @@
             }
             Kind::SetUp => {
                 let deadline = self.now.saturating_add(read::wait(&message).unwrap_or(0));
-                self.line.push(from, self.now, self.answer_by(self.now, deadline), message);
+                self.line
+                    .push(from, self.now, self.answer_by(self.now, deadline), message);
             }
             Kind::Test => {
                 let passed = Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]);
@@ -580,7 +634,12 @@
             }
             Kind::Release => self.on_owner_release(from, &message),
             // Nothing that an owner would send, or nothing that means anything.
-            Kind::Progress | Kind::Answer | Kind::Heard | Kind::Note | Kind::Move | Kind::Tested => {}
+            Kind::Progress
+            | Kind::Answer
+            | Kind::Heard
+            | Kind::Note
+            | Kind::Move
+            | Kind::Tested => {}
         }
     }
 
@@ -675,12 +734,23 @@
     }
 
     /// A task that a host holds already is this controller's from now on.
-    fn stand(&mut self, from: OwnerId, wire: u64, request: peppercove::Request, machine: MachineId) {
+    fn stand(
+        &mut self,
+        from: OwnerId,
+        wire: u64,
+        request: peppercove::Request,
+        machine: MachineId,
+    ) {
         let id = request.request;
         self.next_request += 1;
         self.owners.entry(from).or_default().usual = true;
         let (task, link) = (request.task, LinkId(0));
-        let first = Try { machine, link, stage: Stage::Settled, expires: self.now };
+        let first = Try {
+            machine,
+            link,
+            stage: Stage::Settled,
+            expires: self.now,
+        };
         let ask = Ask {
             wire,
             former: None,
@@ -706,7 +776,9 @@
     /// would be told to nobody. Words of the host that cross this still carry the former one.
     fn rename(&mut self, request: RequestId, from: OwnerId, wire: u64) {
         self.owners.entry(from).or_default().usual = true;
-        let Some(ask) = self.asks.get_mut(&request) else { return };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
         if let Some(former) = ask.former.replace(ask.wire) {
             self.wires.remove(&former);
         }
@@ -723,22 +795,32 @@
         if self.line.give_up(from, message.id) {
             self.counters.abandoned += 1;
         }
-        let Some(&request) = self.wires.get(&message.id) else { return };
-        let Some(ask) = self.asks.get(&request) else { return };
+        let Some(&request) = self.wires.get(&message.id) else {
+            return;
+        };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         match ask.life {
             // A set-up is given up on its own connection alone: an id is no proof of who sends it.
             Life::Waiting | Life::Offered(_) if ask.owner == from => self.abandon(request),
             Life::Waiting | Life::Offered(_) | Life::Over => {}
             // A standing task belongs to no connection. Its host is told, and owes its owner nothing.
             Life::Placed(_) => {
-                self.cut(request, Outcome::Withdrawn, message.cause().unwrap_or(cause::ORDINARY));
+                self.cut(
+                    request,
+                    Outcome::Withdrawn,
+                    message.cause().unwrap_or(cause::ORDINARY),
+                );
             }
         }
     }
 
     fn on_owner_gone(&mut self, owner: OwnerId) {
         self.line.forget(owner);
-        let Some(gone) = self.owners.remove(&owner) else { return };
+        let Some(gone) = self.owners.remove(&owner) else {
+            return;
+        };
         for request in gone.open {
             self.abandon(request);
         }
@@ -760,7 +842,9 @@
 
     /// The set-up is over without a placed task: what is out is given up.
     fn close(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
         if !ask.life.is_open() {
             return;
         }
@@ -784,7 +868,9 @@
 
     /// The module's final answer, at once; false where none is owed any more.
     fn answer(&mut self, request: RequestId, mut message: Message) -> bool {
-        let Some(ask) = self.asks.get(&request).filter(|a| a.life.is_open()) else { return false };
+        let Some(ask) = self.asks.get(&request).filter(|a| a.life.is_open()) else {
+            return false;
+        };
         message.id = ask.wire;
         self.out.push(Output::Reply(ask.owner, message.encode()));
         self.close(request);
@@ -794,23 +880,51 @@
     // ---- Attempts ----
 
     fn bind(&mut self, request: RequestId, machine: MachineId, timeout: Option<Micros>) {
-        let Some(ask) = self.asks.get(&request) else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         let answer_by = self.answer_by(ask.came, ask.deadline);
-        let Some(ask) = self.asks.get_mut(&request) else { return };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
         let attempt = ask.tries.len() as u16;
         let expires = timeout.map_or(answer_by, |t| self.now.saturating_add(t).min(answer_by));
         let over = !ask.life.is_open();
         let possible = ask.life == Life::Waiting
             && ask.tries.len() < self.settings.max_attempts as usize
             && expires > self.now;
-        ask.tries.push(Try { machine, link: LinkId(0), stage: Stage::Settled, expires });
+        ask.tries.push(Try {
+            machine,
+            link: LinkId(0),
+            stage: Stage::Settled,
+            expires,
+        });
         if !possible {
-            self.ended(request, attempt, machine, Outcome::NotSent, Why::Unknown, over, None);
+            self.ended(
+                request,
+                attempt,
+                machine,
+                Outcome::NotSent,
+                Why::Unknown,
+                over,
+                None,
+            );
             return;
         }
         let carried: Vec<LinkId> = ask.tries.iter().map(|t| t.link).collect();
-        let Some(link) = self.hosts.link_for(machine, &carried, self.now, self.bounds, &mut self.out) else {
-            self.ended(request, attempt, machine, Outcome::Unreachable, Why::Unknown, false, None);
+        let Some(link) =
+            self.hosts
+                .link_for(machine, &carried, self.now, self.bounds, &mut self.out)
+        else {
+            self.ended(
+                request,
+                attempt,
+                machine,
+                Outcome::Unreachable,
+                Why::Unknown,
+                false,
+                None,
+            );
             return;
         };
         self.counters.binds += 1;
@@ -831,8 +945,14 @@
     /// Writes the set-ups that waited for their connection.
     fn send_queued(&mut self, link: LinkId) {
         for (request, attempt) in self.hosts.queued(link) {
-            let Some(ask) = self.asks.get_mut(&request) else { continue };
-            let Some(t) = ask.tries.get_mut(usize::from(attempt)).filter(|t| t.stage == Stage::Queued) else {
+            let Some(ask) = self.asks.get_mut(&request) else {
+                continue;
+            };
+            let Some(t) = ask
+                .tries
+                .get_mut(usize::from(attempt))
+                .filter(|t| t.stage == Stage::Queued)
+            else {
                 continue;
             };
             let Some(body) = &ask.body else { continue };
@@ -857,8 +977,16 @@
 
     /// Stops waiting for an attempt that is out, and tells its host.
     fn give_up(&mut self, request: RequestId, attempt: u16, outcome: Outcome, over: bool) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
-        let Some(t) = ask.tries.get_mut(usize::from(attempt)).filter(|t| t.stage.is_open()) else { return };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
+        let Some(t) = ask
+            .tries
+            .get_mut(usize::from(attempt))
+            .filter(|t| t.stage.is_open())
+        else {
+            return;
+        };
         let (link, machine, wire) = (t.link, t.machine, ask.wire);
         let sent = t.stage != Stage::Queued;
         if sent {
@@ -866,7 +994,11 @@
         }
         let stage = if sent { Stage::Loose } else { Stage::Settled };
         // What never left its queue is known not to have run, whatever ended the wait.
-        let outcome = if sent || outcome == Outcome::Withdrawn { outcome } else { Outcome::Unreachable };
+        let outcome = if sent || outcome == Outcome::Withdrawn {
+            outcome
+        } else {
+            Outcome::Unreachable
+        };
         self.end_try(request, attempt, stage, over);
         self.ended(request, attempt, machine, outcome, Why::Unknown, over, None);
     }
@@ -882,8 +1014,12 @@
 
     /// Takes an attempt off its connection; the set-up waits again unless it is over.
     fn end_try(&mut self, request: RequestId, attempt: u16, stage: Stage, over: bool) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
-        let Some(t) = ask.tries.get_mut(usize::from(attempt)) else { return };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
+        let Some(t) = ask.tries.get_mut(usize::from(attempt)) else {
+            return;
+        };
         t.stage = stage;
         self.hosts.off(t.link, request, attempt);
         if !over {
@@ -894,21 +1030,46 @@
 
     #[allow(clippy::too_many_arguments)]
     fn ended(
-        &mut self, request: RequestId, attempt: u16, machine: MachineId, outcome: Outcome, why: Why,
-        over: bool, load: Option<Load>,
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        machine: MachineId,
+        outcome: Outcome,
+        why: Why,
+        over: bool,
+        load: Option<Load>,
     ) {
-        self.events.push(Event::Ended { request, attempt, machine, outcome, why, over, load });
+        self.events.push(Event::Ended {
+            request,
+            attempt,
+            machine,
+            outcome,
+            why,
+            over,
+            load,
+        });
     }
 
     // ---- Standing tasks ----
 
     /// A task that stood is over: the module is told, the task forgotten.
-    fn finish(&mut self, request: RequestId, attempt: u16, outcome: Outcome, why: Why, load: Option<Load>) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
+    fn finish(
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        outcome: Outcome,
+        why: Why,
+        load: Option<Load>,
+    ) {
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
         if ask.life.step(Life::Over).is_err() {
             return;
         }
-        let Some(machine) = ask.tries.get(usize::from(attempt)).map(|t| t.machine) else { return };
+        let Some(machine) = ask.tries.get(usize::from(attempt)).map(|t| t.machine) else {
+            return;
+        };
         self.wires.remove(&ask.wire);
         if let Some(former) = ask.former {
             self.wires.remove(&former);
@@ -920,7 +1081,9 @@
 
     /// Tells the owner that its task is over.
     fn tell_end(&mut self, request: RequestId, cause: u8) {
-        let Some(ask) = self.asks.get(&request) else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         self.counters.ended += 1;
         let (owner, frame) = (ask.owner, Message::release(ask.wire, cause).encode());
         self.tell(owner, frame);
@@ -929,9 +1092,16 @@
     /// Tells an end to its owner. Where its connection is closed, any other will do: none owns a standing task.
     fn tell(&mut self, owner: OwnerId, frame: Bytes) {
         let own = self.owners.contains_key(&owner).then_some(owner);
-        let other = || self.owners.iter().rev().find(|(_, o)| o.usual).map(|(id, _)| *id);
+        let other = || {
+            self.owners
+                .iter()
+                .rev()
+                .find(|(_, o)| o.usual)
+                .map(|(id, _)| *id)
+        };
         let Some(to) = own.or_else(other) else {
-            self.untold.push_back((self.now.saturating_add(self.bounds.keep_ends), frame));
+            self.untold
+                .push_back((self.now.saturating_add(self.bounds.keep_ends), frame));
             // Each is the end of a task that stood. Danger: one that is dropped is never told.
             while self.untold.len() > self.bounds.standing {
                 self.untold.pop_front();
@@ -958,7 +1128,9 @@
     /// Cuts a standing task at its host. Danger: a host that is out of reach goes on with it, and room or spread given
     /// away before it has read that would be given away twice; so the module is told of the end only then.
     fn cut(&mut self, request: RequestId, outcome: Outcome, cause: u8) {
-        let Some(ask) = self.asks.get_mut(&request).filter(|a| a.cut.is_none()) else { return };
+        let Some(ask) = self.asks.get_mut(&request).filter(|a| a.cut.is_none()) else {
+            return;
+        };
         let Life::Placed(_) = ask.life else { return };
         (ask.cut, ask.doubtful) = (Some(Cut { outcome, cause }), None);
         self.bring_cut(request);
@@ -966,11 +1138,19 @@
 
     /// Sends a cut over the connection of the attempt that placed the task, over another one, or over the next.
     fn bring_cut(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request) else { return };
-        let Life::Placed(attempt) = ask.life else { return };
-        let Some(t) = ask.tries.get(usize::from(attempt)) else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
+        let Life::Placed(attempt) = ask.life else {
+            return;
+        };
+        let Some(t) = ask.tries.get(usize::from(attempt)) else {
+            return;
+        };
         let (machine, link) = (t.machine, t.link);
-        let link = Some(link).filter(|l| self.hosts.is_up(*l)).or_else(|| self.hosts.any_up(machine));
+        let link = Some(link)
+            .filter(|l| self.hosts.is_up(*l))
+            .or_else(|| self.hosts.any_up(machine));
         match link {
             Some(link) => self.send_cut(link, request),
             None => {
@@ -983,8 +1163,12 @@
 
     /// Cuts a task over a connection, and asks whether that was read: where the connection ends before, it is told again.
     fn send_cut(&mut self, link: LinkId, request: RequestId) {
-        let Some(ask) = self.asks.get(&request) else { return };
-        let Some(Cut { cause, .. }) = ask.cut else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
+        let Some(Cut { cause, .. }) = ask.cut else {
+            return;
+        };
         let at = self.send(link, &Message::release(ask.wire, cause));
         self.hosts.unread(link, at, request);
         self.test(link);
@@ -992,17 +1176,24 @@
 
     /// A host has read a cut, or can hold nothing any more.
     fn is_cut(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request) else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         if let (Some(Cut { outcome, .. }), Life::Placed(attempt)) = (ask.cut, ask.life) {
             self.finish(request, attempt, outcome, Why::Unknown, None);
         }
     }
 
     fn move_on(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request).filter(|a| a.cut.is_none()) else { return };
+        let Some(ask) = self.asks.get(&request).filter(|a| a.cut.is_none()) else {
+            return;
+        };
         let Life::Placed(_) = ask.life else { return };
         let (owner, wire) = (ask.owner, ask.wire);
-        self.out.push(Output::Reply(owner, Message::new(Kind::Move, wire).encode()));
+        self.out.push(Output::Reply(
+            owner,
+            Message::new(Kind::Move, wire).encode(),
+        ));
         self.cut(request, Outcome::Withdrawn, cause::CALLED_OFF);
     }
 
@@ -1015,15 +1206,20 @@
     /// Connections of this machine are watched from now on, while anything of ours is there.
     fn look_after(&mut self, machine: MachineId) {
         if self.hosts.look_after(machine, self.now) {
-            self.alarms.set(self.now + self.bounds.test_every, Alarm::Watch(machine));
+            self.alarms
+                .set(self.now + self.bounds.test_every, Alarm::Watch(machine));
         }
     }
 
     /// Tasks that stood on a machine before `since` are lost with its process.
     fn lose(&mut self, machine: MachineId, since: Micros) {
         for request in self.hosts.standing_at(machine) {
-            let Some(ask) = self.asks.get(&request) else { continue };
-            let Life::Placed(attempt) = ask.life else { continue };
+            let Some(ask) = self.asks.get(&request) else {
+                continue;
+            };
+            let Life::Placed(attempt) = ask.life else {
+                continue;
+            };
             if ask.cut.is_some() {
                 self.is_cut(request);
             } else if ask.placed_at < since {
@@ -1083,20 +1279,40 @@
     }
 
     fn on_link_down(&mut self, link: LinkId, how: Down) {
-        let Some(down) = self.hosts.down(link) else { return };
+        let Some(down) = self.hosts.down(link) else {
+            return;
+        };
         for (request, attempt) in down.tries {
-            let Some(ask) = self.asks.get(&request) else { continue };
-            let Some(t) = ask.tries.get(usize::from(attempt)) else { continue };
+            let Some(ask) = self.asks.get(&request) else {
+                continue;
+            };
+            let Some(t) = ask.tries.get(usize::from(attempt)) else {
+                continue;
+            };
             let outcome = match (t.stage, how) {
                 (Stage::Queued, _) => Outcome::Unreachable,
                 // Not one byte of it had left.
-                (Stage::Out(at), Down::Broke { written, .. }) if written <= at => Outcome::Unreachable,
+                (Stage::Out(at), Down::Broke { written, .. }) if written <= at => {
+                    Outcome::Unreachable
+                }
                 (Stage::Out(_), _) => Outcome::Lost,
                 (Stage::Settled | Stage::Loose, _) => continue,
             };
-            let stage = if outcome == Outcome::Lost { Stage::Loose } else { Stage::Settled };
+            let stage = if outcome == Outcome::Lost {
+                Stage::Loose
+            } else {
+                Stage::Settled
+            };
             self.end_try(request, attempt, stage, false);
-            self.ended(request, attempt, down.machine, outcome, Why::Unknown, false, None);
+            self.ended(
+                request,
+                attempt,
+                down.machine,
+                outcome,
+                Why::Unknown,
+                false,
+                None,
+            );
         }
         if how == Down::Refused || self.hosts.is_gone(down.machine) {
             // No process is there any more: its tasks went with it.
@@ -1108,7 +1324,8 @@
         // Danger: with another connection up none is dialled, and a cut that its host never read would wait for good.
         self.send_owed(down.machine);
         if let Some(wait) = self.hosts.wait_to_redial(down.machine) {
-            self.alarms.set(self.now + wait, Alarm::Redial(down.machine));
+            self.alarms
+                .set(self.now + wait, Alarm::Redial(down.machine));
         }
     }
 
@@ -1123,7 +1340,8 @@
             // Danger: a set-up may name any host; one that no list has named is forgotten with its last task.
             return self.hosts.forget(machine);
         };
-        self.alarms.set(self.now + self.bounds.test_every, Alarm::Watch(machine));
+        self.alarms
+            .set(self.now + self.bounds.test_every, Alarm::Watch(machine));
         for link in watched.test {
             self.test(link);
         }
@@ -1149,7 +1367,9 @@
     // ---- Words of hosts ----
 
     fn on_host(&mut self, link: LinkId, message: &Message) {
-        let Some(machine) = self.hosts.heard(link, self.now) else { return };
+        let Some(machine) = self.hosts.heard(link, self.now) else {
+            return;
+        };
         match message.kind {
             Kind::Tested => self.on_tested(link, message.id),
             Kind::Answer | Kind::Release | Kind::Note => self.on_word(link, machine, message),
@@ -1179,7 +1399,10 @@
     }
 
     fn on_word(&mut self, link: LinkId, machine: MachineId, message: &Message) {
-        let ask = self.wires.get(&message.id).and_then(|r| Some((*r, self.asks.get(r)?)));
+        let ask = self
+            .wires
+            .get(&message.id)
+            .and_then(|r| Some((*r, self.asks.get(r)?)));
         let meant = ask.map(|(request, ask)| (request, words::meant(ask, link, machine, message)));
         match meant {
             Some((request, Meant::Of(attempt))) => self.word(request, attempt, machine, message),
@@ -1195,7 +1418,12 @@
             Kind::Release => self.on_release(request, attempt, machine, message),
             _ => {
                 if let Some(note) = read::note(message) {
-                    self.events.push(Event::Noted { request, attempt, machine, note });
+                    self.events.push(Event::Noted {
+                        request,
+                        attempt,
+                        machine,
+                        note,
+                    });
                 }
             }
         }
@@ -1203,11 +1431,16 @@
 
     /// An end came over another connection than that of the attempt it may be about, and may be an earlier one's.
     fn doubt(&mut self, request: RequestId, attempt: u16, message: &Message) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
         if message.kind != Kind::Release || ask.doubtful.is_some() {
             return;
         }
-        ask.doubtful = Some(Doubt { word: message.clone(), asked: None });
+        ask.doubtful = Some(Doubt {
+            word: message.clone(),
+            asked: None,
+        });
         if !ask.life.is_open() {
             self.clear_up(request, attempt);
         }
@@ -1216,15 +1449,26 @@
     /// Of two connections, the word on one may arrive before what was said on the other. It is of the attempt that
     /// placed the task only where the host has that one's connection no more: that is asked there.
     fn clear_up(&mut self, request: RequestId, attempt: u16) {
-        let Some(ask) = self.asks.get(&request) else { return };
-        let Some(link) = ask.tries.get(usize::from(attempt)).map(|t| t.link) else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
+        let Some(link) = ask.tries.get(usize::from(attempt)).map(|t| t.link) else {
+            return;
+        };
         if self.hosts.is_up(link) {
             let test = self.test(link);
-            if let Some(doubt) = self.asks.get_mut(&request).and_then(|a| a.doubtful.as_mut()) {
+            if let Some(doubt) = self
+                .asks
+                .get_mut(&request)
+                .and_then(|a| a.doubtful.as_mut())
+            {
                 doubt.asked = Some((link, test));
             }
             self.hosts.doubted(link, test, request);
-            self.alarms.set(self.now + self.bounds.doubt, Alarm::Doubt(request, link, test));
+            self.alarms.set(
+                self.now + self.bounds.doubt,
+                Alarm::Doubt(request, link, test),
+            );
         } else {
             self.believe(request);
         }
@@ -1233,15 +1477,31 @@
     /// Nothing was heard that clears a doubt. Dropped, an end would be told to nobody, for its host does not say it
     /// again; so it is taken for true, and made true where it was not.
     fn believe(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
-        let Some(Doubt { word, .. }) = ask.doubtful.take() else { return };
-        let Life::Placed(attempt) = ask.life else { return };
-        let Some(machine) = ask.tries.get(usize::from(attempt)).map(|t| t.machine) else { return };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
+        let Some(Doubt { word, .. }) = ask.doubtful.take() else {
+            return;
+        };
+        let Life::Placed(attempt) = ask.life else {
+            return;
+        };
+        let Some(machine) = ask.tries.get(usize::from(attempt)).map(|t| t.machine) else {
+            return;
+        };
         self.word(request, attempt, machine, &word);
     }
 
-    fn on_answer(&mut self, request: RequestId, attempt: u16, machine: MachineId, message: &Message) {
-        let Some(ask) = self.asks.get(&request) else { return };
+    fn on_answer(
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        machine: MachineId,
+        message: &Message,
+    ) {
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         // A second copy says nothing new.
         let Life::Offered(_) = ask.life else { return };
         let Some(description) = message.get(code::DESCRIPTION) else {
@@ -1249,7 +1509,15 @@
             let (link, wire) = (ask.tries[usize::from(attempt)].link, ask.wire);
             self.release(link, wire);
             self.end_try(request, attempt, Stage::Loose, false);
-            self.ended(request, attempt, machine, Outcome::Lost, Why::Unknown, false, None);
+            self.ended(
+                request,
+                attempt,
+                machine,
+                Outcome::Lost,
+                Why::Unknown,
+                false,
+                None,
+            );
             return;
         };
         let (owner, wire, early) = (ask.owner, ask.wire, ask.doubtful.is_some());
@@ -1264,7 +1532,9 @@
 
     /// The attempt that is out stands from now on, and its owner has the final answer.
     fn place(&mut self, request: RequestId, attempt: u16, machine: MachineId) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
         let stepped = ask.life.step(Life::Placed(attempt));
         debug_assert!(stepped.is_ok());
         (ask.placed_at, ask.body) = (self.now, None);
@@ -1276,7 +1546,11 @@
         if let Some(owner) = self.owners.get_mut(&owner) {
             owner.open.remove(&request);
         }
-        self.events.push(Event::Placed { request, attempt, machine });
+        self.events.push(Event::Placed {
+            request,
+            attempt,
+            machine,
+        });
         self.stands_at(machine, request, task);
     }
 
@@ -1284,21 +1558,45 @@
     /// on, a second copy stands under an id whose task is over, and nobody tells its owner so; and what has run to its
     /// end runs once more.
     fn over_unanswered(
-        &mut self, request: RequestId, attempt: u16, machine: MachineId, outcome: Outcome, message: &Message,
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        machine: MachineId,
+        outcome: Outcome,
+        message: &Message,
     ) {
-        let Some(ask) = self.asks.get(&request) else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         let failed = Message::release(ask.wire, cause::CUT).encode();
         self.out.push(Output::Reply(ask.owner, failed));
         self.counters.failed += 1;
         self.place(request, attempt, machine);
-        self.finish(request, attempt, outcome, read::why(message), read::load(message, &self.shape));
+        self.finish(
+            request,
+            attempt,
+            outcome,
+            read::why(message),
+            read::load(message, &self.shape),
+        );
     }
 
-    fn on_release(&mut self, request: RequestId, attempt: u16, machine: MachineId, message: &Message) {
-        let Some(ask) = self.asks.get(&request) else { return };
+    fn on_release(
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        machine: MachineId,
+        message: &Message,
+    ) {
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         let (why, load) = (read::why(message), read::load(message, &self.shape));
         let cause = message.cause();
-        if ask.life.is_open() && cause == Some(cause::ORDINARY) && message.get(code::DESCRIPTION).is_some() {
+        if ask.life.is_open()
+            && cause == Some(cause::ORDINARY)
+            && message.get(code::DESCRIPTION).is_some()
+        {
             // A short task has come to its end before its start was told: one word brings the description and the
             // end. Its key is known from now on, so that each further try would be discarded.
             self.on_answer(request, attempt, machine, message);
--- a/crates/platform/src/desk/hosts.rs
+++ b/crates/platform/src/desk/hosts.rs
@@ -83,7 +83,14 @@
 impl Hosts {
     pub(super) fn new(seed: u64) -> Hosts {
         let rng = fastrand::Rng::with_seed(seed);
-        Hosts { hosts: BTreeMap::new(), links: BTreeMap::new(), version: 0, standing: 0, next_link: 1, rng }
+        Hosts {
+            hosts: BTreeMap::new(),
+            links: BTreeMap::new(),
+            version: 0,
+            standing: 0,
+            next_link: 1,
+            rng,
+        }
     }
 
     /// The machine of an id: the same number at every controller, since the module ranks homes by it.
@@ -96,7 +103,10 @@
         self.hosts.entry(id).or_insert_with(|| Host {
             name: name.to_owned(),
             address: None,
-            line: MachineLine { machine: id, ..MachineLine::default() },
+            line: MachineLine {
+                machine: id,
+                ..MachineLine::default()
+            },
             links: Vec::new(),
             standing: BTreeMap::new(),
             heard_at: 0,
@@ -115,7 +125,9 @@
         for host in &told.servers {
             let id = self.named(&host.id);
             named.insert(id);
-            let Some(held) = self.hosts.get_mut(&id) else { continue };
+            let Some(held) = self.hosts.get_mut(&id) else {
+                continue;
+            };
             let index = |names: &[String], name: &Option<String>| {
                 let at = name.as_ref().map(|n| names.iter().position(|x| x == n));
                 // A name that the settings do not have is no index of theirs.
@@ -158,16 +170,24 @@
     /// All hosts that the list names.
     pub(super) fn lines(&self) -> Vec<MachineLine> {
         let listed = |h: &&Host| h.line.state != MachineState::Gone;
-        self.hosts.values().filter(listed).map(|h| h.line.clone()).collect()
+        self.hosts
+            .values()
+            .filter(listed)
+            .map(|h| h.line.clone())
+            .collect()
     }
 
     pub(super) fn is_gone(&self, machine: MachineId) -> bool {
-        self.hosts.get(&machine).is_none_or(|h| h.line.state == MachineState::Gone)
+        self.hosts
+            .get(&machine)
+            .is_none_or(|h| h.line.state == MachineState::Gone)
     }
 
     /// A list told its address.
     pub(super) fn is_known(&self, machine: MachineId) -> bool {
-        self.hosts.get(&machine).is_some_and(|h| h.address.is_some())
+        self.hosts
+            .get(&machine)
+            .is_some_and(|h| h.address.is_some())
     }
 
     pub(super) fn forget(&mut self, machine: MachineId) {
@@ -188,17 +208,27 @@
     }
 
     pub(super) fn standing_at(&self, machine: MachineId) -> Vec<RequestId> {
-        self.hosts.get(&machine).map(|h| h.standing.keys().copied().collect()).unwrap_or_default()
+        self.hosts
+            .get(&machine)
+            .map(|h| h.standing.keys().copied().collect())
+            .unwrap_or_default()
     }
 
     /// The standing task of this name there.
     pub(super) fn holding(&self, machine: MachineId, task: TaskKey) -> Option<RequestId> {
-        self.hosts.get(&machine)?.standing.iter().find(|(_, t)| **t == task).map(|(request, _)| *request)
+        self.hosts
+            .get(&machine)?
+            .standing
+            .iter()
+            .find(|(_, t)| **t == task)
+            .map(|(request, _)| *request)
     }
 
     /// A task stands there from now on.
     pub(super) fn stands(&mut self, machine: MachineId, request: RequestId, task: TaskKey) {
-        let Some(host) = self.hosts.get_mut(&machine) else { return };
+        let Some(host) = self.hosts.get_mut(&machine) else {
+            return;
+        };
         if host.standing.insert(request, task).is_none() {
             self.standing += 1;
         }
@@ -206,13 +236,17 @@
 
     /// Something of ours is there; true where nobody watched the host before.
     pub(super) fn look_after(&mut self, machine: MachineId, now: Micros) -> bool {
-        let Some(host) = self.hosts.get_mut(&machine).filter(|h| !h.watched) else { return false };
+        let Some(host) = self.hosts.get_mut(&machine).filter(|h| !h.watched) else {
+            return false;
+        };
         (host.watched, host.heard_at) = (true, now);
         true
     }
 
     pub(super) fn stands_no_more(&mut self, machine: MachineId, request: RequestId) {
-        let Some(host) = self.hosts.get_mut(&machine) else { return };
+        let Some(host) = self.hosts.get_mut(&machine) else {
+            return;
+        };
         host.owed.remove(&request);
         if host.standing.remove(&request).is_some() {
             self.standing -= 1;
@@ -220,16 +254,27 @@
     }
 
     /// Looks at the connections of a host with tasks; `None` ends the watch.
-    pub(super) fn watch(&mut self, machine: MachineId, now: Micros, bounds: Bounds) -> Option<Watched> {
+    pub(super) fn watch(
+        &mut self,
+        machine: MachineId,
+        now: Micros,
+        bounds: Bounds,
+    ) -> Option<Watched> {
         let host = self.hosts.get_mut(&machine)?;
-        let idle = host.links.iter().filter_map(|l| self.links.get(l)).all(|l| l.out.is_empty());
+        let idle = host
+            .links
+            .iter()
+            .filter_map(|l| self.links.get(l))
+            .all(|l| l.out.is_empty());
         if host.standing.is_empty() && idle {
             host.watched = false;
             return None;
         }
         let mut watched = Watched::default();
         for id in &host.links {
-            let Some(link) = self.links.get_mut(id).filter(|l| l.up && !l.hung) else { continue };
+            let Some(link) = self.links.get_mut(id).filter(|l| l.up && !l.hung) else {
+                continue;
+            };
             match link.tested_at {
                 // Danger: a connection can die without a word while its host is well. All that is out on it would
                 // wait out its patience, and more be sent after it.
@@ -251,14 +296,27 @@
     /// The connection for a set-up: one that carried none of its earlier attempts and has the fewest open, or a new
     /// one. `None` where the host has no address.
     pub(super) fn link_for(
-        &mut self, machine: MachineId, carried: &[LinkId], now: Micros, bounds: Bounds, out: &mut Vec<Output>,
+        &mut self,
+        machine: MachineId,
+        carried: &[LinkId],
+        now: Micros,
+        bounds: Bounds,
+        out: &mut Vec<Output>,
     ) -> Option<LinkId> {
         let host = self.hosts.get(&machine)?;
         let usable = |id: &&LinkId| {
-            let works = |l: &Link| !l.hung && l.tested_at.is_none_or(|at| at + bounds.test_within / 2 > now);
+            let works = |l: &Link| {
+                !l.hung
+                    && l.tested_at
+                        .is_none_or(|at| at + bounds.test_within / 2 > now)
+            };
             !carried.contains(id) && self.links.get(id).is_some_and(works)
         };
-        let load = |id: &LinkId| self.links.get(id).map_or(0, |l| l.out.len() + l.queued.len());
+        let load = |id: &LinkId| {
+            self.links
+                .get(id)
+                .map_or(0, |l| l.out.len() + l.queued.len())
+        };
         let usable: Vec<LinkId> = host.links.iter().filter(usable).copied().collect();
         let best = usable.iter().copied().min_by_key(|id| (load(id), *id));
         match best {
@@ -281,15 +339,26 @@
     /// idle connection that was silent longest goes, one without standing tasks first.
     fn spare(&mut self, out: &mut Vec<Output>) -> Option<()> {
         let idle = |l: &Link| l.up && !l.hung && l.queued.is_empty() && l.out.is_empty();
-        let needed = |l: &Link| self.hosts.get(&l.machine).is_some_and(|h| !h.standing.is_empty());
+        let needed = |l: &Link| {
+            self.hosts
+                .get(&l.machine)
+                .is_some_and(|h| !h.standing.is_empty())
+        };
         let idle = self.links.iter().filter(|(_, l)| idle(l));
-        let silent = idle.min_by_key(|(_, l)| (needed(l), l.heard_at)).map(|(id, _)| *id)?;
+        let silent = idle
+            .min_by_key(|(_, l)| (needed(l), l.heard_at))
+            .map(|(id, _)| *id)?;
         self.links.get_mut(&silent)?.hung = true;
         out.push(Output::Hang(silent));
         Some(())
     }
 
-    fn dial(&mut self, machine: MachineId, bounds: Bounds, out: &mut Vec<Output>) -> Option<LinkId> {
+    fn dial(
+        &mut self,
+        machine: MachineId,
+        bounds: Bounds,
+        out: &mut Vec<Output>,
+    ) -> Option<LinkId> {
         let address = self.hosts.get(&machine)?.address?;
         if self.links.len() >= bounds.all_links {
             self.spare(out)?;
@@ -324,9 +393,14 @@
 
     /// Dials a host with tasks where it has no connection left or may have said what was not heard.
     pub(super) fn keep_link(&mut self, machine: MachineId, bounds: Bounds, out: &mut Vec<Output>) {
-        let Some(host) = self.hosts.get(&machine) else { return };
+        let Some(host) = self.hosts.get(&machine) else {
+            return;
+        };
         let hung = |id: &LinkId| self.links.get(id).is_none_or(|l| l.hung);
-        let none = host.links.iter().all(|id| hung(id) || host.missed.is_some_and(|first| *id < first));
+        let none = host
+            .links
+            .iter()
+            .all(|id| hung(id) || host.missed.is_some_and(|first| *id < first));
         if none && host.line.state != MachineState::Gone && !host.standing.is_empty() {
             self.dial(machine, bounds, out);
         }
@@ -343,7 +417,10 @@
     }
 
     pub(super) fn links_of(&self, machine: MachineId) -> Vec<LinkId> {
-        self.hosts.get(&machine).map(|h| h.links.clone()).unwrap_or_default()
+        self.hosts
+            .get(&machine)
+            .map(|h| h.links.clone())
+            .unwrap_or_default()
     }
 
     pub(super) fn is_up(&self, link: LinkId) -> bool {
@@ -368,7 +445,10 @@
 
     /// The tasks whose cut waits for a connection.
     pub(super) fn take_owed(&mut self, machine: MachineId) -> BTreeSet<RequestId> {
-        self.hosts.get_mut(&machine).map(|h| std::mem::take(&mut h.owed)).unwrap_or_default()
+        self.hosts
+            .get_mut(&machine)
+            .map(|h| std::mem::take(&mut h.owed))
+            .unwrap_or_default()
     }
 
     /// Something came over a connection: whose it is.
@@ -386,10 +466,14 @@
         if let Some(host) = self.hosts.get_mut(&l.machine) {
             host.links.retain(|id| *id != link);
             let unread = l.unread.into_iter().map(|(_, request)| request);
-            host.owed.extend(unread.filter(|r| host.standing.contains_key(r)));
+            host.owed
+                .extend(unread.filter(|r| host.standing.contains_key(r)));
         }
         let tries = l.queued.into_iter().chain(l.out).collect();
-        Some(Fallen { machine: l.machine, tries })
+        Some(Fallen {
+            machine: l.machine,
+            tries,
+        })
     }
 
     /// No connection can take the cut of a task now.
@@ -408,8 +492,12 @@
 
     /// A test was passed: the tasks whose cut was read before it.
     pub(super) fn read(&mut self, link: LinkId, test: u64) -> Vec<RequestId> {
-        let Some(l) = self.links.get_mut(&link) else { return Vec::new() };
-        let (read, unread) = std::mem::take(&mut l.unread).into_iter().partition(|(at, _)| *at < test);
+        let Some(l) = self.links.get_mut(&link) else {
+            return Vec::new();
+        };
+        let (read, unread) = std::mem::take(&mut l.unread)
+            .into_iter()
+            .partition(|(at, _)| *at < test);
         l.unread = unread;
         let read: Vec<(u64, RequestId)> = read;
         read.into_iter().map(|(_, request)| request).collect()
@@ -425,13 +513,22 @@
 
     /// Attempts that wait for a connection to a host that takes nothing new.
     pub(super) fn unsent_to_leaving(&self, machine: MachineId) -> Vec<(RequestId, u16)> {
-        let leaving = self.hosts.get(&machine).filter(|h| h.line.state != MachineState::Ready);
-        let links = leaving.into_iter().flat_map(|h| &h.links).filter_map(|l| self.links.get(l));
+        let leaving = self
+            .hosts
+            .get(&machine)
+            .filter(|h| h.line.state != MachineState::Ready);
+        let links = leaving
+            .into_iter()
+            .flat_map(|h| &h.links)
+            .filter_map(|l| self.links.get(l));
         links.flat_map(|l| l.queued.iter().copied()).collect()
     }
 
     pub(super) fn queued(&mut self, link: LinkId) -> Vec<(RequestId, u16)> {
-        self.links.get_mut(&link).map(|l| std::mem::take(&mut l.queued)).unwrap_or_default()
+        self.links
+            .get_mut(&link)
+            .map(|l| std::mem::take(&mut l.queued))
+            .unwrap_or_default()
     }
 
     pub(super) fn out(&mut self, link: LinkId, request: RequestId, attempt: u16) {
@@ -450,14 +547,18 @@
     /// A connection is to be tested: the test's id. It tells how much was written before, so that what the host says to
     /// it shows what the host has read; 0 would be no id.
     pub(super) fn tested(&mut self, link: LinkId, now: Micros) -> u64 {
-        let Some(l) = self.links.get_mut(&link) else { return 0 };
+        let Some(l) = self.links.get_mut(&link) else {
+            return 0;
+        };
         l.tested_at = l.tested_at.or(Some(now));
         l.bytes + 1
     }
 
     /// A test was passed: tasks that were in doubt until then, each with the test that was to clear it.
     pub(super) fn passed(&mut self, link: LinkId, test: u64) -> BTreeSet<(u64, RequestId)> {
-        let Some(l) = self.links.get_mut(&link) else { return BTreeSet::new() };
+        let Some(l) = self.links.get_mut(&link) else {
+            return BTreeSet::new();
+        };
         let later = l.doubted.split_off(&(test.saturating_add(1), RequestId(0)));
         std::mem::replace(&mut l.doubted, later)
     }
@@ -471,7 +572,9 @@
 
     /// Counts bytes given to a connection; returns how many were before them.
     pub(super) fn sent(&mut self, link: LinkId, bytes: usize) -> u64 {
-        let Some(l) = self.links.get_mut(&link) else { return 0 };
+        let Some(l) = self.links.get_mut(&link) else {
+            return 0;
+        };
         l.bytes += bytes as u64;
         l.bytes - bytes as u64
     }
--- a/crates/platform/src/desk/late.rs
+++ b/crates/platform/src/desk/late.rs
@@ -14,7 +14,12 @@
 
 impl Late {
     pub(super) fn new(window: Micros) -> Late {
-        Late { window, began: 0, most: 0, before: 0 }
+        Late {
+            window,
+            began: 0,
+            most: 0,
+            before: 0,
+        }
     }
 
     /// What was due by `until` goes off now.
--- a/crates/platform/src/desk/line.rs
+++ b/crates/platform/src/desk/line.rs
@@ -51,7 +51,10 @@
 
     /// One that has to be answered by now, whoever's turn it is.
     pub(super) fn due(&mut self, now: Micros) -> Option<(OwnerId, Micros, Message)> {
-        let (&end, &owner) = self.ends.first_key_value().filter(|((at, _), _)| *at <= now)?;
+        let (&end, &owner) = self
+            .ends
+            .first_key_value()
+            .filter(|((at, _), _)| *at <= now)?;
         let line = self.lines.get_mut(&owner)?;
         let Waiting { came, message, .. } = line.remove(line.iter().position(|w| w.end == end)?)?;
         self.ends.remove(&end);
@@ -68,7 +71,9 @@
 
     /// Takes out what an owner gave up; false where it has none of this id in line.
     pub(super) fn give_up(&mut self, owner: OwnerId, id: u64) -> bool {
-        let Some(line) = self.lines.get_mut(&owner) else { return false };
+        let Some(line) = self.lines.get_mut(&owner) else {
+            return false;
+        };
         let before = self.ends.len();
         let ends = &mut self.ends;
         line.retain(|w| w.message.id != id || ends.remove(&w.end).is_none());
@@ -87,7 +92,9 @@
     }
 
     pub(super) fn holds(&self, owner: OwnerId, id: u64) -> bool {
-        self.lines.get(&owner).is_some_and(|l| l.iter().any(|w| w.message.id == id))
+        self.lines
+            .get(&owner)
+            .is_some_and(|l| l.iter().any(|w| w.message.id == id))
     }
 
     /// How many of one connection wait.
--- a/crates/platform/src/desk/read.rs
+++ b/crates/platform/src/desk/read.rs
@@ -33,7 +33,11 @@
 
 fn figures(message: &Message) -> Option<Figures<'_>> {
     let mut figures = Figures::default();
-    for pair in message.text(code::FIGURES)?.split(';').filter(|p| !p.is_empty()) {
+    for pair in message
+        .text(code::FIGURES)?
+        .split(';')
+        .filter(|p| !p.is_empty())
+    {
         let (name, value) = pair.split_once(':')?;
         match name.trim() {
             "cores" => figures.cores = Some(value.trim().parse().ok()?),
@@ -53,7 +57,11 @@
 
 /// How long its owner waits.
 pub(super) fn wait(message: &Message) -> Option<Micros> {
-    message.text(code::WAIT)?.parse::<u64>().ok().map(|ms| ms.saturating_mul(1000))
+    message
+        .text(code::WAIT)?
+        .parse::<u64>()
+        .ok()
+        .map(|ms| ms.saturating_mul(1000))
 }
 
 /// Names are hexadecimal here; any other text names something just as well.
@@ -66,16 +74,25 @@
 
 /// Reads a set-up: the request, the host that holds it already, and what is passed on unchanged.
 pub(super) fn set_up(
-    message: &Message, settings: &Settings, shape: &Shape,
+    message: &Message,
+    settings: &Settings,
+    shape: &Shape,
 ) -> Result<(Request, Option<String>, Body), Unusable> {
     // Danger: a host closes the connection on a set-up without an id, with all that is open on it.
     if message.id == 0 {
         return Err(Unusable::Id);
     }
     let name = message.text(code::CLASS).ok_or(Unusable::Class)?;
-    let index = shape.classes.iter().position(|c| c == name).ok_or(Unusable::Class)?;
+    let index = shape
+        .classes
+        .iter()
+        .position(|c| c == name)
+        .ok_or(Unusable::Class)?;
     let class = settings.classes.get(index).ok_or(Unusable::Class)?;
-    let task = message.text(code::TASK).filter(|t| !t.is_empty()).ok_or(Unusable::Task)?;
+    let task = message
+        .text(code::TASK)
+        .filter(|t| !t.is_empty())
+        .ok_or(Unusable::Task)?;
     let key = message.get(code::KEY);
     if matches!(class.repeat, Repeat::Keyed { .. }) && key.is_none_or(<[u8]>::is_empty) {
         return Err(Unusable::Key);
@@ -86,14 +103,21 @@
         settings.kinds.iter().map(of).fold(0.0, f64::max) * accepts.max(1.0)
     };
     let within = |x: Option<f64>, most: f64| x.filter(|x| x.is_finite() && *x > 0.0 && *x <= most);
-    let cores = within(figures.cores, most(|k| k.cores, settings.accepts_cores)).ok_or(Unusable::Figures)?;
-    let memory =
-        within(figures.memory, most(|k| k.memory, settings.accepts_memory)).ok_or(Unusable::Figures)?;
+    let cores = within(figures.cores, most(|k| k.cores, settings.accepts_cores))
+        .ok_or(Unusable::Figures)?;
+    let memory = within(figures.memory, most(|k| k.memory, settings.accepts_memory))
+        .ok_or(Unusable::Figures)?;
     // Names of hosts are kept while tasks stand there.
-    if figures.at.is_some_and(|host| host.is_empty() || host.len() > LONGEST_HOST) {
+    if figures
+        .at
+        .is_some_and(|host| host.is_empty() || host.len() > LONGEST_HOST)
+    {
         return Err(Unusable::Host);
     }
-    let service = figures.service.filter(|s| !s.is_empty()).ok_or(Unusable::Figures)?;
+    let service = figures
+        .service
+        .filter(|s| !s.is_empty())
+        .ok_or(Unusable::Figures)?;
     let wait = match (wait(message), figures.at) {
         (Some(wait), _) => wait,
         (_, Some(_)) => 0,
@@ -162,7 +186,13 @@
 
 /// A note on a task that stands.
 pub(super) fn note(message: &Message) -> Option<Note> {
-    let figure = || message.text(code::FIGURE)?.parse().ok().filter(|x: &f64| x.is_finite());
+    let figure = || {
+        message
+            .text(code::FIGURE)?
+            .parse()
+            .ok()
+            .filter(|x: &f64| x.is_finite())
+    };
     Some(match message.text(code::NOTE)? {
         "runs" => Note::Runs,
         "cores" => Note::CoresUsed(figure()?),
