--- a/crates/platform/src/desk/words.rs
+++ b/crates/platform/src/desk/words.rs
@@ -22,24 +22,42 @@
 /// Another attempt of the task was at the same host and ended without that host's word.
 pub(super) fn has_rival(ask: &Ask, attempt: u16) -> bool {
     let attempt = usize::from(attempt);
-    let Some(machine) = ask.tries.get(attempt).map(|t| t.machine) else { return false };
-    ask.tries.iter().enumerate().any(|(n, t)| n != attempt && t.machine == machine && t.stage == Stage::Loose)
+    let Some(machine) = ask.tries.get(attempt).map(|t| t.machine) else {
+        return false;
+    };
+    ask.tries
+        .iter()
+        .enumerate()
+        .any(|(n, t)| n != attempt && t.machine == machine && t.stage == Stage::Loose)
 }
 
 /// The attempt that a word on a connection of a host is about.
 pub(super) fn meant(ask: &Ask, link: LinkId, machine: MachineId, word: &Message) -> Meant {
     let cause = word.cause().filter(|_| word.kind == Kind::Release);
-    let (Life::Offered(n) | Life::Placed(n)) = ask.life else { return Meant::Nobodys };
-    let Some(t) = ask.tries.get(usize::from(n)) else { return Meant::Nobodys };
-    let end = matches!(cause, Some(cause::ORDINARY | cause::CALLED_OFF | cause::CUT));
+    let (Life::Offered(n) | Life::Placed(n)) = ask.life else {
+        return Meant::Nobodys;
+    };
+    let Some(t) = ask.tries.get(usize::from(n)) else {
+        return Meant::Nobodys;
+    };
+    let end = matches!(
+        cause,
+        Some(cause::ORDINARY | cause::CALLED_OFF | cause::CUT)
+    );
     if t.machine != machine {
         Meant::Nobodys
     } else if ask.life.is_open() && t.link == link {
         // The end of what stood, said again over the next connection that is opened, which may be the one opened for
         // this attempt. With a description an end is an answer as well.
-        let again =
-            end && cause != Some(cause::CUT) && word.get(code::DESCRIPTION).is_none() && has_rival(ask, n);
-        if matches!(t.stage, Stage::Out(_)) && !again { Meant::Of(n) } else { Meant::Nobodys }
+        let again = end
+            && cause != Some(cause::CUT)
+            && word.get(code::DESCRIPTION).is_none()
+            && has_rival(ask, n);
+        if matches!(t.stage, Stage::Out(_)) && !again {
+            Meant::Of(n)
+        } else {
+            Meant::Nobodys
+        }
     } else if !ask.life.is_open() && (t.link == link || !has_rival(ask, n)) {
         Meant::Of(n)
     } else if end {
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -9,7 +9,9 @@
 /// many hosts there are; what never ends must not fill the memory. An eighth holds a hundred times the hosts whose tables
 /// fit into the rest.
 pub fn longest(memory_mb: u64) -> usize {
-    usize::try_from(memory_mb.saturating_mul(1 << 20) / 8).unwrap_or(usize::MAX).max(1 << 20)
+    usize::try_from(memory_mb.saturating_mul(1 << 20) / 8)
+        .unwrap_or(usize::MAX)
+        .max(1 << 20)
 }
 
 /// A number comes every second; without a whole line for this long the service is silent.
@@ -23,7 +25,10 @@
 /// has the page's times.
 pub fn ask_again(drain_grace: Micros, dial_timeout: Micros) -> [Micros; 2] {
     let [broken, silent] = TOLD;
-    let most = broken.min(silent - SILENT).saturating_sub(dial_timeout).max(SOONEST);
+    let most = broken
+        .min(silent - SILENT)
+        .saturating_sub(dial_timeout)
+        .max(SOONEST);
     [(drain_grace / 4).clamp(SOONEST / 4, most), most]
 }
 
@@ -133,7 +138,10 @@
 impl Lines {
     /// No line is longer than so many bytes.
     pub fn new(longest: usize) -> Lines {
-        Lines { longest, searched: 0 }
+        Lines {
+            longest,
+            searched: 0,
+        }
     }
 
     /// Takes one whole line off the front of `buffer`, to which bytes are only added between two calls; a line without
@@ -144,10 +152,18 @@
     /// [`FeedError`]: the connection is of no further use.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Line>, FeedError> {
         let fresh = buffer.get(self.searched..).unwrap_or_default();
-        let Some(end) = fresh.iter().position(|b| *b == b'\n').map(|end| self.searched + end) else {
+        let Some(end) = fresh
+            .iter()
+            .position(|b| *b == b'\n')
+            .map(|end| self.searched + end)
+        else {
             self.searched = buffer.len();
             let endless = buffer.len() > self.longest;
-            return if endless { Err(FeedError::Endless(self.longest)) } else { Ok(None) };
+            return if endless {
+                Err(FeedError::Endless(self.longest))
+            } else {
+                Ok(None)
+            };
         };
         self.searched = 0;
         let line = buffer.split_to(end + 1);
--- a/crates/protocol/src/native.rs
+++ b/crates/protocol/src/native.rs
@@ -63,11 +63,17 @@
 type Input<'a> = LocatingSlice<&'a str>;
 
 fn word<'a>(input: &mut Input<'a>) -> ModalResult<&'a str> {
-    take_while(1.., |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.')).parse_next(input)
+    take_while(1.., |c: char| {
+        c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.')
+    })
+    .parse_next(input)
 }
 
 fn number(input: &mut Input<'_>) -> ModalResult<f64> {
-    (digit1, opt(('.', digit1))).take().parse_to().parse_next(input)
+    (digit1, opt(('.', digit1)))
+        .take()
+        .parse_to()
+        .parse_next(input)
 }
 
 fn span(input: &mut Input<'_>) -> ModalResult<Duration> {
@@ -89,16 +95,24 @@
 /// [`NativeError`] with the column at which the grammar is left, a name is unknown or stands twice.
 pub fn parse(text: &str) -> Result<Native, NativeError> {
     if text.len() > LONGEST {
-        return Err(NativeError { column: LONGEST + 1, what: format!("longer than {LONGEST} bytes") });
+        return Err(NativeError {
+            column: LONGEST + 1,
+            what: format!("longer than {LONGEST} bytes"),
+        });
     }
     let mut native = Native::default();
     let mut seen: Vec<&str> = Vec::new();
     let mut input = LocatingSlice::new(text);
-    let at = |input: &Input<'_>, what: String| NativeError { column: input.current_token_start() + 1, what };
+    let at = |input: &Input<'_>, what: String| NativeError {
+        column: input.current_token_start() + 1,
+        what,
+    };
     skip_space(&mut input);
     while !input.is_empty() {
         let before = input;
-        let Ok(name) = word(&mut input) else { return Err(at(&before, "a name was expected".into())) };
+        let Ok(name) = word(&mut input) else {
+            return Err(at(&before, "a name was expected".into()));
+        };
         let equals: ModalResult<char> = '='.parse_next(&mut input);
         if equals.is_err() {
             return Err(at(&input, format!("'=' was expected after '{name}'")));
@@ -117,13 +131,36 @@
                 native.deadline = Some(time);
             }
             "life" => {
-                native.life = Some(span(&mut input).map_err(|_| expected("a time such as 800ms or 5s"))?)
+                native.life =
+                    Some(span(&mut input).map_err(|_| expected("a time such as 800ms or 5s"))?)
+            }
+            "class" => {
+                native.class = Some(
+                    word(&mut input)
+                        .map_err(|_| expected("a class name"))?
+                        .into(),
+                )
+            }
+            "tenant" => {
+                native.tenant = Some(
+                    word(&mut input)
+                        .map_err(|_| expected("a tenant name"))?
+                        .into(),
+                )
+            }
+            "task" => {
+                native.task = Some(
+                    word(&mut input)
+                        .map_err(|_| expected("a task name"))?
+                        .into(),
+                )
             }
-            "class" => native.class = Some(word(&mut input).map_err(|_| expected("a class name"))?.into()),
-            "tenant" => native.tenant = Some(word(&mut input).map_err(|_| expected("a tenant name"))?.into()),
-            "task" => native.task = Some(word(&mut input).map_err(|_| expected("a task name"))?.into()),
             "asked" => {
-                native.asked = Some(word(&mut input).map_err(|_| expected("a controller name"))?.into())
+                native.asked = Some(
+                    word(&mut input)
+                        .map_err(|_| expected("a controller name"))?
+                        .into(),
+                )
             }
             "again" => match word(&mut input) {
                 Ok("yes") => native.again = true,
@@ -146,7 +183,10 @@
                 return Err(at(&input, "a name was expected after ','".into()));
             }
         } else if !spaced && !input.is_empty() {
-            return Err(at(&end, format!("a space or ',' was expected after the value of '{name}'")));
+            return Err(at(
+                &end,
+                format!("a space or ',' was expected after the value of '{name}'"),
+            ));
         }
     }
     Ok(native)
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -94,14 +94,28 @@
 impl Fault {
     /// An error of DRMAA.
     pub fn drmaa(errno: Errno, message: impl Into<String>) -> Fault {
-        let data = FaultData { errno: errno.name().into(), ..FaultData::default() };
-        Fault { code: DRMAA_BASE - i64::from(errno.number()), message: message.into(), data: Some(data) }
+        let data = FaultData {
+            errno: errno.name().into(),
+            ..FaultData::default()
+        };
+        Fault {
+            code: DRMAA_BASE - i64::from(errno.number()),
+            message: message.into(),
+            data: Some(data),
+        }
     }
 
     /// An error of JSON-RPC itself.
     pub fn rpc(code: i64, message: impl Into<String>) -> Fault {
-        let data = FaultData { errno: Errno::InvalidArgument.name().into(), ..FaultData::default() };
-        Fault { code, message: message.into(), data: Some(data) }
+        let data = FaultData {
+            errno: Errno::InvalidArgument.name().into(),
+            ..FaultData::default()
+        };
+        Fault {
+            code,
+            message: message.into(),
+            data: Some(data),
+        }
     }
 
     /// The DRMAA error that it stands for.
@@ -163,7 +177,10 @@
 impl JobTemplate {
     /// A scalar attribute, where it is set and not empty.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.attributes.get(name).map(String::as_str).filter(|v| !v.is_empty())
+        self.attributes
+            .get(name)
+            .map(String::as_str)
+            .filter(|v| !v.is_empty())
     }
 
     /// A vector attribute; empty where it is not set.
--- a/crates/push/src/backlog.rs
+++ b/crates/push/src/backlog.rs
@@ -68,29 +68,51 @@
     /// Where the folder cannot be read or made, or another process has it open.
     pub fn open(folder: &Path, bounds: Bounds) -> io::Result<Backlog> {
         fs::create_dir_all(folder)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("lock"))?;
-        lock.try_lock().map_err(|_| io::Error::other(format!("{} is open elsewhere", folder.display())))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(folder.join("lock"))?;
+        lock.try_lock()
+            .map_err(|_| io::Error::other(format!("{} is open elsewhere", folder.display())))?;
         let mut numbers: Vec<(u64, u64)> = Vec::new();
         for entry in fs::read_dir(folder)? {
             let entry = entry?;
             let name = entry.file_name();
-            let number = name.to_str().and_then(|n| n.strip_suffix(".seg")).and_then(|n| n.parse().ok());
+            let number = name
+                .to_str()
+                .and_then(|n| n.strip_suffix(".seg"))
+                .and_then(|n| n.parse().ok());
             if let Some(number) = number {
                 numbers.push((number, entry.metadata()?.len()));
             }
         }
         numbers.sort_unstable();
         let done = fs::read_to_string(folder.join("done")).unwrap_or_default();
-        let mut done = done.split_whitespace().map(|n| n.parse::<u64>().unwrap_or(0));
+        let mut done = done
+            .split_whitespace()
+            .map(|n| n.parse::<u64>().unwrap_or(0));
         let (segment, offset) = (done.next().unwrap_or(0), done.next().unwrap_or(0));
         for (number, _) in numbers.iter().filter(|(n, _)| *n < segment) {
             fs::remove_file(path(folder, *number))?;
         }
         numbers.retain(|(n, _)| *n >= segment);
-        let offset = if numbers.first().is_some_and(|(n, _)| *n == segment) { offset } else { 0 };
+        let offset = if numbers.first().is_some_and(|(n, _)| *n == segment) {
+            offset
+        } else {
+            0
+        };
         let segments = numbers.into();
         let (folder, lost) = (folder.to_owned(), Lost::default());
-        let mut backlog = Backlog { folder, bounds, segments, writer: None, offset, lost, _lock: lock };
+        let mut backlog = Backlog {
+            folder,
+            bounds,
+            segments,
+            writer: None,
+            offset,
+            lost,
+            _lock: lock,
+        };
         // What an earlier life was writing may be torn: writing goes on in a segment of its own.
         backlog.begin_segment()?;
         Ok(backlog)
@@ -103,12 +125,21 @@
 
     /// Bytes that wait.
     pub fn bytes(&self) -> u64 {
-        self.segments.iter().map(|(_, size)| size).sum::<u64>().saturating_sub(self.offset)
+        self.segments
+            .iter()
+            .map(|(_, size)| size)
+            .sum::<u64>()
+            .saturating_sub(self.offset)
     }
 
     fn begin_segment(&mut self) -> io::Result<()> {
         let number = self.segments.back().map_or(1, |(n, _)| n + 1);
-        self.writer = Some(OpenOptions::new().create(true).append(true).open(path(&self.folder, number))?);
+        self.writer = Some(
+            OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(path(&self.folder, number))?,
+        );
         self.segments.push_back((number, 0));
         Ok(())
     }
@@ -124,7 +155,11 @@
     }
 
     fn try_append(&mut self, at: i64, payload: &[u8]) -> io::Result<()> {
-        if self.segments.back().is_none_or(|(_, size)| *size >= self.bounds.segment) {
+        if self
+            .segments
+            .back()
+            .is_none_or(|(_, size)| *size >= self.bounds.segment)
+        {
             self.begin_segment()?;
         }
         let mut bytes = Vec::with_capacity(HEAD + payload.len());
@@ -134,7 +169,10 @@
         bytes.extend(payload);
         let sum = crc32fast::hash(&bytes[8..]);
         bytes[4..8].copy_from_slice(&sum.to_le_bytes());
-        let writer = self.writer.as_mut().ok_or_else(|| io::Error::other("no segment is open"))?;
+        let writer = self
+            .writer
+            .as_mut()
+            .ok_or_else(|| io::Error::other("no segment is open"))?;
         writer.write_all(&bytes)?;
         if let Some((_, size)) = self.segments.back_mut() {
             *size += bytes.len() as u64;
@@ -145,7 +183,9 @@
     /// Drops whole segments, oldest first, while there are too many bytes.
     fn make_room(&mut self) {
         while self.bytes() > self.bounds.bytes && self.segments.len() > 1 {
-            let left = self.read_from(self.offset, usize::MAX).map_or(0, |(records, _)| records.len());
+            let left = self
+                .read_from(self.offset, usize::MAX)
+                .map_or(0, |(records, _)| records.len());
             self.lost.room += left as u64;
             self.drop_oldest();
         }
@@ -173,7 +213,10 @@
                 return records;
             }
             self.lost.age += aged as u64;
-            let skip: u64 = records[..aged].iter().map(|r| (HEAD + r.payload.len()) as u64).sum();
+            let skip: u64 = records[..aged]
+                .iter()
+                .map(|r| (HEAD + r.payload.len()) as u64)
+                .sum();
             self.offset = (self.offset + skip).min(next);
         }
     }
@@ -184,20 +227,25 @@
             return;
         }
         if let Some((records, _)) = self.read_from(self.offset, count) {
-            self.offset += records.iter().map(|r| (HEAD + r.payload.len()) as u64).sum::<u64>();
+            self.offset += records
+                .iter()
+                .map(|r| (HEAD + r.payload.len()) as u64)
+                .sum::<u64>();
         }
         let segment = self.segments.front().map_or(0, |(n, _)| *n);
         // Written beside and moved, so that a crash leaves the old word or the new one.
         let (new, file) = (self.folder.join("done.new"), self.folder.join("done"));
-        let written =
-            fs::write(&new, format!("{segment} {}\n", self.offset)).and_then(|()| fs::rename(new, file));
+        let written = fs::write(&new, format!("{segment} {}\n", self.offset))
+            .and_then(|()| fs::rename(new, file));
         // Without it a restart would send some records again, which receivers bear.
         let _ = written;
     }
 
     /// The oldest segment is read to its end, or damaged there: the next one is the oldest.
     fn leave_segment(&mut self) -> bool {
-        let Some((_, size)) = self.segments.front().copied() else { return false };
+        let Some((_, size)) = self.segments.front().copied() else {
+            return false;
+        };
         if self.segments.len() == 1 {
             return false;
         }
@@ -216,7 +264,9 @@
         let mut reader = io::BufReader::new(file.take(size.saturating_sub(offset)));
         let (mut records, mut at) = (Vec::new(), offset);
         while records.len() < most {
-            let Some(record) = read_record(&mut reader) else { break };
+            let Some(record) = read_record(&mut reader) else {
+                break;
+            };
             at += (HEAD + record.payload.len()) as u64;
             records.push(record);
         }
@@ -244,5 +294,8 @@
     }
     let mut at = [0; 8];
     at.copy_from_slice(&bytes[..8]);
-    Some(Record { at: i64::from_le_bytes(at), payload: bytes.split_off(8) })
+    Some(Record {
+        at: i64::from_le_bytes(at),
+        payload: bytes.split_off(8),
+    })
 }
--- a/crates/push/src/encode.rs
+++ b/crates/push/src/encode.rs
@@ -138,16 +138,31 @@
         Version::V2 => second(samples).encode_to_vec(),
     };
     // A block of this encoder fails only beyond 4 GiB, which no batch reaches.
-    snap::raw::Encoder::new().compress_vec(&bytes).unwrap_or_default()
+    snap::raw::Encoder::new()
+        .compress_vec(&bytes)
+        .unwrap_or_default()
 }
 
 fn first(samples: &[Sample]) -> v1::WriteRequest {
-    let label = |(name, value): &(String, String)| v1::Label { name: name.clone(), value: value.clone() };
-    let series = by_series(samples).into_iter().map(|(labels, samples)| v1::TimeSeries {
-        labels: labels.iter().map(label).collect(),
-        samples: samples.iter().map(|s| v1::Sample { value: s.value, timestamp: s.at }).collect(),
-    });
-    v1::WriteRequest { timeseries: series.collect() }
+    let label = |(name, value): &(String, String)| v1::Label {
+        name: name.clone(),
+        value: value.clone(),
+    };
+    let series = by_series(samples)
+        .into_iter()
+        .map(|(labels, samples)| v1::TimeSeries {
+            labels: labels.iter().map(label).collect(),
+            samples: samples
+                .iter()
+                .map(|s| v1::Sample {
+                    value: s.value,
+                    timestamp: s.at,
+                })
+                .collect(),
+        });
+    v1::WriteRequest {
+        timeseries: series.collect(),
+    }
 }
 
 fn second(samples: &[Sample]) -> v2::Request {
@@ -164,7 +179,10 @@
     };
     let mut timeseries = Vec::new();
     for (labels, samples) in by_series(samples) {
-        let labels_refs = labels.iter().flat_map(|(n, v)| [place(n), place(v)]).collect();
+        let labels_refs = labels
+            .iter()
+            .flat_map(|(n, v)| [place(n), place(v)])
+            .collect();
         let kind = samples.first().map(|s| s.kind);
         let r#type = match kind {
             Some(SeriesKind::Counter) => 1,
@@ -175,10 +193,23 @@
         };
         timeseries.push(v2::TimeSeries {
             labels_refs,
-            samples: samples.iter().map(|s| v1::Sample { value: s.value, timestamp: s.at }).collect(),
-            metadata: Some(v2::Metadata { r#type, help_ref: 0, unit_ref: 0 }),
+            samples: samples
+                .iter()
+                .map(|s| v1::Sample {
+                    value: s.value,
+                    timestamp: s.at,
+                })
+                .collect(),
+            metadata: Some(v2::Metadata {
+                r#type,
+                help_ref: 0,
+                unit_ref: 0,
+            }),
             created_timestamp: samples.first().map_or(0, |s| s.created),
         });
     }
-    v2::Request { symbols, timeseries }
+    v2::Request {
+        symbols,
+        timeseries,
+    }
 }
--- a/crates/push/src/lib.rs
+++ b/crates/push/src/lib.rs
@@ -42,19 +42,28 @@
 
 /// A sample that ends a series.
 pub fn stale(sample: &Sample, at: i64) -> Sample {
-    Sample { value: f64::from_bits(STALE), at, ..sample.clone() }
+    Sample {
+        value: f64::from_bits(STALE),
+        at,
+        ..sample.clone()
+    }
 }
 
 /// Makes samples of gathered figures, all at one time, with labels that tell this instance apart from others.
 ///
 /// External labels never overrule those of a figure: what the program says of itself stays readable.
 pub fn samples(
-    points: &[peppercove_metrics::Point], external: &[(String, String)], at: i64, created: i64,
+    points: &[peppercove_metrics::Point],
+    external: &[(String, String)],
+    at: i64,
+    created: i64,
 ) -> Vec<Sample> {
     let sample = |p: &peppercove_metrics::Point| {
         let mut labels = p.labels.clone();
         labels.push(("__name__".into(), p.name.clone()));
-        let more = external.iter().filter(|(n, _)| !p.labels.iter().any(|(l, _)| l == n));
+        let more = external
+            .iter()
+            .filter(|(n, _)| !p.labels.iter().any(|(l, _)| l == n));
         labels.extend(more.cloned());
         labels.sort();
         let kind = match p.family.kind {
@@ -62,8 +71,18 @@
             peppercove_metrics::Kind::Gauge => SeriesKind::Gauge,
             peppercove_metrics::Kind::Histogram => SeriesKind::Histogram,
         };
-        let created = if kind == SeriesKind::Gauge { 0 } else { created };
-        Sample { labels, value: p.value, at, kind, created }
+        let created = if kind == SeriesKind::Gauge {
+            0
+        } else {
+            created
+        };
+        Sample {
+            labels,
+            value: p.value,
+            at,
+            kind,
+            created,
+        }
     };
     points.iter().map(sample).collect()
 }
--- a/crates/push/src/sender.rs
+++ b/crates/push/src/sender.rs
@@ -79,7 +79,17 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let not_before = now.saturating_add(rng.u64(0..=settings.least));
         let (version, size) = (settings.version, settings.batch.max(1));
-        Sender { settings, rng, version, switched: false, out: None, suspected: 0, size, wait: 0, not_before }
+        Sender {
+            settings,
+            rng,
+            version,
+            switched: false,
+            out: None,
+            suspected: 0,
+            size,
+            wait: 0,
+            not_before,
+        }
     }
 
     /// The version that the receiver speaks, as far as is known.
@@ -102,11 +112,17 @@
 
     /// What came of the batch that is out.
     pub fn told(&mut self, now: Micros, outcome: Outcome) -> Verdict {
-        let Some(count) = self.out.take() else { return Verdict::Keep };
+        let Some(count) = self.out.take() else {
+            return Verdict::Keep;
+        };
         match outcome {
             Outcome::Status(200..=299, _) => {
                 (self.wait, self.switched) = (0, false);
-                let pace = if self.settings.per_second > 0.0 { 1e6 / self.settings.per_second } else { 0.0 };
+                let pace = if self.settings.per_second > 0.0 {
+                    1e6 / self.settings.per_second
+                } else {
+                    0.0
+                };
                 self.not_before = now.saturating_add(pace as Micros);
                 self.suspected = self.suspected.saturating_sub(count);
                 if self.suspected == 0 {
@@ -118,7 +134,11 @@
             }
             Outcome::Status(415, _) if !self.switched => {
                 self.switched = true;
-                self.version = if self.version == Version::V1 { Version::V2 } else { Version::V1 };
+                self.version = if self.version == Version::V1 {
+                    Version::V2
+                } else {
+                    Version::V1
+                };
                 self.not_before = now;
                 Verdict::Keep
             }
@@ -134,7 +154,11 @@
                 self.not_before = now;
                 if count == 1 {
                     self.suspected = self.suspected.saturating_sub(1);
-                    self.size = if self.suspected == 0 { self.settings.batch.max(1) } else { self.suspected };
+                    self.size = if self.suspected == 0 {
+                        self.settings.batch.max(1)
+                    } else {
+                        self.suspected
+                    };
                     return Verdict::Drop;
                 }
                 // One of these is at fault: looked for by halves, the others get through.
@@ -146,13 +170,15 @@
     }
 
     fn back_off(&mut self, now: Micros, after: Option<Micros>) {
-        self.wait = self
-            .wait
-            .saturating_mul(2)
-            .clamp(self.settings.least, self.settings.most.max(self.settings.least));
+        self.wait = self.wait.saturating_mul(2).clamp(
+            self.settings.least,
+            self.settings.most.max(self.settings.least),
+        );
         let wait = self.wait / 2 + self.rng.u64(0..=self.wait / 2);
         // A receiver may not ask for longer than the longest wait: it might never come back to us.
-        let after = after.unwrap_or(0).min(self.settings.most.max(self.settings.least));
+        let after = after
+            .unwrap_or(0)
+            .min(self.settings.most.max(self.settings.least));
         self.not_before = now.saturating_add(wait.max(after));
     }
 }
--- a/crates/push/src/shares.rs
+++ b/crates/push/src/shares.rs
@@ -24,7 +24,10 @@
             Duty::Take => 2_000.0,
             Duty::Send => 5_000.0,
         };
-        Cost { cpu, ..Cost::default() }
+        Cost {
+            cpu,
+            ..Cost::default()
+        }
     }
 }
 
@@ -32,10 +35,25 @@
 pub const LOOK: Micros = 20_000;
 
 /// The background work of a pusher that may take these shares of a second's processor time.
-pub fn settings(calm_share: f64, pressed_share: f64, calm_below: Micros, pressed_from: Micros) -> Settings {
+pub fn settings(
+    calm_share: f64,
+    pressed_share: f64,
+    calm_below: Micros,
+    pressed_from: Micros,
+) -> Settings {
     // A piece that failed is decided on by the sender, which keeps the batch: the scheduler does not try again.
-    let retry = Retry { least: 1, most: 1, tries: 1 };
-    let class = |priority| Class { priority, budget: Cost::default(), queue: 1, slots: 1, retry };
+    let retry = Retry {
+        least: 1,
+        most: 1,
+        tries: 1,
+    };
+    let class = |priority| Class {
+        priority,
+        budget: Cost::default(),
+        queue: 1,
+        slots: 1,
+        retry,
+    };
     Settings {
         // Figures are taken before others are sent: what is not taken in time is lost, what waits is not.
         classes: vec![class(1), class(0)],
@@ -57,7 +75,13 @@
 
     #[test]
     fn figures_are_taken_before_others_are_sent() {
-        let mut b = Background::new(Settings { slots: 1, ..settings(1.0, 0.1, 5_000, 50_000) }, 1);
+        let mut b = Background::new(
+            Settings {
+                slots: 1,
+                ..settings(1.0, 0.1, 5_000, 50_000)
+            },
+            1,
+        );
         let submit = |work, duty: Duty| Event::Submit {
             work: WorkId(work),
             class: duty.class(),
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -13,8 +13,13 @@
 impl Clock {
     /// A clock that begins now.
     pub fn start() -> Clock {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { began: Instant::now(), base: u64::try_from(since.as_micros()).unwrap_or(0).max(1) }
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            began: Instant::now(),
+            base: u64::try_from(since.as_micros()).unwrap_or(0).max(1),
+        }
     }
 
     /// The time now.
@@ -29,6 +34,8 @@
 
     /// A time of this clock as the runtime's timers want it.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        tokio::time::Instant::from_std(self.began + Duration::from_micros(at.saturating_sub(self.base)))
+        tokio::time::Instant::from_std(
+            self.began + Duration::from_micros(at.saturating_sub(self.base)),
+        )
     }
 }
--- a/crates/runtime/src/pipe.rs
+++ b/crates/runtime/src/pipe.rs
@@ -23,7 +23,10 @@
 impl Budget {
     /// A budget of so many bytes.
     pub fn new(most: usize) -> Rc<Budget> {
-        Rc::new(Budget { most, used: Cell::new(0) })
+        Rc::new(Budget {
+            most,
+            used: Cell::new(0),
+        })
     }
 
     /// Bytes that wait now.
@@ -61,7 +64,14 @@
     pub fn new(budget: &Rc<Budget>) -> Outbox {
         let (written, ending) = (Cell::new(0), Cell::new(None));
         let (bytes, stream) = (RefCell::default(), RefCell::default());
-        Outbox { bytes, budget: budget.clone(), written, ending, changed: Notify::new(), stream }
+        Outbox {
+            bytes,
+            budget: budget.clone(),
+            written,
+            ending,
+            changed: Notify::new(),
+            stream,
+        }
     }
 
     /// Queues a message, which goes out with the next [`Outbox::write`]; false where the peer has left too much unread,
@@ -148,7 +158,9 @@
 
 impl Drop for Outbox {
     fn drop(&mut self) {
-        self.budget.used.set(self.budget.used.get() - self.bytes.get_mut().len());
+        self.budget
+            .used
+            .set(self.budget.used.get() - self.bytes.get_mut().len());
     }
 }
 
@@ -168,7 +180,9 @@
 /// Carries bytes both ways until the connection ends. `read` takes what it can use off the front of the buffer; false
 /// ends the connection. One that is finished is read once more before it ends, so that [`Outbox::stay`] can be called.
 pub async fn carry(
-    stream: &Rc<TcpStream>, outbox: &Outbox, mut read: impl FnMut(&mut BytesMut) -> bool,
+    stream: &Rc<TcpStream>,
+    outbox: &Outbox,
+    mut read: impl FnMut(&mut BytesMut) -> bool,
 ) -> Closed {
     *outbox.stream.borrow_mut() = Rc::downgrade(stream);
     let mut buffer = BytesMut::new();
@@ -201,7 +215,11 @@
             Err(e) if e.kind() == ErrorKind::WouldBlock => true,
             Err(e) => return Closed::Failed(e),
         };
-        let interest = if writing { Interest::READABLE | Interest::WRITABLE } else { Interest::READABLE };
+        let interest = if writing {
+            Interest::READABLE | Interest::WRITABLE
+        } else {
+            Interest::READABLE
+        };
         tokio::select! {
             ready = stream.ready(interest) => match ready {
                 Ok(ready) if ready.is_readable() || ready.is_read_closed() => {
--- a/crates/runtime/src/timer.rs
+++ b/crates/runtime/src/timer.rs
@@ -24,7 +24,12 @@
 
     /// Calls `tick` whenever the time that `next` names has come, with that time; never ends. What came before that time
     /// has been read by then: the runtime looks for both at once, and wakes those who read first.
-    pub async fn keep(&self, clock: &Clock, next: impl Fn() -> Option<Micros>, tick: impl Fn(Micros)) {
+    pub async fn keep(
+        &self,
+        clock: &Clock,
+        next: impl Fn() -> Option<Micros>,
+        tick: impl Fn(Micros),
+    ) {
         loop {
             let at = next();
             self.armed.set(at);
--- a/crates/scale/src/chart.rs
+++ b/crates/scale/src/chart.rs
@@ -15,7 +15,9 @@
 
 /// The sizes, as multiples of the target.
 pub fn factors() -> Vec<f64> {
-    (-STEPS..=STEPS).map(|i| 10f64.powf(f64::from(i) / f64::from(STEPS))).collect()
+    (-STEPS..=STEPS)
+        .map(|i| 10f64.powf(f64::from(i) / f64::from(STEPS)))
+        .collect()
 }
 
 /// A need's name and its need over budget by machines of the fleet.
@@ -24,11 +26,17 @@
 /// The lines of a role's chart; needs without budget or measurement are left out.
 fn lines(role: &str, needs: &Needs, book: &Book, target: &Target) -> Result<Vec<Line>> {
     let mut lines = Vec::new();
-    for need in needs.needs.iter().filter(|n| n.role == role && n.budget != Budget::None) {
+    for need in needs
+        .needs
+        .iter()
+        .filter(|n| n.role == role && n.budget != Budget::None)
+    {
         let mut points = Vec::new();
         for factor in factors() {
             let size = target.scaled(factor);
-            let ratio = Worked::out(need, book, &size)?.ratio.filter(|r| *r > 0.0 && r.is_finite());
+            let ratio = Worked::out(need, book, &size)?
+                .ratio
+                .filter(|r| *r > 0.0 && r.is_finite());
             points.extend(ratio.map(|r| (size.machines, r)));
         }
         if !points.is_empty() {
@@ -47,17 +55,27 @@
     if lines.is_empty() {
         return Ok(None);
     }
-    let ratios = lines.iter().flat_map(|(_, points)| points.iter().map(|p| p.1));
+    let ratios = lines
+        .iter()
+        .flat_map(|(_, points)| points.iter().map(|p| p.1));
     let (least, most) = ratios.fold((1.0f64, 1.0f64), |(l, m), r| (l.min(r), m.max(r)));
     let tens = |power: f64| 10f64.powf(power);
-    let edges = (tens(least.max(LEAST).log10().floor() - 0.1), tens(most.log10().ceil() + 0.1));
+    let edges = (
+        tens(least.max(LEAST).log10().floor() - 0.1),
+        tens(most.log10().ceil() + 0.1),
+    );
     let mut svg = String::new();
-    drawn(&mut svg, role, &lines, edges, target).map_err(|e| anyhow!("the chart of {role}: {e}"))?;
+    drawn(&mut svg, role, &lines, edges, target)
+        .map_err(|e| anyhow!("the chart of {role}: {e}"))?;
     Ok(Some(svg + "\n"))
 }
 
 fn drawn(
-    svg: &mut String, role: &str, lines: &[Line], (low, high): (f64, f64), target: &Target,
+    svg: &mut String,
+    role: &str,
+    lines: &[Line],
+    (low, high): (f64, f64),
+    target: &Target,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let whole = SVGBackend::with_string(svg, (1_000, 520)).into_drawing_area();
     whole.fill(&WHITE)?;
@@ -72,7 +90,10 @@
     };
     let (from, to) = (target.scaled(0.1).machines, target.scaled(10.0).machines);
     let mut chart = ChartBuilder::on(&area)
-        .caption(format!("{role}: need over budget against the size of the fleet"), ("sans-serif", 18))
+        .caption(
+            format!("{role}: need over budget against the size of the fleet"),
+            ("sans-serif", 18),
+        )
         .margin(12)
         .x_label_area_size(44)
         .y_label_area_size(64)
@@ -89,11 +110,17 @@
     chart.draw_series(LineSeries::new([(from, 1.0), (to, 1.0)], budget))?;
     name("budget", budget)?;
     let size = BLACK.mix(0.3).stroke_width(1);
-    chart.draw_series(LineSeries::new([(target.machines, low), (target.machines, high)], size))?;
+    chart.draw_series(LineSeries::new(
+        [(target.machines, low), (target.machines, high)],
+        size,
+    ))?;
     name("the target's size", size)?;
     for (i, (need, points)) in lines.iter().enumerate() {
         let color = Palette99::pick(i).stroke_width(2);
-        chart.draw_series(LineSeries::new(points.iter().map(|&(x, y)| (x, y.max(low))), color))?;
+        chart.draw_series(LineSeries::new(
+            points.iter().map(|&(x, y)| (x, y.max(low))),
+            color,
+        ))?;
         name(need, color)?;
     }
     whole.present()?;
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -57,7 +57,9 @@
         spawn_local(async move {
             loop {
                 match listener.accept().await {
-                    Ok((stream, _)) => drop(spawn_local(serve(stream, bytes.clone(), untold.clone()))),
+                    Ok((stream, _)) => {
+                        drop(spawn_local(serve(stream, bytes.clone(), untold.clone())))
+                    }
                     Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
                 }
             }
@@ -80,7 +82,8 @@
                     let ends = untold.borrow_mut().remove(&(id >> 40)).unwrap_or_default();
                     ends.into_iter().for_each(|end| drop(out.send(end)));
                 }
-                let answer = Message::new(Kind::Answer, id).with(code::DESCRIPTION, &[b'h'; DESCRIPTION]);
+                let answer =
+                    Message::new(Kind::Answer, id).with(code::DESCRIPTION, &[b'h'; DESCRIPTION]);
                 let _ = out.send(answer);
                 if id & LASTING == 0 {
                     let (out, untold) = (out.clone(), untold.clone());
@@ -100,7 +103,10 @@
 
 /// Carries messages both ways until one side ends.
 async fn carry(
-    stream: TcpStream, mut said: UnboundedReceiver<Message>, bytes: &Bytes, mut hear: impl FnMut(Message),
+    stream: TcpStream,
+    mut said: UnboundedReceiver<Message>,
+    bytes: &Bytes,
+    mut hear: impl FnMut(Message),
 ) {
     let _ = stream.set_nodelay(true);
     let (mut from, mut to) = stream.into_split();
@@ -174,9 +180,16 @@
 impl Owners {
     /// Opens so many connections; each has passed a test, or is not waited for any longer than a second.
     pub async fn connect(
-        scheduler: usize, address: SocketAddr, connections: u64, bytes: &Rc<Bytes>,
+        scheduler: usize,
+        address: SocketAddr,
+        connections: u64,
+        bytes: &Rc<Bytes>,
     ) -> Result<Owners> {
-        let mut owners = Owners { scheduler, out: Vec::new(), heard: Rc::default() };
+        let mut owners = Owners {
+            scheduler,
+            out: Vec::new(),
+            heard: Rc::default(),
+        };
         for _ in 0..connections.max(1) {
             let stream = TcpStream::connect(address).await?;
             let (out, said) = unbounded_channel();
@@ -184,7 +197,10 @@
             owners.out.push(out);
             let (heard, bytes) = (owners.heard.clone(), bytes.clone());
             spawn_local(async move {
-                carry(stream, said, &bytes, |message| heard.borrow_mut().hear(&message)).await;
+                carry(stream, said, &bytes, |message| {
+                    heard.borrow_mut().hear(&message)
+                })
+                .await;
                 heard.borrow_mut().closed += 1;
             });
         }
@@ -206,7 +222,11 @@
     pub fn begin(&self) {
         let mut heard = self.heard.borrow_mut();
         let (tested, closed) = (heard.tested, heard.closed);
-        *heard = Heard { tested, closed, ..Heard::default() };
+        *heard = Heard {
+            tested,
+            closed,
+            ..Heard::default()
+        };
     }
 
     /// Microseconds from each set-up to its answer.
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -76,8 +76,16 @@
     let mut play = Play::begin(at, Some(LIFE))?;
     play.ask(at, starts);
     play.until(play.now + starts * 1_000_000 / at.starts.max(1) + 6 * LIFE);
-    let Crossed { asked, placed, ended, .. } = play.crossed;
-    ensure!(asked == starts && ended == placed, "{asked} of {starts} asked, {placed} placed, {ended} ended");
+    let Crossed {
+        asked,
+        placed,
+        ended,
+        ..
+    } = play.crossed;
+    ensure!(
+        asked == starts && ended == placed,
+        "{asked} of {starts} asked, {placed} placed, {ended} ended"
+    );
     Ok(play.over())
 }
 
@@ -88,7 +96,11 @@
     play.ask(&at, at.standing);
     play.until(play.now + at.standing * 1_000_000 / at.starts + 5_000_000);
     let Crossed { placed, ended, .. } = play.crossed;
-    ensure!(placed == at.standing && ended == 0, "{placed} of {} stand, {ended} ended", at.standing);
+    ensure!(
+        placed == at.standing && ended == 0,
+        "{placed} of {} stand, {ended} ended",
+        at.standing
+    );
     play.crossed = Crossed::default();
     play.until(play.now + seconds * 1_000_000);
     Ok(play.over())
@@ -98,10 +110,21 @@
     fn begin(at: &At, life: Option<Micros>) -> Result<Play> {
         let config = Config::parse(&config(at, address(0), &hosts(0..at.machines)), None, None)?;
         let bounds = Bounds::of(&config);
-        let module = View::new(Scheduler::new(config.settings.clone(), config.seed), &config.settings);
+        let module = View::new(
+            Scheduler::new(config.settings.clone(), config.seed),
+            &config.settings,
+        );
         let desk = Desk::new(module, config.settings, config.shape, bounds, config.seed);
         let (due, links, crossed) = (BTreeMap::new(), BTreeMap::new(), Crossed::default());
-        let mut play = Play { life, desk, now: 1_000_000, due, next: 0, links, crossed };
+        let mut play = Play {
+            life,
+            desk,
+            now: 1_000_000,
+            due,
+            next: 0,
+            links,
+            crossed,
+        };
         play.input(Input::Begin(config.known.entries));
         Ok(play)
     }
@@ -109,7 +132,10 @@
     fn ask(&mut self, at: &At, starts: u64) {
         for i in 1..=starts {
             let message = set_up(at, i, DESCRIPTION);
-            self.later(i * 1_000_000 / at.starts.max(1), Input::Owner(OWNER, message));
+            self.later(
+                i * 1_000_000 / at.starts.max(1),
+                Input::Owner(OWNER, message),
+            );
         }
     }
 
@@ -166,7 +192,9 @@
                     self.crossed.owner.add(frame.len());
                     match decode(&mut BytesMut::from(&frame[..])) {
                         Ok(Some(m)) if m.kind == Kind::Answer => self.crossed.placed += 1,
-                        Ok(Some(m)) if m.kind == Kind::Release && m.cause() == Some(cause::ORDINARY) => {
+                        Ok(Some(m))
+                            if m.kind == Kind::Release && m.cause() == Some(cause::ORDINARY) =>
+                        {
                             self.crossed.ended += 1;
                         }
                         _ => {}
@@ -177,10 +205,21 @@
                     self.links.insert(link, 0);
                     self.later(SOON, Input::LinkUp(link));
                 }
-                Output::Send(link, frame) | Output::TakeBack(link, frame) => self.at_host(link, &frame),
+                Output::Send(link, frame) | Output::TakeBack(link, frame) => {
+                    self.at_host(link, &frame)
+                }
                 Output::Hang(link) => {
                     if let Some(written) = self.links.remove(&link) {
-                        self.later(SOON, Input::LinkDown(link, Down::Broke { written, whole: true }));
+                        self.later(
+                            SOON,
+                            Input::LinkDown(
+                                link,
+                                Down::Broke {
+                                    written,
+                                    whole: true,
+                                },
+                            ),
+                        );
                     }
                 }
                 Output::Watch | Output::Log(_) => {}
@@ -189,10 +228,14 @@
     }
 
     fn at_host(&mut self, link: LinkId, frame: &[u8]) {
-        let Some(written) = self.links.get_mut(&link) else { return };
+        let Some(written) = self.links.get_mut(&link) else {
+            return;
+        };
         *written += frame.len() as u64;
         self.crossed.hosts.add(frame.len());
-        let Ok(Some(message)) = decode(&mut BytesMut::from(frame)) else { return };
+        let Ok(Some(message)) = decode(&mut BytesMut::from(frame)) else {
+            return;
+        };
         match message.kind {
             Kind::SetUp => {
                 let answer = Message::new(Kind::Answer, message.id);
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -7,8 +7,8 @@
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
 use peppercove::{
-    Class, Group, Kind, Load, MachineId, MachineLine, MachineState, Micros, Repeat, Request, RequestId,
-    ServiceId, Settings, Spread, TaskKey, Tenant,
+    Class, Group, Kind, Load, MachineId, MachineLine, MachineState, Micros, Repeat, Request,
+    RequestId, ServiceId, Settings, Spread, TaskKey, Tenant,
 };
 use std::collections::{BTreeMap, HashSet};
 use std::time::{Duration, Instant};
@@ -72,20 +72,47 @@
     /// price, so that empty machines are kept closed.
     pub fn settings(&self) -> Settings {
         let sample = Settings::sample();
-        let plain = Class { start_seconds: 20.0, ..sample.classes[0].clone() };
-        let keyed = Repeat::Keyed { group: Group::Rack, window: 4 * SECOND };
+        let plain = Class {
+            start_seconds: 20.0,
+            ..sample.classes[0].clone()
+        };
+        let keyed = Repeat::Keyed {
+            group: Group::Rack,
+            window: 4 * SECOND,
+        };
         let sorts = [
             plain.clone(),
-            Class { repeat: keyed, priority: 1, ..plain.clone() },
-            Class { repeat: Repeat::Unsafe, priority: 2, ..plain.clone() },
-            Class { spread: Spread::Zone, most: 4, ..plain },
+            Class {
+                repeat: keyed,
+                priority: 1,
+                ..plain.clone()
+            },
+            Class {
+                repeat: Repeat::Unsafe,
+                priority: 2,
+                ..plain.clone()
+            },
+            Class {
+                spread: Spread::Zone,
+                most: 4,
+                ..plain
+            },
         ];
         Settings {
             schedulers: self.at.schedulers as u32,
             own_number: 0,
-            classes: (0..self.at.classes as usize).map(|i| sorts[i % sorts.len()].clone()).collect(),
-            kinds: vec![Kind { cores: SIZE[0], memory: SIZE[1] }],
-            tenants: (0..self.at.tenants).map(|_| Tenant { quota_cores: Some(SIZE[0] * 10.0) }).collect(),
+            classes: (0..self.at.classes as usize)
+                .map(|i| sorts[i % sorts.len()].clone())
+                .collect(),
+            kinds: vec![Kind {
+                cores: SIZE[0],
+                memory: SIZE[1],
+            }],
+            tenants: (0..self.at.tenants)
+                .map(|_| Tenant {
+                    quota_cores: Some(SIZE[0] * 10.0),
+                })
+                .collect(),
             mean_cores: self.asks[0],
             mean_memory: self.asks[1],
             fleet_price: 0.1,
@@ -103,7 +130,10 @@
     /// No more machines than these hold the tasks that stand.
     #[must_use]
     pub fn held_by(self, most: u64) -> Cluster {
-        Cluster { holders: self.holders.min(most.max(1)), ..self }
+        Cluster {
+            holders: self.holders.min(most.max(1)),
+            ..self
+        }
     }
 
     /// Where the standing task `n` is: spread over the opened machines.
@@ -122,7 +152,11 @@
     /// Free cores and memory of machine `i`: others take three to six tenths of an opened one, and the tasks that stand
     /// take theirs.
     pub fn free(&mut self, i: u64) -> [f64; 2] {
-        let others = if Cluster::is_opened(i) { 0.3 + 0.3 * self.rng.f64() } else { 0.0 };
+        let others = if Cluster::is_opened(i) {
+            0.3 + 0.3 * self.rng.f64()
+        } else {
+            0.0
+        };
         let own = self.own(i) as f64;
         [0, 1].map(|r| SIZE[r] * (1.0 - others) - own * self.asks[r])
     }
@@ -155,7 +189,12 @@
     /// The load report of machine `i`.
     pub fn load(&mut self, i: u64) -> Load {
         let [cores, memory] = self.free(i);
-        Load { free_cores: Some(cores), free_memory: Some(memory), busy: Some(0.5), waiting: Some(0.0) }
+        Load {
+            free_cores: Some(cores),
+            free_memory: Some(memory),
+            busy: Some(0.5),
+            waiting: Some(0.0),
+        }
     }
 
     /// The ask of the standing task `n`.
@@ -167,7 +206,11 @@
     pub fn start(&mut self, n: u64, fresh: bool) -> Request {
         let new = fresh || self.rng.u8(0..50) == 0;
         self.fresh += u64::from(new);
-        let service = if new { (1 << 32) + self.fresh } else { self.rng.u64(0..self.services) };
+        let service = if new {
+            (1 << 32) + self.fresh
+        } else {
+            self.rng.u64(0..self.services)
+        };
         self.request(n, service)
     }
 
@@ -242,12 +285,20 @@
     /// As many starts as fit into a fraction of a second (of some seconds, where it is not quick) by what a start costs
     /// on this many machines, and no fewer than make a median.
     pub fn of(at: &At, quick: bool) -> Play {
-        let (fit, bound) = if quick { (300_000, 700) } else { (900_000, 1_500) };
+        let (fit, bound) = if quick {
+            (300_000, 700)
+        } else {
+            (900_000, 1_500)
+        };
         let starts = (fit / at.machines.max(1)).clamp(60, if quick { 400 } else { 1_000 });
         // Homes grow by a tenth with each start in time, for each class by itself; and as many come as end once the
         // longest start is over.
         let warm = (at.classes * 100).max(at.starts * 2).min(2_000);
-        Play { warm, starts, bound: Duration::from_millis(bound) }
+        Play {
+            warm,
+            starts,
+            bound: Duration::from_millis(bound),
+        }
     }
 
     /// When a window that begins now ends at the latest.
@@ -263,8 +314,12 @@
 /// machines of a large fleet, and the sum of the slopes would not know that it holds one in eight among many. Machines rise
 /// among as many as share a fleet of the target's size.
 pub fn among_many(mut sweeps: Vec<(Axis, Vec<At>)>) -> Vec<(Axis, Vec<At>)> {
-    let machines = sweeps.iter_mut().filter(|(axis, _)| *axis == Axis::Machines);
-    machines.flat_map(|(_, points)| points).for_each(|at| at.schedulers = MANY);
+    let machines = sweeps
+        .iter_mut()
+        .filter(|(axis, _)| *axis == Axis::Machines);
+    machines
+        .flat_map(|(_, points)| points)
+        .for_each(|at| at.schedulers = MANY);
     sweeps
 }
 
@@ -275,10 +330,18 @@
     let rising = |axis: Axis, most| crate::roles::rising(axis.of(&At::BASE), most, points);
     let mut sweeps: Vec<(Axis, Vec<At>)> = axes
         .iter()
-        .map(|&(axis, most)| (axis, rising(axis, most).into_iter().map(|n| axis.at(n)).collect()))
+        .map(|&(axis, most)| {
+            (
+                axis,
+                rising(axis, most).into_iter().map(|n| axis.at(n)).collect(),
+            )
+        })
         .collect();
-    let together = (0..points as usize)
-        .map(|i| axes.iter().fold(At::BASE, |at, &(axis, most)| axis.set(at, rising(axis, most)[i])));
+    let together = (0..points as usize).map(|i| {
+        axes.iter().fold(At::BASE, |at, &(axis, most)| {
+            axis.set(at, rising(axis, most)[i])
+        })
+    });
     let together = together.collect();
     sweeps.push((Axis::Together, together));
     sweeps
@@ -315,7 +378,11 @@
         let mut own: Vec<u64> = (0..1_000).map(|_| spent()).collect();
         own = own.windows(2).map(|pair| pair[1] - pair[0]).collect();
         own.sort_unstable();
-        Ok(Timings { own: own[own.len() / 2], empty: Histogram::new(2)?, windows: vec![BTreeMap::new()] })
+        Ok(Timings {
+            own: own[own.len() / 2],
+            empty: Histogram::new(2)?,
+            windows: vec![BTreeMap::new()],
+        })
     }
 
     /// What is noted from now on is another window's; what was noted before the first counts for nothing.
@@ -335,8 +402,13 @@
 
     /// Notes an event.
     pub fn note(&mut self, kind: &'static str, nanos: u64) {
-        let Some(window) = self.windows.last_mut() else { return };
-        let window = window.entry(kind).or_insert_with(|| Window { times: self.empty.clone(), sum: 0 });
+        let Some(window) = self.windows.last_mut() else {
+            return;
+        };
+        let window = window.entry(kind).or_insert_with(|| Window {
+            times: self.empty.clone(),
+            sum: 0,
+        });
         // The histogram grows by itself, so that no figure is out of its bounds.
         window.times.record(nanos.max(1)).ok();
         window.sum += nanos;
@@ -344,34 +416,59 @@
 
     /// How many events of a kind were noted.
     pub fn events(&self, kind: &str) -> u64 {
-        self.windows.iter().filter_map(|w| w.get(kind)).map(|w| w.times.len()).sum()
+        self.windows
+            .iter()
+            .filter_map(|w| w.get(kind))
+            .map(|w| w.times.len())
+            .sum()
     }
 
     /// Processor time of each kind of event, `<kind>_time`, and of the longest of all, in microseconds.
     pub fn measures(&self) -> Vec<Measure> {
-        let kinds: Vec<&'static str> = self.windows.iter().flat_map(|w| w.keys().copied()).collect();
+        let kinds: Vec<&'static str> = self
+            .windows
+            .iter()
+            .flat_map(|w| w.keys().copied())
+            .collect();
         let kinds: std::collections::BTreeSet<&'static str> = kinds.into_iter().collect();
         let mut measures = Vec::new();
         for kind in kinds {
             let of: Vec<&Window> = self.windows.iter().filter_map(|w| w.get(kind)).collect();
-            let medians = of.iter().map(|w| w.times.value_at_quantile(0.5) as f64 / 1e3).collect();
+            let medians = of
+                .iter()
+                .map(|w| w.times.value_at_quantile(0.5) as f64 / 1e3)
+                .collect();
             let mut all = self.empty.clone();
             for window in &of {
                 all += &window.times;
             }
             let measure = Measure::of(&format!("{kind}_time"), "us", Basis::Timed, medians);
             let p99 = Some(all.value_at_quantile(0.99) as f64 / 1e3);
-            measures.extend(measure.map(|m| Measure { p99, samples: all.len(), ..m }));
+            measures.extend(measure.map(|m| Measure {
+                p99,
+                samples: all.len(),
+                ..m
+            }));
         }
         let longest = |w: &BTreeMap<&str, Window>| w.values().map(|k| k.times.max()).max();
-        let longest = self.windows.iter().filter_map(longest).map(|nanos| nanos as f64 / 1e3).collect();
+        let longest = self
+            .windows
+            .iter()
+            .filter_map(longest)
+            .map(|nanos| nanos as f64 / 1e3)
+            .collect();
         measures.extend(Measure::of("longest_turn", "us", Basis::Timed, longest));
         measures
     }
 
     /// The time of all that was noted in the last window, microseconds.
     pub fn total_micros(&self) -> f64 {
-        let last = self.windows.iter().next_back().into_iter().flat_map(BTreeMap::values);
+        let last = self
+            .windows
+            .iter()
+            .next_back()
+            .into_iter()
+            .flat_map(BTreeMap::values);
         last.map(|kind| kind.sum).sum::<u64>() as f64 / 1e3
     }
 
@@ -382,20 +479,37 @@
             let events = w.get(kinds.first()?)?.times.len();
             Some(sum as f64 / 1e3 / events.max(1) as f64)
         };
-        Measure::of(measure, "us", Basis::Timed, self.windows.iter().filter_map(one).collect())
+        Measure::of(
+            measure,
+            "us",
+            Basis::Timed,
+            self.windows.iter().filter_map(one).collect(),
+        )
     }
 }
 
 /// Resident bytes of this process, as the kernel counts its pages.
 pub fn resident() -> Result<u64> {
-    let rollup = std::fs::read_to_string("/proc/self/smaps_rollup").context("/proc/self/smaps_rollup")?;
-    let line = rollup.lines().find_map(|l| l.strip_prefix("Rss:")).context("no Rss in smaps_rollup")?;
-    let kib: u64 = line.trim().trim_end_matches("kB").trim().parse().context("Rss in smaps_rollup")?;
+    let rollup =
+        std::fs::read_to_string("/proc/self/smaps_rollup").context("/proc/self/smaps_rollup")?;
+    let line = rollup
+        .lines()
+        .find_map(|l| l.strip_prefix("Rss:"))
+        .context("no Rss in smaps_rollup")?;
+    let kib: u64 = line
+        .trim()
+        .trim_end_matches("kB")
+        .trim()
+        .parse()
+        .context("Rss in smaps_rollup")?;
     Ok(kib * 1024)
 }
 
 /// Resident bytes that so many items added, for each of them; none for none.
 pub fn resident_each(measure: &str, before: u64, after: u64, items: u64) -> Option<Measure> {
     let each = after.saturating_sub(before) as f64 / items as f64;
-    (items > 0).then(|| Measure { basis: Basis::Resident, ..Measure::counted(measure, "bytes", each) })
+    (items > 0).then(|| Measure {
+        basis: Basis::Resident,
+        ..Measure::counted(measure, "bytes", each)
+    })
 }
--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/page.rs
@@ -49,9 +49,17 @@
     /// Names the file that cannot be read or makes no sense.
     pub fn read(root: &Path, rows: &[PathBuf]) -> Result<Inputs> {
         let figures = root.join(FIGURES);
-        let rows = if rows.is_empty() { all_rows(&figures)? } else { rows.to_vec() };
+        let rows = if rows.is_empty() {
+            all_rows(&figures)?
+        } else {
+            rows.to_vec()
+        };
         let sources = rows.iter().map(|path| {
-            let name = path.strip_prefix(root).unwrap_or(path).display().to_string();
+            let name = path
+                .strip_prefix(root)
+                .unwrap_or(path)
+                .display()
+                .to_string();
             Source::parse(&name, &read(path)?)
         });
         Ok(Inputs {
@@ -74,7 +82,11 @@
     /// # Errors
     /// Where a unit or a template makes no sense.
     pub fn tables(&self) -> Result<Vec<(&'static str, String)>> {
-        let Inputs { target, needs, book } = self;
+        let Inputs {
+            target,
+            needs,
+            book,
+        } = self;
         let worked = self.worked()?;
         Ok(vec![
             ("ranking", tables::of_ranking(&worked, needs, target)),
@@ -114,8 +126,9 @@
             return Ok("not measured\n".into());
         }
         let dir = CHARTS.strip_prefix("docs/").unwrap_or(CHARTS);
-        let image =
-            |(name, _): &(String, String)| format!("![{}]({dir}/{name})\n", name.trim_end_matches(".svg"));
+        let image = |(name, _): &(String, String)| {
+            format!("![{}]({dir}/{name})\n", name.trim_end_matches(".svg"))
+        };
         Ok(charts.iter().map(image).collect::<Vec<_>>().join("\n"))
     }
 }
@@ -143,17 +156,26 @@
     let mut seen = BTreeSet::new();
     while let Some(start) = left.find(START) {
         let after = &left[start + START.len()..];
-        let (name, after) = after.split_once(" -->\n").context("a marker of a table does not end")?;
-        let (_, table) =
-            tables.iter().find(|(n, _)| *n == name).with_context(|| format!("no table {name}"))?;
+        let (name, after) = after
+            .split_once(" -->\n")
+            .context("a marker of a table does not end")?;
+        let (_, table) = tables
+            .iter()
+            .find(|(n, _)| *n == name)
+            .with_context(|| format!("no table {name}"))?;
         ensure!(seen.insert(name), "the table {name} has two places");
-        let end = after.find(END).with_context(|| format!("the table {name} has no end"))?;
+        let end = after
+            .find(END)
+            .with_context(|| format!("the table {name} has no end"))?;
         ensure!(!after[..end].contains(START), "the table {name} has no end");
         filled += &format!("{}{START}{name} -->\n\n{table}\n{END}", &left[..start]);
         left = &after[end + END.len()..];
     }
     for (name, _) in tables {
-        ensure!(seen.contains(name), "the page has no place for the table {name}");
+        ensure!(
+            seen.contains(name),
+            "the page has no place for the table {name}"
+        );
     }
     Ok(filled + left)
 }
@@ -165,7 +187,12 @@
 pub fn made(root: &Path, inputs: &Inputs) -> Result<Vec<(PathBuf, String)>> {
     let page = fill(&read(&root.join(PAGE))?, &inputs.tables()?).context(PAGE)?;
     let mut made = vec![(PathBuf::from(PAGE), page)];
-    made.extend(inputs.charts()?.into_iter().map(|(name, svg)| (Path::new(CHARTS).join(name), svg)));
+    made.extend(
+        inputs
+            .charts()?
+            .into_iter()
+            .map(|(name, svg)| (Path::new(CHARTS).join(name), svg)),
+    );
     Ok(made)
 }
 
@@ -176,17 +203,24 @@
 pub fn differing(root: &Path, inputs: &Inputs) -> Result<Vec<String>> {
     let made = made(root, inputs)?;
     let stored = |path: &Path| fs::read_to_string(root.join(path)).unwrap_or_default();
-    let mut differing: Vec<PathBuf> =
-        made.iter().filter(|(path, text)| stored(path) != *text).map(|(path, _)| path.clone()).collect();
+    let mut differing: Vec<PathBuf> = made
+        .iter()
+        .filter(|(path, text)| stored(path) != *text)
+        .map(|(path, _)| path.clone())
+        .collect();
     if let Ok(dir) = fs::read_dir(root.join(CHARTS)) {
         for entry in dir {
             let path = Path::new(CHARTS).join(entry?.file_name());
-            if path.extension().is_some_and(|e| e == "svg") && made.iter().all(|(m, _)| *m != path) {
+            if path.extension().is_some_and(|e| e == "svg") && made.iter().all(|(m, _)| *m != path)
+            {
                 differing.push(path);
             }
         }
     }
-    Ok(differing.iter().map(|path| path.display().to_string()).collect())
+    Ok(differing
+        .iter()
+        .map(|path| path.display().to_string())
+        .collect())
 }
 
 /// Writes page and charts, and takes away charts that nothing makes.
@@ -196,7 +230,10 @@
 pub fn write(root: &Path, inputs: &Inputs) -> Result<()> {
     let made = made(root, inputs)?;
     for stale in differing(root, inputs)? {
-        if made.iter().all(|(path, _)| path.display().to_string() != stale) {
+        if made
+            .iter()
+            .all(|(path, _)| path.display().to_string() != stale)
+        {
             fs::remove_file(root.join(&stale)).context(stale)?;
         }
     }
--- a/crates/scale/src/page/book.rs
+++ b/crates/scale/src/page/book.rs
@@ -20,14 +20,29 @@
     /// # Errors
     /// Names file and line of what is no row, or of a figure that is no number.
     pub fn parse(name: &str, text: &str) -> Result<Source> {
-        let rows = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()).map(|(i, line)| {
-            let row: Row = serde_json::from_str(line).with_context(|| format!("{name}:{}", i + 1))?;
-            let figure = &row.figure;
-            let whole = [figure.median, figure.low, figure.high].iter().all(|f| f.is_finite() && *f >= 0.0);
-            anyhow::ensure!(whole, "{name}:{}: {} is no figure of zero or more", i + 1, figure.measure);
-            Ok(row)
-        });
-        Ok(Source { name: name.to_owned(), rows: rows.collect::<Result<_>>()? })
+        let rows = text
+            .lines()
+            .enumerate()
+            .filter(|(_, line)| !line.trim().is_empty())
+            .map(|(i, line)| {
+                let row: Row =
+                    serde_json::from_str(line).with_context(|| format!("{name}:{}", i + 1))?;
+                let figure = &row.figure;
+                let whole = [figure.median, figure.low, figure.high]
+                    .iter()
+                    .all(|f| f.is_finite() && *f >= 0.0);
+                anyhow::ensure!(
+                    whole,
+                    "{name}:{}: {} is no figure of zero or more",
+                    i + 1,
+                    figure.measure
+                );
+                Ok(row)
+            });
+        Ok(Source {
+            name: name.to_owned(),
+            rows: rows.collect::<Result<_>>()?,
+        })
     }
 }
 
@@ -55,20 +70,38 @@
 
 impl Curve {
     fn new(axis: Axis, file: &str, rows: Vec<&Row>) -> Curve {
-        let by_size: BTreeMap<u64, Row> = rows.into_iter().map(|r| (axis.of(&r.at), r.clone())).collect();
-        let points: Vec<(f64, f64)> =
-            by_size.iter().map(|(size, r)| (*size as f64, r.figure.median)).collect();
-        Curve { file: file.to_owned(), rows: by_size.into_values().collect(), slope: Slope::fit(&points) }
+        let by_size: BTreeMap<u64, Row> = rows
+            .into_iter()
+            .map(|r| (axis.of(&r.at), r.clone()))
+            .collect();
+        let points: Vec<(f64, f64)> = by_size
+            .iter()
+            .map(|(size, r)| (*size as f64, r.figure.median))
+            .collect();
+        Curve {
+            file: file.to_owned(),
+            rows: by_size.into_values().collect(),
+            slope: Slope::fit(&points),
+        }
     }
 
     fn points(&self, axis: Axis) -> Vec<(f64, f64)> {
-        self.rows.iter().map(|r| (axis.of(&r.at) as f64, r.figure.median)).collect()
+        self.rows
+            .iter()
+            .map(|r| (axis.of(&r.at) as f64, r.figure.median))
+            .collect()
     }
 
     /// The widest spread of a point's repeats, as a share of its median.
     pub fn spread(&self) -> f64 {
-        let repeats = self.rows.iter().map(|r| &r.figure).filter(|f| f.median > 0.0);
-        repeats.map(|f| (f.high - f.low) / f.median).fold(0.0, f64::max)
+        let repeats = self
+            .rows
+            .iter()
+            .map(|r| &r.figure)
+            .filter(|f| f.median > 0.0);
+        repeats
+            .map(|f| (f.high - f.low) / f.median)
+            .fold(0.0, f64::max)
     }
 
     /// The least and the largest size measured.
@@ -81,24 +114,42 @@
     /// its axis rises is noise or another measure's doing, and nothing by which a time does not grow beyond its error.
     fn adds(&self, axis: Axis, size: f64, stood: f64) -> f64 {
         let timed = self.rows.iter().any(|r| r.figure.basis == Basis::Timed);
-        let grows = self.slope.is_some_and(|s| !timed || s.exponent > 2.0 * s.error.max(0.0));
+        let grows = self
+            .slope
+            .is_some_and(|s| !timed || s.exponent > 2.0 * s.error.max(0.0));
         let more = self.at(axis, size) - self.at(axis, stood);
-        if grows && more * (size - stood) > 0.0 { more } else { 0.0 }
+        if grows && more * (size - stood) > 0.0 {
+            more
+        } else {
+            0.0
+        }
     }
 
     /// The figure at a size: between two points a straight line on logarithmic axes (on plain ones where one is zero);
     /// outside them by the exponent of all points, from the nearest. One point alone says the same everywhere.
     pub fn at(&self, axis: Axis, size: f64) -> f64 {
         let points = self.points(axis);
-        let (Some(first), Some(last)) = (points.first(), points.last()) else { return f64::NAN };
+        let (Some(first), Some(last)) = (points.first(), points.last()) else {
+            return f64::NAN;
+        };
         let beyond = |near: &(f64, f64)| {
             let exponent = self.slope.map_or(0.0, |s| s.exponent);
-            if near.0 > 0.0 { near.1 * (size / near.0).powf(exponent) } else { near.1 }
+            if near.0 > 0.0 {
+                near.1 * (size / near.0).powf(exponent)
+            } else {
+                near.1
+            }
         };
         if size <= first.0 {
-            return if size == first.0 { first.1 } else { beyond(first) };
+            return if size == first.0 {
+                first.1
+            } else {
+                beyond(first)
+            };
         }
-        let Some(above) = points.iter().position(|p| p.0 >= size) else { return beyond(last) };
+        let Some(above) = points.iter().position(|p| p.0 >= size) else {
+            return beyond(last);
+        };
         let ((x0, y0), (x1, y1)) = (points[above - 1], points[above]);
         if x0 > 0.0 && y0 > 0.0 && y1 > 0.0 {
             y0 * (y1 / y0).powf((size / x0).ln() / (x1 / x0).ln())
@@ -160,13 +211,20 @@
             let mut groups: BTreeMap<(Subject, Axis), Vec<&Row>> = BTreeMap::new();
             for row in &source.rows {
                 let (role, measure) = (row.role.clone(), row.figure.measure.clone());
-                let subject = Subject { role, measure, hollow: row.hollow };
+                let subject = Subject {
+                    role,
+                    measure,
+                    hollow: row.hollow,
+                };
                 groups.entry((subject, row.sweep)).or_default().push(row);
             }
             for ((subject, axis), rows) in groups {
                 let curve = Curve::new(axis, &source.name, rows);
                 let reach = |c: &Curve| (c.range(axis).1, c.rows.len());
-                if curves.get(&(subject.clone(), axis)).is_none_or(|old| reach(&curve) >= reach(old)) {
+                if curves
+                    .get(&(subject.clone(), axis))
+                    .is_none_or(|old| reach(&curve) >= reach(old))
+                {
                     curves.insert((subject, axis), curve);
                 }
             }
@@ -176,22 +234,32 @@
 
     /// Each measure's curve along each axis.
     pub fn curves(&self) -> impl Iterator<Item = (&Subject, Axis, &Curve)> {
-        self.curves.iter().map(|((subject, axis), curve)| (subject, *axis, curve))
+        self.curves
+            .iter()
+            .map(|((subject, axis), curve)| (subject, *axis, curve))
     }
 
     /// One measure's curves; runs with several axes up together left out.
     fn along(&self, subject: &Subject) -> Vec<(Axis, &Curve)> {
-        let own = self.curves().filter(|(s, axis, _)| *s == subject && *axis != Axis::Together);
+        let own = self
+            .curves()
+            .filter(|(s, axis, _)| *s == subject && *axis != Axis::Together);
         own.map(|(_, axis, curve)| (axis, curve)).collect()
     }
 
     /// The first of the measures that has rows, hollow ones before real ones.
     pub fn subject(&self, role: &str, measures: &[String]) -> Option<Subject> {
         let found = |measure: &String, hollow| {
-            let subject = Subject { role: role.to_owned(), measure: measure.clone(), hollow };
+            let subject = Subject {
+                role: role.to_owned(),
+                measure: measure.clone(),
+                hollow,
+            };
             (!self.along(&subject).is_empty()).then_some(subject)
         };
-        measures.iter().find_map(|m| found(m, true).or_else(|| found(m, false)))
+        measures
+            .iter()
+            .find_map(|m| found(m, true).or_else(|| found(m, false)))
     }
 
     /// The sum of the slopes: along each axis the figure at its size, less what the other axes' sweeps hold already.
--- a/crates/scale/src/page/need.rs
+++ b/crates/scale/src/page/need.rs
@@ -257,12 +257,25 @@
         let needs: Needs = serde_json::from_str(text).context("the needs")?;
         let mut names = BTreeSet::new();
         for need in &needs.needs {
-            ensure!(names.insert(need.name.as_str()), "the needs: {} is there twice", need.name);
+            ensure!(
+                names.insert(need.name.as_str()),
+                "the needs: {} is there twice",
+                need.name
+            );
         }
-        let Prices { start, change_time, change_bytes, whole_time, whole_bytes } = &needs.prices;
+        let Prices {
+            start,
+            change_time,
+            change_bytes,
+            whole_time,
+            whole_bytes,
+        } = &needs.prices;
         let prices = [start, change_time, change_bytes, whole_time, whole_bytes];
         for name in needs.lines.iter().flat_map(|l| &l.needs).chain(prices) {
-            ensure!(names.contains(name.as_str()), "the needs: there is no need {name}");
+            ensure!(
+                names.contains(name.as_str()),
+                "the needs: there is no need {name}"
+            );
         }
         Ok(needs)
     }
@@ -295,14 +308,31 @@
     /// Where the measure's unit cannot be held against the budget.
     pub fn out(need: &Need, book: &Book, target: &Target) -> Result<Worked> {
         let at = target.at();
-        let of =
-            |measures: &[String]| book.subject(&need.role, measures).and_then(|s| book.estimate(&s, &at));
-        let plus = need.plus.iter().map(|measure| of(std::slice::from_ref(measure)));
+        let of = |measures: &[String]| {
+            book.subject(&need.role, measures)
+                .and_then(|s| book.estimate(&s, &at))
+        };
+        let plus = need
+            .plus
+            .iter()
+            .map(|measure| of(std::slice::from_ref(measure)));
         let estimate = plus.fold(of(&need.measures), |sum, more| sum?.plus(&more?));
-        let share = if need.carries { target.taken(Assumed::ControlShare) } else { 1.0 };
+        let share = if need.carries {
+            target.taken(Assumed::ControlShare)
+        } else {
+            1.0
+        };
         let times = need.times.figure(target, &need.role) * share;
-        let mut worked = Worked { need: need.clone(), estimate, times, figure: None, ratio: None };
-        let Some(estimate) = &worked.estimate else { return Ok(worked) };
+        let mut worked = Worked {
+            need: need.clone(),
+            estimate,
+            times,
+            figure: None,
+            ratio: None,
+        };
+        let Some(estimate) = &worked.estimate else {
+            return Ok(worked);
+        };
         let (factor, unit) = plain(&estimate.unit);
         let figure = estimate.figure * factor * times;
         worked.figure = Some(figure);
@@ -331,7 +361,11 @@
     /// # Errors
     /// As [`Worked::out`].
     pub fn all(needs: &Needs, book: &Book, target: &Target) -> Result<Vec<Worked>> {
-        needs.needs.iter().map(|need| Worked::out(need, book, target)).collect()
+        needs
+            .needs
+            .iter()
+            .map(|need| Worked::out(need, book, target))
+            .collect()
     }
 
     /// One event's figure in seconds, bytes or a count.
--- a/crates/scale/src/page/tables.rs
+++ b/crates/scale/src/page/tables.rs
@@ -12,13 +12,24 @@
 /// The roles that have needs, in their order.
 pub fn roles(needs: &Needs) -> Vec<&str> {
     let mut seen = BTreeSet::new();
-    needs.needs.iter().map(|n| n.role.as_str()).filter(|role| seen.insert(*role)).collect()
+    needs
+        .needs
+        .iter()
+        .map(|n| n.role.as_str())
+        .filter(|role| seen.insert(*role))
+        .collect()
 }
 
 fn from(estimate: Option<&Estimate>) -> String {
-    let Some(e) = estimate else { return String::new() };
+    let Some(e) = estimate else {
+        return String::new();
+    };
     let along = e.axes.iter().map(|a| {
-        let beyond = if e.outside.contains(a) { " (beyond what was measured)" } else { "" };
+        let beyond = if e.outside.contains(a) {
+            " (beyond what was measured)"
+        } else {
+            ""
+        };
         format!("{}{beyond}", axis(*a))
     });
     let hollow = if e.subject.hollow { "hollow" } else { "real" };
@@ -32,7 +43,11 @@
 
 fn budget(worked: &Worked, target: &Target) -> String {
     match worked.need.budget.figure(target) {
-        Some((figure, unit)) => format!("{}: {}", worked.need.budget.words(), with_unit(Some(figure), unit)),
+        Some((figure, unit)) => format!(
+            "{}: {}",
+            worked.need.budget.words(),
+            with_unit(Some(figure), unit)
+        ),
         None => Budget::None.words().into(),
     }
 }
@@ -45,16 +60,30 @@
         Some("bytes") => "bytes",
         _ => "count",
     };
-    with_unit(worked.figure, worked.need.budget.figure(target).map_or_else(own, |(_, unit)| unit))
+    with_unit(
+        worked.figure,
+        worked
+            .need
+            .budget
+            .figure(target)
+            .map_or_else(own, |(_, unit)| unit),
+    )
 }
 
 /// How many of each role, why, and what falls to one of them.
 pub fn of_roles(needs: &Needs, target: &Target) -> String {
     let rows = roles(needs).into_iter().map(|role| {
         let many = target.processes(role);
-        let figures =
-            [target.standing / many, target.starts_a_second / many, target.connections(role).round()];
-        let mut cells = vec![role.to_owned(), short(Some(many)), Target::why(role).to_owned()];
+        let figures = [
+            target.standing / many,
+            target.starts_a_second / many,
+            target.connections(role).round(),
+        ];
+        let mut cells = vec![
+            role.to_owned(),
+            short(Some(many)),
+            Target::why(role).to_owned(),
+        ];
         cells.extend(figures.map(|figure| short(Some(figure))));
         cells
     });
@@ -73,7 +102,11 @@
 pub fn of_needs(worked: &[Worked], target: &Target) -> String {
     let rows = worked.iter().map(|w| {
         let each = w.estimate.as_ref();
-        let place = if w.need.place.is_empty() { String::new() } else { format!(" (`{}`)", w.need.place) };
+        let place = if w.need.place.is_empty() {
+            String::new()
+        } else {
+            format!(" (`{}`)", w.need.place)
+        };
         vec![
             w.need.role.clone(),
             w.need.name.clone(),
@@ -84,7 +117,11 @@
             },
             need(w, target),
             budget(w, target),
-            if w.need.budget == Budget::None { "-".into() } else { short(w.ratio) },
+            if w.need.budget == Budget::None {
+                "-".into()
+            } else {
+                short(w.ratio)
+            },
             from(each),
             w.need.mechanism.clone() + &place,
         ]
@@ -108,7 +145,9 @@
 pub fn together(worked: &[Worked], target: &Target) -> String {
     let mut largest: BTreeMap<(&str, Summed), f64> = BTreeMap::new();
     for w in worked {
-        let (Some(figure), Some(kind)) = (w.figure, Summed::of(w.need.budget)) else { continue };
+        let (Some(figure), Some(kind)) = (w.figure, Summed::of(w.need.budget)) else {
+            continue;
+        };
         let all = figure * target.taken(Assumed::Schedulers);
         let most = largest.entry((w.need.role.as_str(), kind)).or_default();
         *most = most.max(all);
@@ -121,11 +160,23 @@
             Summed::Bytes => ("bytes a second", "bytes/s"),
         };
         let share = if kind == Summed::Core {
-            format!("{} of {} cores set aside", short(Some(all / cores)), short(Some(cores)))
+            format!(
+                "{} of {} cores set aside",
+                short(Some(all / cores)),
+                short(Some(cores))
+            )
         } else {
-            format!("{} on each machine set aside", with_unit(Some(all / target.set_aside), unit))
+            format!(
+                "{} on each machine set aside",
+                with_unit(Some(all / target.set_aside), unit)
+            )
         };
-        vec![role.to_owned(), what.to_owned(), with_unit(Some(all), unit), share]
+        vec![
+            role.to_owned(),
+            what.to_owned(),
+            with_unit(Some(all), unit),
+            share,
+        ]
     });
     let rows: Vec<Vec<String>> = rows.collect();
     table(
@@ -163,8 +214,11 @@
 pub fn of_ranking(worked: &[Worked], needs: &Needs, target: &Target) -> String {
     let mut rows: Vec<Vec<String>> = Vec::new();
     for w in ranked(worked) {
-        let next =
-            if w.ratio.is_some_and(|r| r > 1.0) { w.need.next.clone() } else { "within budget".into() };
+        let next = if w.ratio.is_some_and(|r| r > 1.0) {
+            w.need.next.clone()
+        } else {
+            "within budget".into()
+        };
         rows.push(vec![
             (rows.len() + 1).to_string(),
             w.need.role.clone(),
@@ -175,7 +229,10 @@
             next,
         ]);
     }
-    for w in worked.iter().filter(|w| w.estimate.is_none() && w.need.budget != Budget::None) {
+    for w in worked
+        .iter()
+        .filter(|w| w.estimate.is_none() && w.need.budget != Budget::None)
+    {
         let (role, name) = (w.need.role.clone(), w.need.name.clone());
         rows.push(vec![
             "-".into(),
@@ -199,14 +256,28 @@
             a.next.clone(),
         ]);
     }
-    table(&["rank", "role", "need", "need of one process", "budget", "need over budget", "next"], rows)
+    table(
+        &[
+            "rank",
+            "role",
+            "need",
+            "need of one process",
+            "budget",
+            "need over budget",
+            "next",
+        ],
+        rows,
+    )
 }
 
 /// A template over the target's figures, filled in.
 fn filled(text: &str, target: &Target) -> Result<String> {
     let mut figures: BTreeMap<String, f64> = target.figures()?.into_iter().collect();
     let more = [
-        ("starts_of_one", target.starts_a_second / target.taken(Assumed::Schedulers)),
+        (
+            "starts_of_one",
+            target.starts_a_second / target.taken(Assumed::Schedulers),
+        ),
         ("mean_starts", target.mean_starts()),
         ("configuration_changes", target.configuration_changes()),
         ("list_changes", target.list_changes()),
@@ -215,7 +286,8 @@
     let mut env = minijinja::Environment::new();
     env.set_undefined_behavior(minijinja::UndefinedBehavior::Strict);
     env.add_filter("short", |figure: f64| short(Some(figure)));
-    env.render_str(text, figures).with_context(|| format!("the text {text:?}"))
+    env.render_str(text, figures)
+        .with_context(|| format!("the text {text:?}"))
 }
 
 /// Each line of the target, what carries it and what shows that.
@@ -224,22 +296,47 @@
 /// Where a line names a figure that the target has not.
 pub fn of_lines(worked: &[Worked], needs: &Needs, target: &Target) -> Result<String> {
     let rows = needs.lines.iter().map(|line| {
-        let shown = line.needs.iter().filter_map(|name| worked.iter().find(|w| w.need.name == *name));
+        let shown = line
+            .needs
+            .iter()
+            .filter_map(|name| worked.iter().find(|w| w.need.name == *name));
         let shown: Vec<String> = shown
             .map(|w| match w.ratio {
                 Some(ratio) => {
-                    let files = w.estimate.as_ref().map(|e| e.files.join(", ")).unwrap_or_default();
-                    format!("{}: {} of its budget ({files})", w.need.name, short(Some(ratio)))
+                    let files = w
+                        .estimate
+                        .as_ref()
+                        .map(|e| e.files.join(", "))
+                        .unwrap_or_default();
+                    format!(
+                        "{}: {} of its budget ({files})",
+                        w.need.name,
+                        short(Some(ratio))
+                    )
                 }
                 None => format!("{}: {}", w.need.name, need(w, target)),
             })
             .collect();
-        let shown = if shown.is_empty() { "no run".into() } else { shown.join("; ") };
-        Ok(vec![filled(&line.line, target)?, line.carried.clone(), shown, line.missing.clone()])
+        let shown = if shown.is_empty() {
+            "no run".into()
+        } else {
+            shown.join("; ")
+        };
+        Ok(vec![
+            filled(&line.line, target)?,
+            line.carried.clone(),
+            shown,
+            line.missing.clone(),
+        ])
     });
     let rows = rows.collect::<Result<Vec<_>>>()?;
     Ok(table(
-        &["target", "carried by", "shown by, need over budget", "missing, and where that is listed"],
+        &[
+            "target",
+            "carried by",
+            "shown by, need over budget",
+            "missing, and where that is listed",
+        ],
         rows,
     ))
 }
@@ -250,10 +347,19 @@
 /// Where a demand names a figure that the target has not.
 pub fn of_absent(needs: &Needs, target: &Target) -> Result<String> {
     let rows = needs.absent.iter().map(|a| {
-        Ok(vec![a.what.clone(), filled(&a.demand, target)?, a.today.clone(), short(None), a.next.clone()])
+        Ok(vec![
+            a.what.clone(),
+            filled(&a.demand, target)?,
+            a.today.clone(),
+            short(None),
+            a.next.clone(),
+        ])
     });
     let rows = rows.collect::<Result<Vec<_>>>()?;
-    Ok(table(&["what", "its demand", "today", "need over budget", "next"], rows))
+    Ok(table(
+        &["what", "its demand", "today", "need over budget", "next"],
+        rows,
+    ))
 }
 
 /// Each assumption at half and at twice its value: the needs whose ratio moves by a twentieth or more.
@@ -278,8 +384,14 @@
             let moved = Worked::all(needs, book, &other)?;
             let moved = taken.iter().zip(&moved).filter_map(|(before, after)| {
                 let (b, a) = (before.ratio?, after.ratio?);
-                ((a - b).abs() > b * 0.05)
-                    .then(|| format!("{} {} (was {})", before.need.name, short(Some(a)), short(Some(b))))
+                ((a - b).abs() > b * 0.05).then(|| {
+                    format!(
+                        "{} {} (was {})",
+                        before.need.name,
+                        short(Some(a)),
+                        short(Some(b))
+                    )
+                })
             });
             let mut moved: Vec<String> = moved.collect();
             let mean = (target.mean_starts(), other.mean_starts());
@@ -291,7 +403,10 @@
                 ));
             }
             if assumption.name == Assumed::CoresAMachine {
-                moved.push(format!("{} cores set aside in all", short(Some(value * target.set_aside))));
+                moved.push(format!(
+                    "{} cores set aside in all",
+                    short(Some(value * target.set_aside))
+                ));
             }
             if assumption.name == Assumed::MachinesARack {
                 moved.push(format!(
@@ -308,7 +423,15 @@
         }
         rows.push(cells);
     }
-    Ok(table(&["open", "taken as", "need over budget at half of it", "at twice"], rows))
+    Ok(table(
+        &[
+            "open",
+            "taken as",
+            "need over budget at half of it",
+            "at twice",
+        ],
+        rows,
+    ))
 }
 
 /// Need over budget at a tenth of the size, at it, and at ten times.
@@ -317,7 +440,10 @@
 /// As [`Worked::out`].
 pub fn of_sizes(needs: &Needs, book: &Book, target: &Target) -> Result<String> {
     let sizes = [0.1, 1.0, 10.0].map(|factor| target.scaled(factor));
-    let worked = sizes.iter().map(|t| Worked::all(needs, book, t)).collect::<Result<Vec<_>>>()?;
+    let worked = sizes
+        .iter()
+        .map(|t| Worked::all(needs, book, t))
+        .collect::<Result<Vec<_>>>()?;
     let mut rows = Vec::new();
     for (i, need) in needs.needs.iter().enumerate() {
         if worked.iter().all(|w| w[i].ratio.is_none()) {
@@ -336,7 +462,16 @@
     last.extend(worked.iter().map(first));
     rows.push(last);
     let heads = sizes.map(|t| format!("{} machines", short(Some(t.machines))));
-    Ok(table(&["role", "need over budget of", &heads[0], &heads[1], &heads[2]], rows))
+    Ok(table(
+        &[
+            "role",
+            "need over budget of",
+            &heads[0],
+            &heads[1],
+            &heads[2],
+        ],
+        rows,
+    ))
 }
 
 /// Points that a prediction rests on are no larger than this many machines.
@@ -354,7 +489,11 @@
     let mut rows = Vec::new();
     let compared = |what: String, measure: &Row, from: usize, foretold: f64, file: &str| {
         let (figure, unit) = (measure.figure.median, &measure.figure.unit);
-        let off = if figure > 0.0 { Some((foretold / figure - 1.0) * 100.0) } else { None };
+        let off = if figure > 0.0 {
+            Some((foretold / figure - 1.0) * 100.0)
+        } else {
+            None
+        };
         vec![
             measure.role.clone(),
             measure.figure.measure.clone(),
@@ -367,12 +506,18 @@
         ]
     };
     for (subject, along, curve) in book.curves().filter(|(s, _, _)| used(&s.role, &s.measure)) {
-        let Some(last) = curve.rows.last().filter(|r| along.of(&r.at) > KNOWN_TO) else { continue };
+        let Some(last) = curve.rows.last().filter(|r| along.of(&r.at) > KNOWN_TO) else {
+            continue;
+        };
         match along {
             Axis::Machines => {
                 let known = curve.rows.iter().filter(|r| r.at.machines <= KNOWN_TO);
-                let known: Vec<(f64, f64)> = known.map(|r| (r.at.machines as f64, r.figure.median)).collect();
-                let Some(slope) = Slope::fit(&known) else { continue };
+                let known: Vec<(f64, f64)> = known
+                    .map(|r| (r.at.machines as f64, r.figure.median))
+                    .collect();
+                let Some(slope) = Slope::fit(&known) else {
+                    continue;
+                };
                 let foretold = slope.predict(last.at.machines as f64);
                 let what = format!(
                     "{} machines, from at most {}",
@@ -382,12 +527,20 @@
                 rows.push(compared(what, last, known.len(), foretold, &curve.file));
             }
             Axis::Together => {
-                let Some(sum) = book.estimate(subject, &last.at) else { continue };
+                let Some(sum) = book.estimate(subject, &last.at) else {
+                    continue;
+                };
                 let what = format!(
                     "{} machines, all axes up; from the sum of the slopes",
                     short(Some(last.at.machines as f64))
                 );
-                rows.push(compared(what, last, sum.axes.len(), sum.figure, &curve.file));
+                rows.push(compared(
+                    what,
+                    last,
+                    sum.axes.len(),
+                    sum.figure,
+                    &curve.file,
+                ));
             }
             _ => {}
         }
@@ -395,7 +548,19 @@
     if rows.is_empty() {
         rows.push(none(8));
     }
-    table(&["role", "measure", "size", "points or slopes", "foretold", "measured", "error", "file"], rows)
+    table(
+        &[
+            "role",
+            "measure",
+            "size",
+            "points or slopes",
+            "foretold",
+            "measured",
+            "error",
+            "file",
+        ],
+        rows,
+    )
 }
 
 /// Each curve that is not flat: exponent, spread, points, and the line of code where the exponent is over 1; then the flat
@@ -403,29 +568,43 @@
 pub fn of_slopes(book: &Book, needs: &Needs) -> String {
     let (mut rows, mut flat, mut single) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
     // Several axes up together rise by different factors: no exponent says anything of them.
-    for (subject, along, curve) in book.curves().filter(|(_, along, _)| *along != Axis::Together) {
-        let (Some(first), Some(last)) = (curve.rows.first(), curve.rows.last()) else { continue };
+    for (subject, along, curve) in book
+        .curves()
+        .filter(|(_, along, _)| *along != Axis::Together)
+    {
+        let (Some(first), Some(last)) = (curve.rows.first(), curve.rows.last()) else {
+            continue;
+        };
         let (role, measure, unit) = (&subject.role, &subject.measure, &first.figure.unit);
         if curve.rows.len() == 1 {
             single.insert((role, measure), with_unit(Some(first.figure.median), unit));
             continue;
         }
-        let is_flat =
-            curve.slope.map_or(first.figure.median == last.figure.median, |s| s.exponent.abs() < 0.05);
+        let is_flat = curve
+            .slope
+            .map_or(first.figure.median == last.figure.median, |s| {
+                s.exponent.abs() < 0.05
+            });
         if is_flat {
             let at: &mut Vec<String> = flat.entry((role, measure)).or_default();
             at.push(axis(along));
             continue;
         }
         let exponent = curve.slope.map_or("-".to_owned(), |s| {
-            let error = if s.error.is_finite() { format!(" ± {:.2}", s.error) } else { String::new() };
+            let error = if s.error.is_finite() {
+                format!(" ± {:.2}", s.error)
+            } else {
+                String::new()
+            };
             format!("{:.2}{error}", s.exponent)
         });
         // Two standard errors and a twentieth over 1 are no chance; two points alone have no error.
         let over = |s: Slope| s.exponent > 1.05 && s.exponent - 2.0 * s.error.max(0.0) > 1.0;
         let line = if curve.slope.is_some_and(over) {
-            let known =
-                needs.steep.iter().find(|s| s.role == *role && s.measure == *measure && s.axis == along);
+            let known = needs
+                .steep
+                .iter()
+                .find(|s| s.role == *role && s.measure == *measure && s.axis == along);
             known.map_or("over 1: line not known", |known| known.line.as_str())
         } else {
             ""
@@ -440,13 +619,20 @@
             role.clone(),
             measure.clone(),
             axis(along),
-            format!("{} to {}", short(Some(least as f64)), short(Some(most as f64))),
+            format!(
+                "{} to {}",
+                short(Some(least as f64)),
+                short(Some(most as f64))
+            ),
             with_unit(Some(first.figure.median), unit),
             with_unit(Some(last.figure.median), unit),
             exponent,
             format!("{:.0}%", curve.spread() * 100.0),
             curve.rows.len().to_string(),
-            format!("{basis}, {}", if subject.hollow { "hollow" } else { "real" }),
+            format!(
+                "{basis}, {}",
+                if subject.hollow { "hollow" } else { "real" }
+            ),
             line.to_owned(),
         ]);
     }
@@ -471,12 +657,19 @@
         let flat = flat
             .into_iter()
             .map(|((role, measure), along)| format!("{role} {measure} ({})", along.join(", ")));
-        text +=
-            &format!("\nFlat, exponent below 0.05 either way: {}.\n", flat.collect::<Vec<_>>().join("; "));
+        text += &format!(
+            "\nFlat, exponent below 0.05 either way: {}.\n",
+            flat.collect::<Vec<_>>().join("; ")
+        );
     }
     if !single.is_empty() {
-        let single = single.into_iter().map(|((role, measure), figure)| format!("{role} {measure} {figure}"));
-        text += &format!("\nMeasured at one size alone: {}.\n", single.collect::<Vec<_>>().join("; "));
+        let single = single
+            .into_iter()
+            .map(|((role, measure), figure)| format!("{role} {measure} {figure}"));
+        text += &format!(
+            "\nMeasured at one size alone: {}.\n",
+            single.collect::<Vec<_>>().join("; ")
+        );
     }
     text
 }
@@ -484,28 +677,48 @@
 /// Runs of real processes at the base's sizes, beside what the hollow slopes say of the same size.
 pub fn of_both_ways(book: &Book, needs: &Needs) -> String {
     let mut rows = Vec::new();
-    let real = book.sources.iter().flat_map(|s| s.rows.iter().map(move |r| (r, s.name.as_str())));
-    let real: Vec<(&Row, &str)> = real.filter(|(r, _)| !r.hollow && r.sweep == Axis::Together).collect();
+    let real = book
+        .sources
+        .iter()
+        .flat_map(|s| s.rows.iter().map(move |r| (r, s.name.as_str())));
+    let real: Vec<(&Row, &str)> = real
+        .filter(|(r, _)| !r.hollow && r.sweep == Axis::Together)
+        .collect();
     for pair in &needs.pairs {
-        let (Some(first), true) = (pair.real.first(), !pair.hollow.is_empty()) else { continue };
-        for (row, file) in real.iter().filter(|(r, _)| r.role == pair.real_role && r.figure.measure == *first)
+        let (Some(first), true) = (pair.real.first(), !pair.hollow.is_empty()) else {
+            continue;
+        };
+        for (row, file) in real
+            .iter()
+            .filter(|(r, _)| r.role == pair.real_role && r.figure.measure == *first)
         {
             let also = |measure: &String| {
-                let same = |r: &Row| r.role == row.role && r.at == row.at && r.figure.measure == *measure;
-                real.iter().find(|(r, f)| f == file && same(r)).map(|(r, _)| r.figure.median)
+                let same =
+                    |r: &Row| r.role == row.role && r.at == row.at && r.figure.measure == *measure;
+                real.iter()
+                    .find(|(r, f)| f == file && same(r))
+                    .map(|(r, _)| r.figure.median)
             };
             let processes: Option<f64> = pair.real.iter().map(also).sum();
             let hollow = pair.hollow.iter().map(|measure| {
                 let subject = book.subject(&pair.hollow_role, std::slice::from_ref(measure))?;
-                book.estimate(&subject, &row.at).map(|e| e.figure * plain(&e.unit).0)
+                book.estimate(&subject, &row.at)
+                    .map(|e| e.figure * plain(&e.unit).0)
             });
             let hollow: Option<f64> = hollow.sum();
             let unit = &row.figure.unit;
             let hollow = hollow.map(|h| h / plain(unit).0);
-            let off = hollow.zip(processes).filter(|(h, _)| *h > 0.0).map(|(h, p)| (p / h - 1.0) * 100.0);
+            let off = hollow
+                .zip(processes)
+                .filter(|(h, _)| *h > 0.0)
+                .map(|(h, p)| (p / h - 1.0) * 100.0);
             let at = &row.at;
             rows.push(vec![
-                format!("{} machines, schedulers: {}", short(Some(at.machines as f64)), at.schedulers),
+                format!(
+                    "{} machines, schedulers: {}",
+                    short(Some(at.machines as f64)),
+                    at.schedulers
+                ),
                 format!("{} {}", pair.hollow_role, pair.hollow.join(" + ")),
                 with_unit(hollow, unit),
                 format!("{} {}", pair.real_role, pair.real.join(" + ")),
@@ -518,7 +731,18 @@
     if rows.is_empty() {
         rows.push(none(7));
     }
-    table(&["size", "hollow measure", "hollow", "real measure", "real", "difference", "file"], rows)
+    table(
+        &[
+            "size",
+            "hollow measure",
+            "hollow",
+            "real measure",
+            "real",
+            "difference",
+            "file",
+        ],
+        rows,
+    )
 }
 
 /// The files and the commands that write them.
@@ -531,7 +755,11 @@
             let axes: BTreeSet<Axis> = source.rows.iter().map(|r| r.sweep).collect();
             let every = crate::roles::ROLES.iter().all(|r| roles.contains(r.name));
             let only: String = roles.iter().map(|r| format!(" --role {r}")).collect();
-            let quick = if source.name.contains("quick") { " --quick" } else { "" };
+            let quick = if source.name.contains("quick") {
+                " --quick"
+            } else {
+                ""
+            };
             vec![
                 source.name.clone(),
                 format!(
--- a/crates/scale/src/page/trouble.rs
+++ b/crates/scale/src/page/trouble.rs
@@ -18,7 +18,12 @@
 fn troubles(target: &Target) -> Vec<Trouble> {
     let schedulers = target.taken(Assumed::Schedulers);
     // Each machine leaves and is listed anew.
-    let gone = |name: String, machines: f64| Trouble { name, machines, changes: 2.0 * machines, schedulers };
+    let gone = |name: String, machines: f64| Trouble {
+        name,
+        machines,
+        changes: 2.0 * machines,
+        schedulers,
+    };
     let region = target.machines / target.regions;
     let hour = 3600.0 * (target.list_changes() + target.room_changes());
     vec![
@@ -50,16 +55,26 @@
 
 /// Messages and time of each, from the prices of one event.
 pub fn of_trouble(worked: &[Worked], needs: &Needs, target: &Target) -> String {
-    let each = |name: &str| worked.iter().find(|w| w.need.name == name).and_then(Worked::each);
+    let each = |name: &str| {
+        worked
+            .iter()
+            .find(|w| w.need.name == name)
+            .and_then(Worked::each)
+    };
     let prices = &needs.prices;
-    let (start, change_time, change_bytes) =
-        (each(&prices.start), each(&prices.change_time), each(&prices.change_bytes));
+    let (start, change_time, change_bytes) = (
+        each(&prices.start),
+        each(&prices.change_time),
+        each(&prices.change_bytes),
+    );
     let (whole_time, whole_bytes) = (each(&prices.whole_time), each(&prices.whole_bytes));
     let rows = troubles(target).into_iter().map(|t| {
         let tasks = t.machines * target.standing / target.machines;
         let of_one = tasks / t.schedulers.max(1.0);
         let bytes = change_bytes.map(|b| b * t.changes);
-        let time = change_time.zip(start).map(|(change, start)| change * t.changes + start * of_one);
+        let time = change_time
+            .zip(start)
+            .map(|(change, start)| change * t.changes + start * of_one);
         let share = |figure: Option<f64>, budget: f64| figure.map(|f| f / budget);
         vec![
             t.name,
--- a/crates/scale/src/page/words.rs
+++ b/crates/scale/src/page/words.rs
@@ -4,7 +4,9 @@
 
 /// Three digits, with commas; whole numbers of up to five in full. None is `not measured`.
 pub fn short(figure: Option<f64>) -> String {
-    let Some(figure) = figure.filter(|f| f.is_finite()) else { return "not measured".into() };
+    let Some(figure) = figure.filter(|f| f.is_finite()) else {
+        return "not measured".into();
+    };
     if figure == 0.0 {
         return "0".into();
     }
@@ -28,13 +30,21 @@
         }
         commas.push(digit);
     }
-    if part.is_empty() { format!("{sign}{commas}") } else { format!("{sign}{commas}.{part}") }
+    if part.is_empty() {
+        format!("{sign}{commas}")
+    } else {
+        format!("{sign}{commas}.{part}")
+    }
 }
 
 /// With its unit; seconds, cores and bytes in the power that reads best.
 pub fn with_unit(figure: Option<f64>, unit: &str) -> String {
-    let Some(value) = figure.filter(|f| f.is_finite()) else { return short(None) };
-    let (above, below) = unit.split_once('/').map_or((unit, String::new()), |(a, b)| (a, format!("/{b}")));
+    let Some(value) = figure.filter(|f| f.is_finite()) else {
+        return short(None);
+    };
+    let (above, below) = unit
+        .split_once('/')
+        .map_or((unit, String::new()), |(a, b)| (a, format!("/{b}")));
     let scales: &[(f64, &str)] = match above {
         "s" => &[(1.0, "s"), (1e-3, "ms"), (1e-6, "us")],
         "us" => &[(1e6, "s"), (1e3, "ms"), (1.0, "us")],
@@ -43,7 +53,10 @@
         "count" => return format!("{}{below}", short(figure)),
         _ => return format!("{} {unit}", short(figure)),
     };
-    let found = scales.iter().find(|(scale, _)| value.abs() >= *scale).or(scales.last());
+    let found = scales
+        .iter()
+        .find(|(scale, _)| value.abs() >= *scale)
+        .or(scales.last());
     let (scale, name) = found.copied().unwrap_or((1.0, unit));
     let gap = if name.starts_with('%') { "" } else { " " };
     format!("{}{gap}{name}{below}", short(Some(value / scale)))
@@ -57,7 +70,10 @@
 /// A table of Markdown. Cells keep to one line, and a bar in one does not end it.
 pub fn table(head: &[&str], rows: Vec<Vec<String>>) -> String {
     let line = |cells: Vec<String>| {
-        let cells: Vec<String> = cells.iter().map(|c| c.replace('|', "\\|").replace('\n', " ")).collect();
+        let cells: Vec<String> = cells
+            .iter()
+            .map(|c| c.replace('|', "\\|").replace('\n', " "))
+            .collect();
         format!("| {} |\n", cells.join(" | "))
     };
     let rule = format!("|{}\n", " --- |".repeat(head.len()));
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -54,8 +54,8 @@
         json!({"name": class(i), "deadline": 4_000_000, "group": "cell", "objective": 900_000, "repeat": repeat,
             "window": 3_000_000, "worth": 1.0})
     });
-    let tenants =
-        (0..at.tenants).map(|i| json!({"name": format!("tenant-{i}"), "quota-per-s": 2.0, "share": 1.0}));
+    let tenants = (0..at.tenants)
+        .map(|i| json!({"name": format!("tenant-{i}"), "quota-per-s": 2.0, "share": 1.0}));
     json!({
         "areas": ZONES, "flavors": ["std"], "fleet-size": at.schedulers, "registry-mode": "pushed", "tick": 2000,
         "classes": classes.collect::<Vec<_>>(), "tenants": tenants.collect::<Vec<_>>(),
@@ -84,6 +84,9 @@
         .with(code::WAIT, b"4000")
         .with(code::TASK, format!("{id:016x}").as_bytes())
         .with(code::KEY, format!("{id:032x}").as_bytes())
-        .with(code::FIGURES, format!("cores:1;memory:2;service:{:016x}", id % 40).as_bytes())
+        .with(
+            code::FIGURES,
+            format!("cores:1;memory:2;service:{:016x}", id % 40).as_bytes(),
+        )
         .with(code::DESCRIPTION, &vec![b'd'; description])
 }
