--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -38,9 +38,14 @@
         let until = Instant::now() + long;
         loop {
             let log = fs::read_to_string(self.folder.path().join("log"))?;
-            let said = log.lines().find_map(|line| line.split_once("serving address="));
+            let said = log
+                .lines()
+                .find_map(|line| line.split_once("serving address="));
             if let Some((_, address)) = said.filter(|_| log.ends_with('\n')) {
-                return address.trim().parse().with_context(|| format!("an address: {address}"));
+                return address
+                    .trim()
+                    .parse()
+                    .with_context(|| format!("an address: {address}"));
             }
             if Instant::now() > until || self.child.try_wait()?.is_some() {
                 bail!("a scheduler did not start: {log}");
@@ -58,14 +63,20 @@
     /// nanoseconds; `stat` has the same in steps of 10 ms.
     pub fn processor_time(&self) -> Result<f64> {
         let text = self.proc("schedstat")?;
-        let nanoseconds = text.split_whitespace().next().context("an empty schedstat")?;
+        let nanoseconds = text
+            .split_whitespace()
+            .next()
+            .context("an empty schedstat")?;
         Ok(nanoseconds.parse::<f64>()? / 1e3)
     }
 
     /// Resident size, bytes.
     pub fn resident(&self) -> Result<f64> {
         let status = self.proc("status")?;
-        let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).context("no VmRSS")?;
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmRSS:"))
+            .context("no VmRSS")?;
         Ok(line.trim().trim_end_matches("kB").trim().parse::<f64>()? * 1024.0)
     }
 
--- a/crates/scale/src/roles.rs
+++ b/crates/scale/src/roles.rs
@@ -38,6 +38,9 @@
 
 /// Points that rise geometrically from `least` to `most`, both among them.
 pub fn rising(least: u64, most: u64, points: u32) -> Vec<u64> {
-    let factor = (most as f64 / least as f64).powf(1.0 / f64::from(points.saturating_sub(1).max(1)));
-    (0..points).map(|i| (least as f64 * factor.powi(i as i32)).round() as u64).collect()
+    let factor =
+        (most as f64 / least as f64).powf(1.0 / f64::from(points.saturating_sub(1).max(1)));
+    (0..points)
+        .map(|i| (least as f64 * factor.powi(i as i32)).round() as u64)
+        .collect()
 }
--- a/crates/scale/src/roles/client.rs
+++ b/crates/scale/src/roles/client.rs
@@ -9,11 +9,17 @@
 use anyhow::Result;
 
 /// The role.
-pub const ROLE: Role = Role { name: "client", hollow: true, sweeps, measure };
+pub const ROLE: Role = Role {
+    name: "client",
+    hollow: true,
+    sweeps,
+    measure,
+};
 
 fn sweeps(quick: bool) -> Vec<(Axis, Vec<At>)> {
     let points = if quick { 5 } else { 7 };
-    let along = |axis: Axis, sizes: Vec<u64>| (axis, sizes.into_iter().map(|n| axis.at(n)).collect());
+    let along =
+        |axis: Axis, sizes: Vec<u64>| (axis, sizes.into_iter().map(|n| axis.at(n)).collect());
     vec![
         along(Axis::Machines, rising(400, 13_000, points)),
         along(Axis::Starts, rising(5, 320, points)),
@@ -51,6 +57,10 @@
             "messages",
             each(ended.traffic.messages, stands.traffic.messages),
         ),
-        Measure::counted("drmaa_bytes_per_request", "bytes", each(ended.traffic.bytes, stands.traffic.bytes)),
+        Measure::counted(
+            "drmaa_bytes_per_request",
+            "bytes",
+            each(ended.traffic.bytes, stands.traffic.bytes),
+        ),
     ])
 }
--- a/crates/scale/src/roles/configuration.rs
+++ b/crates/scale/src/roles/configuration.rs
@@ -15,11 +15,17 @@
 use std::time::Instant;
 
 /// The role.
-pub const ROLE: Role = Role { name: "configuration", hollow: true, sweeps, measure };
+pub const ROLE: Role = Role {
+    name: "configuration",
+    hollow: true,
+    sweeps,
+    measure,
+};
 
 fn sweeps(quick: bool) -> Vec<(Axis, Vec<At>)> {
     let points = if quick { 5 } else { 7 };
-    let along = |axis: Axis, sizes: Vec<u64>| (axis, sizes.into_iter().map(|n| axis.at(n)).collect());
+    let along =
+        |axis: Axis, sizes: Vec<u64>| (axis, sizes.into_iter().map(|n| axis.at(n)).collect());
     vec![
         along(Axis::Machines, rising(400, 13_000, points)),
         along(Axis::Classes, rising(3, 192, points)),
@@ -35,21 +41,34 @@
     let mut out = vec![
         counted("config_bytes", text.len()),
         counted("config_settings_bytes", settings(at).to_string().len()),
-        counted("config_known_bytes", event(1, true, &hosts).to_string().len()),
+        counted(
+            "config_known_bytes",
+            event(1, true, &hosts).to_string().len(),
+        ),
     ];
-    out.extend(timed("config_read_time", repeats, || Ok(Config::parse(&text, None, None)?))?);
+    out.extend(timed("config_read_time", repeats, || {
+        Ok(Config::parse(&text, None, None)?)
+    })?);
     // All that a start does before it listens, but for its sockets; and the part of it that comes after reading.
     let mut listed = Vec::new();
     out.extend(timed("config_in_force_time", repeats, || {
         let config = Config::parse(&text, None, None)?;
         let read = Instant::now();
         let bounds = Bounds::of(&config);
-        let module = View::new(Scheduler::new(config.settings.clone(), config.seed), &config.settings);
+        let module = View::new(
+            Scheduler::new(config.settings.clone(), config.seed),
+            &config.settings,
+        );
         let mut desk = Desk::new(module, config.settings, config.shape, bounds, config.seed);
         desk.handle(0, Input::Begin(config.known.entries));
         listed.push(read.elapsed().as_secs_f64() * 1e6);
         Ok(desk)
     })?);
-    out.extend(Measure::of("config_listed_time", "us", Basis::Timed, listed));
+    out.extend(Measure::of(
+        "config_listed_time",
+        "us",
+        Basis::Timed,
+        listed,
+    ));
     Ok(out)
 }
--- a/crates/scale/src/roles/controller.rs
+++ b/crates/scale/src/roles/controller.rs
@@ -5,7 +5,9 @@
 pub mod rig;
 mod words;
 
-use crate::load::{CHANGES, Play, SECOND, WINDOWS, among_many, resident, resident_each, sweeps as rising};
+use crate::load::{
+    CHANGES, Play, SECOND, WINDOWS, among_many, resident, resident_each, sweeps as rising,
+};
 use crate::roles::Role;
 use crate::row::{At, Axis, Measure};
 use anyhow::Result;
@@ -13,7 +15,12 @@
 use rig::Rig;
 
 /// The role.
-pub const ROLE: Role = Role { name: "controller", hollow: true, sweeps, measure };
+pub const ROLE: Role = Role {
+    name: "controller",
+    hollow: true,
+    sweeps,
+    measure,
+};
 
 fn sweeps(quick: bool) -> Vec<(Axis, Vec<At>)> {
     // Not up to the 57,000 of the platform: to take so many over takes half a minute, quadratic in their number.
@@ -52,9 +59,19 @@
     rig.play(SETTLE, u64::MAX, None)?;
     let stands = resident()?;
     measures.extend(resident_each("resident_machine", bare, listed, at.machines));
-    measures.extend(resident_each("resident_standing", listed, stands, at.standing));
+    measures.extend(resident_each(
+        "resident_standing",
+        listed,
+        stands,
+        at.standing,
+    ));
     let set_up = ["first_list_time", "link_up_time", "adopted_time"];
-    measures.extend(rig.timings.measures().into_iter().filter(|m| set_up.contains(&m.measure.as_str())));
+    measures.extend(
+        rig.timings
+            .measures()
+            .into_iter()
+            .filter(|m| set_up.contains(&m.measure.as_str())),
+    );
     rig.list("whole_list", second)?;
     rig.play(SETTLE, u64::MAX, None)?;
     measures.extend(rig.rest()?);
@@ -67,7 +84,9 @@
         (0..CHANGES).try_for_each(|_| rig.change())?;
         rig.list("whole_list", list)?;
     }
-    let path = ["submit", "send", "accepted", "running", "refused", "end", "dispose", "tick"];
+    let path = [
+        "submit", "send", "accepted", "running", "refused", "end", "dispose", "tick",
+    ];
     measures.extend(rig.timings.measures());
     measures.extend(rig.timings.for_each("start_time", &path));
     measures.extend(rig.counted());
--- a/crates/scale/src/roles/controller/words.rs
+++ b/crates/scale/src/roles/controller/words.rs
@@ -18,7 +18,11 @@
     config.journal = Some("journal".into());
     // Bounds that no size of the sweeps meets.
     let most = 1 << 20;
-    (config.limits.jobs, config.limits.open_asks, config.limits.session_jobs) = (most, most, most);
+    (
+        config.limits.jobs,
+        config.limits.open_asks,
+        config.limits.session_jobs,
+    ) = (most, most, most);
     config.limits.doubtful = most;
     Ok(config)
 }
@@ -64,7 +68,9 @@
         program: Program {
             command: "/opt/service/bin/serve".into(),
             args: vec![format!("--service={:016x}", ask.service.0)],
-            env: (0..4).map(|i| format!("SETTING_{i}=abcdefghijklmnop")).collect(),
+            env: (0..4)
+                .map(|i| format!("SETTING_{i}=abcdefghijklmnop"))
+                .collect(),
             working_directory: Some("/srv/service".into()),
         },
     }
--- a/crates/scale/src/roles/discovery.rs
+++ b/crates/scale/src/roles/discovery.rs
@@ -13,14 +13,20 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 /// The role.
-pub const ROLE: Role = Role { name: "discovery", hollow: true, sweeps, measure };
+pub const ROLE: Role = Role {
+    name: "discovery",
+    hollow: true,
+    sweeps,
+    measure,
+};
 
 /// Bytes that a scheduler reads at a time (`peppercove-serve`, its feed).
 const AT_ONCE: usize = 64 << 10;
 
 fn sweeps(quick: bool) -> Vec<(Axis, Vec<At>)> {
     let points = if quick { 5 } else { 9 };
-    let along = |axis: Axis, sizes: Vec<u64>| (axis, sizes.into_iter().map(|n| axis.at(n)).collect());
+    let along =
+        |axis: Axis, sizes: Vec<u64>| (axis, sizes.into_iter().map(|n| axis.at(n)).collect());
     vec![
         along(Axis::Machines, rising(400, 13_000, points)),
         along(Axis::Changes, rising(1, 256, 5)),
@@ -42,7 +48,11 @@
 pub fn lines(machines: u64) -> Lines {
     let whole = format!("{}\n", event(1, true, &hosts(0..machines)));
     let change = format!("{}\n", event(2, false, &hosts(0..1)));
-    Lines { whole, change, number: "2\n".into() }
+    Lines {
+        whole,
+        change,
+        number: "2\n".into(),
+    }
 }
 
 /// Reads a line in the parts in which a scheduler reads it, and holds it against the event before.
@@ -75,19 +85,31 @@
         free_cores: Some(32.0),
         free_memory: Some(64.0),
     };
-    FromList::News { generation: 1, scope, lines: (0..nodes).map(line).collect() }
+    FromList::News {
+        generation: 1,
+        scope,
+        lines: (0..nodes).map(line).collect(),
+    }
 }
 
 fn measure(at: &At, quick: bool) -> Result<Vec<Measure>> {
     let repeats = if quick { 5 } else { 21 };
-    let Lines { whole, change, number } = lines(at.machines);
+    let Lines {
+        whole,
+        change,
+        number,
+    } = lines(at.machines);
     let counted = |measure, unit, figure: usize| Measure::counted(measure, unit, figure as f64);
     let taken = matches!(take(&whole, 0), Ok(Some((_, Step::Take))));
     let mut out = vec![
         counted("list_bytes", "bytes", whole.len()),
         counted("change_bytes", "bytes", change.len()),
         counted("list_taken", "count", usize::from(taken)),
-        Measure::counted("list_of_longest", "share", whole.len() as f64 / longest(GRANTED.1) as f64),
+        Measure::counted(
+            "list_of_longest",
+            "share",
+            whole.len() as f64 / longest(GRANTED.1) as f64,
+        ),
     ];
     let second = at.changes as usize * change.len() + number.len();
     let schedulers = at.schedulers as usize;
@@ -95,12 +117,22 @@
     out.push(counted("change_bytes_all", "bytes/s", second * schedulers));
     out.push(counted("list_bytes_all", "bytes", whole.len() * schedulers));
     if taken {
-        out.extend(timed("list_read_time", repeats, || take(&whole, 0).context("a list that was taken"))?);
+        out.extend(timed("list_read_time", repeats, || {
+            take(&whole, 0).context("a list that was taken")
+        })?);
     }
-    out.extend(timed("change_read_time", repeats * 10, || take(&change, 1).context("a change"))?);
-    let second = (0..at.changes).map(|_| change.as_str()).chain([number.as_str()]).collect::<Vec<_>>();
+    out.extend(timed("change_read_time", repeats * 10, || {
+        take(&change, 1).context("a change")
+    })?);
+    let second = (0..at.changes)
+        .map(|_| change.as_str())
+        .chain([number.as_str()])
+        .collect::<Vec<_>>();
     out.extend(timed("changes_read_time", repeats, || {
-        second.iter().try_for_each(|text| take(text, 1).map(drop)).context("a second's changes")
+        second
+            .iter()
+            .try_for_each(|text| take(text, 1).map(drop))
+            .context("a second's changes")
     })?);
     frames(at, repeats, &mut out)?;
     Ok(out)
@@ -110,13 +142,21 @@
 fn frames(at: &At, repeats: usize, out: &mut Vec<Measure>) -> Result<()> {
     let encode = |news: &FromList| {
         let mut frame = BytesMut::new();
-        Messages::<ToList, FromList>::new(LIST_FRAME).encode(news, &mut frame).map(|()| frame)
+        Messages::<ToList, FromList>::new(LIST_FRAME)
+            .encode(news, &mut frame)
+            .map(|()| frame)
     };
     let (whole, change) = (news(at.machines, Scope::Full), news(1, Scope::Delta));
     for (name, news) in [("frame_list", &whole), ("frame_change", &change)] {
         let frame = encode(news)?;
-        out.push(Measure::counted(&format!("{name}_bytes"), "bytes", frame.len() as f64));
-        out.extend(timed(&format!("{name}_write_time"), repeats, || encode(news).context("a list"))?);
+        out.push(Measure::counted(
+            &format!("{name}_bytes"),
+            "bytes",
+            frame.len() as f64,
+        ));
+        out.extend(timed(&format!("{name}_write_time"), repeats, || {
+            encode(news).context("a list")
+        })?);
         out.extend(timed(&format!("{name}_read_time"), repeats, || {
             let mut link = Messages::<FromList, ToList>::new(LIST_FRAME);
             link.decode(&mut frame.clone())?.context("a whole frame")
@@ -127,7 +167,9 @@
 
 /// Times `work`, microseconds.
 pub(crate) fn timed<T>(
-    name: &str, repeats: usize, mut work: impl FnMut() -> Result<T>,
+    name: &str,
+    repeats: usize,
+    mut work: impl FnMut() -> Result<T>,
 ) -> Result<Option<Measure>> {
     let mut took = Vec::with_capacity(repeats);
     for _ in 0..repeats {
--- a/crates/scale/src/roles/machine.rs
+++ b/crates/scale/src/roles/machine.rs
@@ -10,14 +10,20 @@
 use anyhow::Result;
 
 /// The role.
-pub const ROLE: Role = Role { name: "machine", hollow: true, sweeps, measure };
+pub const ROLE: Role = Role {
+    name: "machine",
+    hollow: true,
+    sweeps,
+    measure,
+};
 
 /// Stand-in nodes, at most.
 pub const NODES: u64 = 64;
 
 fn sweeps(quick: bool) -> Vec<(Axis, Vec<At>)> {
     let points = if quick { 5 } else { 7 };
-    let along = |axis: Axis, sizes: Vec<u64>| (axis, sizes.into_iter().map(|n| axis.at(n)).collect());
+    let along =
+        |axis: Axis, sizes: Vec<u64>| (axis, sizes.into_iter().map(|n| axis.at(n)).collect());
     vec![
         along(Axis::Machines, rising(400, 13_000, points)),
         along(Axis::Schedulers, rising(16, 530, points)),
@@ -44,8 +50,16 @@
     Ok(vec![
         Measure::counted("wire_messages_per_start", "messages", messages),
         Measure::counted("wire_bytes_per_start", "bytes", bytes),
-        Measure::counted("wire_standing_messages", "messages/s", still.hosts.messages as f64 * all),
-        Measure::counted("wire_standing_bytes", "bytes/s", still.hosts.bytes as f64 * all),
+        Measure::counted(
+            "wire_standing_messages",
+            "messages/s",
+            still.hosts.messages as f64 * all,
+        ),
+        Measure::counted(
+            "wire_standing_bytes",
+            "bytes/s",
+            still.hosts.bytes as f64 * all,
+        ),
         Measure::counted("wire_dials_per_start", "count", each(crossed.dials)),
         Measure::counted("wire_messages", "messages/s", messages * seen),
         Measure::counted("wire_bytes", "bytes/s", bytes * seen),
@@ -61,14 +75,30 @@
     let each = |after: u64, before: u64| (after - before) as f64 / wires.placed as f64;
     let greeting = |total: u64| total as f64 / greeted.connections.max(1) as f64;
     Ok(vec![
-        Measure::counted("node_connections", "count", greeted.connections as f64 / at.machines as f64),
-        Measure::counted("node_greeting_messages", "messages", greeting(greeted.traffic.messages)),
-        Measure::counted("node_greeting_bytes", "bytes", greeting(greeted.traffic.bytes)),
+        Measure::counted(
+            "node_connections",
+            "count",
+            greeted.connections as f64 / at.machines as f64,
+        ),
+        Measure::counted(
+            "node_greeting_messages",
+            "messages",
+            greeting(greeted.traffic.messages),
+        ),
+        Measure::counted(
+            "node_greeting_bytes",
+            "bytes",
+            greeting(greeted.traffic.bytes),
+        ),
         Measure::counted(
             "node_messages_per_start",
             "messages",
             each(ended.traffic.messages, greeted.traffic.messages),
         ),
-        Measure::counted("node_bytes_per_start", "bytes", each(ended.traffic.bytes, greeted.traffic.bytes)),
+        Measure::counted(
+            "node_bytes_per_start",
+            "bytes",
+            each(ended.traffic.bytes, greeted.traffic.bytes),
+        ),
     ])
 }
--- a/crates/scale/src/roles/module.rs
+++ b/crates/scale/src/roles/module.rs
@@ -3,21 +3,27 @@
 //! Each event is a batch of its own, so that its time holds what a batch costs beside it.
 
 use crate::load::{
-    BEGIN, CHANGES, Cluster, Play, Timings, WINDOWS, Word, resident, resident_each, sweeps as rising,
+    BEGIN, CHANGES, Cluster, Play, Timings, WINDOWS, Word, resident, resident_each,
+    sweeps as rising,
 };
 use crate::roles::Role;
 use crate::row::{At, Axis, Measure};
 use anyhow::Result;
 use peppercove::{
-    Action, Event, ListScope, MachineId, MachineLine, Micros, Outcome, Request, RequestId, Scheduler,
-    ServiceId, Why,
+    Action, Event, ListScope, MachineId, MachineLine, Micros, Outcome, Request, RequestId,
+    Scheduler, ServiceId, Why,
 };
 use peppercove_core::Alarms;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
 /// The role.
-pub const ROLE: Role = Role { name: "module", hollow: true, sweeps, measure };
+pub const ROLE: Role = Role {
+    name: "module",
+    hollow: true,
+    sweeps,
+    measure,
+};
 
 fn sweeps(quick: bool) -> Vec<(Axis, Vec<At>)> {
     let axes = [
@@ -91,10 +97,19 @@
     }
 
     fn handle(&mut self, kind: &'static str, event: Event) {
-        let (actions, nanos) =
-            self.timings.take(|| self.scheduler.handle(self.now, std::slice::from_ref(&event)));
+        let (actions, nanos) = self.timings.take(|| {
+            self.scheduler
+                .handle(self.now, std::slice::from_ref(&event))
+        });
         let bound = |a: &Action| matches!(a, Action::Bind { .. });
-        self.timings.note(if kind == "place" && actions.iter().any(bound) { "bind" } else { kind }, nanos);
+        self.timings.note(
+            if kind == "place" && actions.iter().any(bound) {
+                "bind"
+            } else {
+                kind
+            },
+            nanos,
+        );
         let counts = self.counts.entry(kind).or_default();
         counts.0 += 1;
         counts.1 += actions.len() as u64;
@@ -105,10 +120,17 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Bind { request, machine, .. } => {
-                let Some((service, attempts)) = self.asked.get_mut(&request) else { return };
+            Action::Bind {
+                request, machine, ..
+            } => {
+                let Some((service, attempts)) = self.asked.get_mut(&request) else {
+                    return;
+                };
                 let (after, word) = self.cluster.answer(machine, *service);
-                self.agenda.set(self.now + after, Happens::Answer(request, *attempts, machine, word));
+                self.agenda.set(
+                    self.now + after,
+                    Happens::Answer(request, *attempts, machine, word),
+                );
                 *attempts += 1;
             }
             Action::SetTimer { label, at } => self.agenda.set(at, Happens::Timer(label)),
@@ -123,7 +145,9 @@
 
     /// The lines of the whole list.
     pub fn lines(&mut self) -> Vec<MachineLine> {
-        (0..self.cluster.at.machines).map(|i| self.cluster.line(i, id(i))).collect()
+        (0..self.cluster.at.machines)
+            .map(|i| self.cluster.line(i, id(i)))
+            .collect()
     }
 
     /// The whole list comes.
@@ -131,7 +155,11 @@
         self.version += 1;
         self.handle(
             "whole_list",
-            Event::MachineList { scope: ListScope::Full, version: self.version, lines },
+            Event::MachineList {
+                scope: ListScope::Full,
+                version: self.version,
+                lines,
+            },
         );
     }
 
@@ -139,7 +167,10 @@
     pub fn hand_over(&mut self) {
         for n in 0..self.cluster.at.standing {
             let machine = id(self.cluster.machine_of(n));
-            let request = Request { request: self.new_request(), ..self.cluster.standing(n) };
+            let request = Request {
+                request: self.new_request(),
+                ..self.cluster.standing(n)
+            };
             self.standing.push_back((request.request, 0, machine));
             self.handle("standing", Event::Standing { request, machine });
         }
@@ -157,29 +188,57 @@
         self.version += 1;
         self.handle(
             "list_change",
-            Event::MachineList { scope: ListScope::Delta, version: self.version, lines },
+            Event::MachineList {
+                scope: ListScope::Delta,
+                version: self.version,
+                lines,
+            },
         );
     }
 
     fn start(&mut self) {
         let number = self.new_request();
-        let request = Request { request: number, ..self.cluster.start(number.0, self.fresh) };
+        let request = Request {
+            request: number,
+            ..self.cluster.start(number.0, self.fresh)
+        };
         self.asked.insert(number, (request.service, 0));
         self.started += 1;
         self.handle("place", Event::Place(request));
         // One comes and one ends: as many stand as before.
         while self.standing.len() as u64 > self.cluster.at.standing {
-            let Some((request, attempt, machine)) = self.standing.pop_front() else { break };
+            let Some((request, attempt, machine)) = self.standing.pop_front() else {
+                break;
+            };
             self.ended("end", (request, attempt, machine), Outcome::Done, true);
         }
     }
 
     fn ended(
-        &mut self, kind: &'static str, (request, attempt, machine): Attempt, outcome: Outcome, over: bool,
+        &mut self,
+        kind: &'static str,
+        (request, attempt, machine): Attempt,
+        outcome: Outcome,
+        over: bool,
     ) {
-        let why = if outcome == Outcome::Refused { Why::NoCores } else { Why::Unknown };
+        let why = if outcome == Outcome::Refused {
+            Why::NoCores
+        } else {
+            Why::Unknown
+        };
         let load = Some(self.cluster.load(machine.0 - 1));
-        self.handle(kind, Event::Ended { request, attempt, machine, outcome, why, over, load });
+        self.handle(
+            kind,
+            Event::Ended {
+                request,
+                attempt,
+                machine,
+                outcome,
+                why,
+                over,
+                load,
+            },
+        );
     }
 
     fn happen(&mut self, happens: Happens) {
@@ -190,8 +249,10 @@
                 self.start();
             }
             Happens::Change => {
-                self.agenda
-                    .set(self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2), Happens::Change);
+                self.agenda.set(
+                    self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
+                    Happens::Change,
+                );
                 self.change();
             }
             Happens::Timer(label) => self.handle("timer", Event::Timer(label)),
@@ -199,10 +260,24 @@
                 Word::Runs => {
                     self.asked.remove(&request);
                     self.standing.push_back((request, attempt, machine));
-                    self.handle("placed", Event::Placed { request, attempt, machine });
+                    self.handle(
+                        "placed",
+                        Event::Placed {
+                            request,
+                            attempt,
+                            machine,
+                        },
+                    );
+                }
+                Word::Refused => self.ended(
+                    "refused",
+                    (request, attempt, machine),
+                    Outcome::Refused,
+                    false,
+                ),
+                Word::Error => {
+                    self.ended("error", (request, attempt, machine), Outcome::Error, false)
                 }
-                Word::Refused => self.ended("refused", (request, attempt, machine), Outcome::Refused, false),
-                Word::Error => self.ended("error", (request, attempt, machine), Outcome::Error, false),
             },
         }
     }
@@ -222,7 +297,10 @@
     /// Tasks and changes come from now on; the first ones all of new services.
     pub fn warm_up(&mut self, play: &Play) {
         self.agenda.set(self.now + 1, Happens::Start);
-        self.agenda.set(self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2), Happens::Change);
+        self.agenda.set(
+            self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
+            Happens::Change,
+        );
         self.fresh = true;
         self.play(play.warm, Some(Instant::now() + play.bound * 4));
         self.fresh = false;
@@ -237,15 +315,23 @@
         let mean = |(kind, &(events, actions)): (&&str, &(u64, u64))| {
             let mean = actions as f64 / events as f64;
             let measure = Measure::counted(&format!("actions_for_{kind}"), "count", mean);
-            Measure { samples: events, ..measure }
+            Measure {
+                samples: events,
+                ..measure
+            }
         };
         let mut measures: Vec<Measure> = self.counts.iter().map(mean).collect();
         let asked = self.counts.get("place").map_or(0, |c| c.0);
         let part = self.turned_away as f64 / asked.max(1) as f64;
-        measures.push(Measure { samples: asked, ..Measure::counted("turned_away", "share", part) });
+        measures.push(Measure {
+            samples: asked,
+            ..Measure::counted("turned_away", "share", part)
+        });
         let compared = (self.scheduler.compared() - self.compared) as f64 / asked.max(1) as f64;
-        measures
-            .push(Measure { samples: asked, ..Measure::counted("compared_for_start", "count", compared) });
+        measures.push(Measure {
+            samples: asked,
+            ..Measure::counted("compared_for_start", "count", compared)
+        });
         measures
     }
 }
@@ -266,10 +352,17 @@
     rig.hand_over();
     let stands = resident()?;
     measures.extend(resident_each("resident_machine", bare, listed, at.machines));
-    measures.extend(resident_each("resident_standing", listed, stands, at.standing));
+    measures.extend(resident_each(
+        "resident_standing",
+        listed,
+        stands,
+        at.standing,
+    ));
     rig.list(second);
     let set_up = rig.timings.measures().into_iter();
-    measures.extend(set_up.filter(|m| ["first_list_time", "standing_time"].contains(&m.measure.as_str())));
+    measures.extend(
+        set_up.filter(|m| ["first_list_time", "standing_time"].contains(&m.measure.as_str())),
+    );
     rig.warm_up(&play);
     measures.extend(resident_each("resident", bare, resident()?, 1));
     for window in 0..WINDOWS {
@@ -280,7 +373,9 @@
         rig.list(lines);
     }
     measures.extend(rig.timings.measures());
-    let path = ["bind", "place", "placed", "refused", "error", "end", "timer"];
+    let path = [
+        "bind", "place", "placed", "refused", "error", "end", "timer",
+    ];
     measures.extend(rig.timings.for_each("start_time", &path));
     measures.extend(rig.counted());
     Ok(measures)
--- a/crates/scale/src/roles/processes.rs
+++ b/crates/scale/src/roles/processes.rs
@@ -16,7 +16,12 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// The role.
-pub const ROLE: Role = Role { name: "processes", hollow: false, sweeps, measure };
+pub const ROLE: Role = Role {
+    name: "processes",
+    hollow: false,
+    sweeps,
+    measure,
+};
 
 /// No point takes longer.
 const BOUND: Duration = Duration::from_secs(28);
@@ -30,29 +35,60 @@
 const BROUGHT: u64 = 500;
 
 /// One scheduler with few owners, and starts enough that their time stands out from that at rest.
-const ONE: At = At { schedulers: 1, starts: 100, connections: 20, ..At::BASE };
+const ONE: At = At {
+    schedulers: 1,
+    starts: 100,
+    connections: 20,
+    ..At::BASE
+};
 /// Schedulers that have little to do, on few machines.
-const MANY: At = At { machines: 32, starts: 2, standing: 4, connections: 2, ..At::BASE };
+const MANY: At = At {
+    machines: 32,
+    starts: 2,
+    standing: 4,
+    connections: 2,
+    ..At::BASE
+};
 
 fn sweeps(quick: bool) -> Vec<(Axis, Vec<At>)> {
     let points = if quick { 3 } else { 5 };
     let along = |base: At, axis: Axis, sizes: Vec<u64>| {
         let at = |n| match axis {
-            Axis::Machines => At { machines: n, ..base },
-            Axis::Schedulers | Axis::Together => At { schedulers: n, ..base },
+            Axis::Machines => At {
+                machines: n,
+                ..base
+            },
+            Axis::Schedulers | Axis::Together => At {
+                schedulers: n,
+                ..base
+            },
             Axis::Starts => At { starts: n, ..base },
-            _ => At { connections: n, ..base },
+            _ => At {
+                connections: n,
+                ..base
+            },
         };
         (axis, sizes.into_iter().map(at).collect::<Vec<_>>())
     };
     let most = if quick { 1_000 } else { 3_200 };
-    let schedulers = if quick { vec![2, 8, 32, 128] } else { vec![2, 8, 32, 128, 256] };
+    let schedulers = if quick {
+        vec![2, 8, 32, 128]
+    } else {
+        vec![2, 8, 32, 128, 256]
+    };
     let both_ways = if quick { vec![1, 16] } else { vec![1, 4, 16] };
     vec![
         along(ONE, Axis::Machines, rising(32, most, points)),
         along(MANY, Axis::Schedulers, schedulers),
         along(ONE, Axis::Starts, rising(20, 320, points)),
-        along(At { machines: 100, ..ONE }, Axis::Connections, rising(10, 316, points)),
+        along(
+            At {
+                machines: 100,
+                ..ONE
+            },
+            Axis::Connections,
+            rising(10, 316, points),
+        ),
         // The same sizes as without processes: the figures of both can be held against each other.
         along(At::BASE, Axis::Together, both_ways),
     ]
@@ -61,10 +97,18 @@
 fn measure(at: &At, quick: bool) -> Result<Vec<Measure>> {
     // Listeners of hosts, a connection of each scheduler to each of them, and owners; logs are closed by then.
     let most = at.machines + at.schedulers * (at.machines + at.connections);
-    ensure!(most < DESCRIPTORS, "up to {most} descriptors in one process");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let played =
-        async { timeout(BOUND, play(at, if quick { 2 } else { 5 })).await.context("not over in time")? };
+    ensure!(
+        most < DESCRIPTORS,
+        "up to {most} descriptors in one process"
+    );
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    let played = async {
+        timeout(BOUND, play(at, if quick { 2 } else { 5 }))
+            .await
+            .context("not over in time")?
+    };
     LocalSet::new().block_on(&runtime, played)
 }
 
@@ -74,7 +118,12 @@
 }
 
 fn less(after: Vec<f64>, before: Vec<f64>, per: impl Fn(usize) -> f64) -> Vec<f64> {
-    after.into_iter().zip(before).enumerate().map(|(i, (a, b))| (a - b) / per(i)).collect()
+    after
+        .into_iter()
+        .zip(before)
+        .enumerate()
+        .map(|(i, (a, b))| (a - b) / per(i))
+        .collect()
 }
 
 async fn play(at: &At, seconds: u64) -> Result<Vec<Measure>> {
@@ -105,10 +154,20 @@
     all.iter().for_each(Owners::begin);
     let (before, crossed, began) = (processor_times(&processes)?, bytes.now(), Instant::now());
     let asked = at.starts * seconds;
-    ask(at, &all, asked, Duration::from_secs(1) / at.starts.max(1) as u32, 0).await;
+    ask(
+        at,
+        &all,
+        asked,
+        Duration::from_secs(1) / at.starts.max(1) as u32,
+        0,
+    )
+    .await;
     sleep(LIFE + Duration::from_millis(300)).await;
     let placed: Vec<f64> = all.iter().map(|o| o.outcomes()[0] as f64).collect();
-    ensure!(placed.iter().all(|p| *p > 0.0), "a scheduler placed nothing");
+    ensure!(
+        placed.iter().all(|p| *p > 0.0),
+        "a scheduler placed nothing"
+    );
     let lasted = began.elapsed().as_secs_f64();
     let loads = less(processor_times(&processes)?, before, |_| lasted);
     // What it takes at rest is not the starts'.
@@ -119,27 +178,61 @@
         .map(|((load, idle), placed)| (load - idle) * lasted / placed);
     let times: Vec<f64> = times.collect();
     let total: f64 = placed.iter().sum();
-    let (to, from) = ((bytes.now().0 - crossed.0) as f64, (bytes.now().1 - crossed.1) as f64);
+    let (to, from) = (
+        (bytes.now().0 - crossed.0) as f64,
+        (bytes.now().1 - crossed.1) as f64,
+    );
     let ended: u64 = all.iter().map(|o| o.outcomes()[2]).sum();
     let open: u64 = all.iter().map(Owners::open).sum();
-    let each = |figure: fn(&Process) -> Result<f64>| processes.iter().map(figure).collect::<Result<Vec<_>>>();
+    let each = |figure: fn(&Process) -> Result<f64>| {
+        processes.iter().map(figure).collect::<Result<Vec<_>>>()
+    };
 
     let mut out = vec![
         Measure::counted("start_bytes_in", "bytes", to / total),
         Measure::counted("start_bytes_out", "bytes", from / total),
-        Measure::counted("placed_share", "count", total / (asked * at.schedulers) as f64),
+        Measure::counted(
+            "placed_share",
+            "count",
+            total / (asked * at.schedulers) as f64,
+        ),
         Measure::counted("ended_share", "count", ended as f64 / total),
         Measure::counted("owners_open", "count", open as f64 / at.schedulers as f64),
         Measure::counted("idle_bytes", "bytes/s", idle_bytes),
     ];
     // A difference from the time at rest: with few starts it is less than that wavers, and says nothing.
     if times.iter().all(|time| *time > 0.0) {
-        out.extend(Measure::of("start_processor_time", "us", Basis::Timed, times));
+        out.extend(Measure::of(
+            "start_processor_time",
+            "us",
+            Basis::Timed,
+            times,
+        ));
     }
-    out.extend(Measure::of("load_processor_time", "us/s", Basis::Timed, loads));
-    out.extend(Measure::of("idle_processor_time", "us/s", Basis::Timed, idle_times));
-    out.extend(Measure::of("resident", "bytes", Basis::Resident, each(Process::resident)?));
-    out.extend(Measure::of("descriptors", "count", Basis::Counted, each(Process::descriptors)?));
+    out.extend(Measure::of(
+        "load_processor_time",
+        "us/s",
+        Basis::Timed,
+        loads,
+    ));
+    out.extend(Measure::of(
+        "idle_processor_time",
+        "us/s",
+        Basis::Timed,
+        idle_times,
+    ));
+    out.extend(Measure::of(
+        "resident",
+        "bytes",
+        Basis::Resident,
+        each(Process::resident)?,
+    ));
+    out.extend(Measure::of(
+        "descriptors",
+        "count",
+        Basis::Counted,
+        each(Process::descriptors)?,
+    ));
     out.extend(delay(&all));
     Ok(out)
 }
@@ -165,6 +258,15 @@
     let starts: Vec<f64> = all.iter().flat_map(Owners::delays).collect();
     let of = Measure::of("start_delay", "us", Basis::Timed, medians)?;
     let (samples, median) = (starts.len() as u64, middle(starts.clone(), 0.5)?);
-    let p99 = if samples >= 100 { middle(starts, 0.99) } else { None };
-    Some(Measure { median, p99, samples, ..of })
+    let p99 = if samples >= 100 {
+        middle(starts, 0.99)
+    } else {
+        None
+    };
+    Some(Measure {
+        median,
+        p99,
+        samples,
+        ..of
+    })
 }
--- a/crates/scale/src/roles/serve.rs
+++ b/crates/scale/src/roles/serve.rs
@@ -6,7 +6,9 @@
 pub mod rig;
 mod words;
 
-use crate::load::{CHANGES, Play, SECOND, WINDOWS, among_many, resident, resident_each, sweeps as rising};
+use crate::load::{
+    CHANGES, Play, SECOND, WINDOWS, among_many, resident, resident_each, sweeps as rising,
+};
 use crate::roles::Role;
 use crate::row::{At, Axis, Measure};
 use anyhow::Result;
@@ -14,7 +16,12 @@
 use rig::Rig;
 
 /// The role.
-pub const ROLE: Role = Role { name: "serve", hollow: true, sweeps, measure };
+pub const ROLE: Role = Role {
+    name: "serve",
+    hollow: true,
+    sweeps,
+    measure,
+};
 
 fn sweeps(quick: bool) -> Vec<(Axis, Vec<At>)> {
     let axes = [
@@ -38,7 +45,11 @@
     let play = Play::of(at, quick);
     let mut rig = Rig::new(at)?;
     let (first, second) = (rig.whole_list(), rig.whole_list());
-    let mut measures = vec![Measure::counted("whole_list_bytes", "bytes", first.len() as f64)];
+    let mut measures = vec![Measure::counted(
+        "whole_list_bytes",
+        "bytes",
+        first.len() as f64,
+    )];
     let bare = resident()?;
     rig.list("first_list", &first)?;
     let listed = resident()?;
@@ -48,10 +59,25 @@
     rig.connect()?;
     let connected = resident()?;
     measures.extend(resident_each("resident_machine", bare, listed, at.machines));
-    measures.extend(resident_each("resident_standing", listed, stands, at.standing));
-    measures.extend(resident_each("resident_connection", stands, connected, at.connections));
+    measures.extend(resident_each(
+        "resident_standing",
+        listed,
+        stands,
+        at.standing,
+    ));
+    measures.extend(resident_each(
+        "resident_connection",
+        stands,
+        connected,
+        at.connections,
+    ));
     let set_up = ["first_list_time", "standing_time", "link_up_time"];
-    measures.extend(rig.timings.measures().into_iter().filter(|m| set_up.contains(&m.measure.as_str())));
+    measures.extend(
+        rig.timings
+            .measures()
+            .into_iter()
+            .filter(|m| set_up.contains(&m.measure.as_str())),
+    );
     rig.list("whole_list", &second)?;
     rig.play(SETTLE, u64::MAX, None)?;
     measures.extend(rig.rest()?);
@@ -69,8 +95,14 @@
         rig.list("whole_list", &list)?;
         rig.play(BATCH, u64::MAX, None)?;
     }
-    let path = ["set_up", "turn", "tick", "link_up", "answer", "refused", "end"];
-    let times = rig.timings.measures().into_iter().filter(|m| m.measure != "link_up_time");
+    let path = [
+        "set_up", "turn", "tick", "link_up", "answer", "refused", "end",
+    ];
+    let times = rig
+        .timings
+        .measures()
+        .into_iter()
+        .filter(|m| m.measure != "link_up_time");
     measures.extend(times);
     measures.extend(rig.timings.for_each("start_time", &path));
     measures.extend(rig.counted());
--- a/crates/scale/src/roles/serve/words.rs
+++ b/crates/scale/src/roles/serve/words.rs
@@ -32,9 +32,16 @@
         listen: nowhere,
         seed: 1,
         // Bounds that no size of the sweeps meets.
-        limits: Limits { cores: 1.0, memory_mb: 4 << 10, sockets: 1 << 17 },
+        limits: Limits {
+            cores: 1.0,
+            memory_mb: 4 << 10,
+            sockets: 1 << 17,
+        },
         journal: nowhere,
-        known: Known { pos: 0, entries: Vec::new() },
+        known: Known {
+            pos: 0,
+            entries: Vec::new(),
+        },
         settings: cluster.settings(),
         shape: shape(&cluster.at),
     }
@@ -46,7 +53,10 @@
 
 /// Where a host listens.
 pub fn address(i: u64) -> SocketAddr {
-    SocketAddr::new(IpAddr::V4(Ipv4Addr::from_bits((10 << 24) + i as u32)), 7_000)
+    SocketAddr::new(
+        IpAddr::V4(Ipv4Addr::from_bits((10 << 24) + i as u32)),
+        7_000,
+    )
 }
 
 /// The host that listens there.
@@ -63,8 +73,16 @@
 }
 
 /// The text of a list event, with its end of line.
-pub fn event(cluster: &mut Cluster, pos: u64, full: bool, hosts: impl Iterator<Item = u64>) -> String {
-    let mut text = format!("{{\"pos\":{0},\"hosts\":{{\"version\":{0},\"full\":{full},\"servers\":[", pos);
+pub fn event(
+    cluster: &mut Cluster,
+    pos: u64,
+    full: bool,
+    hosts: impl Iterator<Item = u64>,
+) -> String {
+    let mut text = format!(
+        "{{\"pos\":{0},\"hosts\":{{\"version\":{0},\"full\":{full},\"servers\":[",
+        pos
+    );
     for (n, i) in hosts.enumerate() {
         let ((rack, zone), [cores, memory]) = (Cluster::place(i), cluster.free(i));
         let comma = if n > 0 { "," } else { "" };
@@ -82,8 +100,18 @@
 
 /// A set-up, or the word that its task stands at a host already.
 pub fn set_up(id: u64, ask: &Request, at: Option<u64>) -> Message {
-    let Request { class, service, cores, memory, task, .. } = ask;
-    let mut figures = format!("cores:{cores:.3};memory:{memory:.3};service:{:016x}", service.0);
+    let Request {
+        class,
+        service,
+        cores,
+        memory,
+        task,
+        ..
+    } = ask;
+    let mut figures = format!(
+        "cores:{cores:.3};memory:{memory:.3};service:{:016x}",
+        service.0
+    );
     if let Some(host) = at {
         figures.push_str(&format!(";at:{}", name(host)));
     }
@@ -93,5 +121,9 @@
         .with(code::TASK, format!("{:016x}", task.0).as_bytes())
         .with(code::KEY, format!("{:016x}", task.0).as_bytes())
         .with(code::FIGURES, figures.as_bytes());
-    if at.is_some() { message } else { message.with(code::DESCRIPTION, &DESCRIPTION) }
+    if at.is_some() {
+        message
+    } else {
+        message.with(code::DESCRIPTION, &DESCRIPTION)
+    }
 }
--- a/crates/scale/src/row.rs
+++ b/crates/scale/src/row.rs
@@ -136,7 +136,16 @@
     pub fn counted(measure: &str, unit: &str, figure: f64) -> Measure {
         let (measure, unit) = (measure.to_owned(), unit.to_owned());
         let basis = Basis::Counted;
-        Measure { measure, unit, basis, median: figure, low: figure, high: figure, p99: None, samples: 1 }
+        Measure {
+            measure,
+            unit,
+            basis,
+            median: figure,
+            low: figure,
+            high: figure,
+            p99: None,
+            samples: 1,
+        }
     }
 
     /// From repeats of one figure; none where there are no repeats.
@@ -145,7 +154,16 @@
         let (low, high) = (*repeats.first()?, *repeats.last()?);
         let (measure, unit) = (measure.to_owned(), unit.to_owned());
         let (median, samples) = (repeats[repeats.len() / 2], repeats.len() as u64);
-        Some(Measure { measure, unit, basis, median, low, high, p99: None, samples })
+        Some(Measure {
+            measure,
+            unit,
+            basis,
+            median,
+            low,
+            high,
+            p99: None,
+            samples,
+        })
     }
 }
 
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -12,7 +12,10 @@
 
 fn role(name: &str) -> Result<&'static Role> {
     let names = || ROLES.iter().map(|r| r.name).collect::<Vec<_>>().join(", ");
-    ROLES.iter().find(|r| r.name == name).with_context(|| format!("no role {name}; there are {}", names()))
+    ROLES
+        .iter()
+        .find(|r| r.name == name)
+        .with_context(|| format!("no role {name}; there are {}", names()))
 }
 
 /// Measures one point in this process and prints its figures, one JSON object a line.
@@ -36,12 +39,24 @@
                 let started = Instant::now();
                 let printed = child(role, &at, quick)?;
                 for line in printed.lines() {
-                    let figure = serde_json::from_str(line).with_context(|| format!("a figure: {line}"))?;
-                    let row = Row { role: role.name.to_owned(), sweep, at, hollow: role.hollow, figure };
+                    let figure =
+                        serde_json::from_str(line).with_context(|| format!("a figure: {line}"))?;
+                    let row = Row {
+                        role: role.name.to_owned(),
+                        sweep,
+                        at,
+                        hollow: role.hollow,
+                        figure,
+                    };
                     writeln!(out, "{}", serde_json::to_string(&row)?)?;
                 }
                 out.flush()?;
-                eprintln!("{} {sweep:?} {}: {:.1?}", role.name, sweep.of(&at), started.elapsed());
+                eprintln!(
+                    "{} {sweep:?} {}: {:.1?}",
+                    role.name,
+                    sweep.of(&at),
+                    started.elapsed()
+                );
             }
         }
     }
@@ -50,11 +65,19 @@
 
 fn child(role: &Role, at: &At, quick: bool) -> Result<String> {
     let mut command = Command::new(std::env::current_exe()?);
-    command.args(["bench", "scale-point", role.name, &serde_json::to_string(at)?]);
+    command.args([
+        "bench",
+        "scale-point",
+        role.name,
+        &serde_json::to_string(at)?,
+    ]);
     if quick {
         command.arg("--quick");
     }
-    let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
+    let mut child = command
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .spawn()?;
     let mut stdout = child.stdout.take().context("the point's output")?;
     let reader = std::thread::spawn(move || {
         let mut printed = String::new();
@@ -68,11 +91,16 @@
         if Instant::now() > bound {
             child.kill()?;
             child.wait()?;
-            bail!("{} at {at:?} took over {POINT_BOUND} s and was ended", role.name);
+            bail!(
+                "{} at {at:?} took over {POINT_BOUND} s and was ended",
+                role.name
+            );
         }
         std::thread::sleep(Duration::from_millis(5));
     };
-    let printed = reader.join().map_err(|_| anyhow::anyhow!("the point's output was not read"))??;
+    let printed = reader
+        .join()
+        .map_err(|_| anyhow::anyhow!("the point's output was not read"))??;
     if !status.success() {
         bail!("{} at {at:?} ended with {status}", role.name);
     }
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -113,12 +113,21 @@
         let target: Target = serde_json::from_str(text).context("the target")?;
         for name in Assumed::ALL {
             let found = target.assumptions.iter().filter(|a| a.name == name).count();
-            ensure!(found == 1, "the target: {name:?} is assumed {found} times instead of once");
+            ensure!(
+                found == 1,
+                "the target: {name:?} is assumed {found} times instead of once"
+            );
         }
         for (key, value) in target.figures()? {
-            ensure!(value.is_finite() && value > 0.0, "the target: {key} is {value}, not above zero");
+            ensure!(
+                value.is_finite() && value > 0.0,
+                "the target: {key} is {value}, not above zero"
+            );
         }
-        ensure!(target.taken(Assumed::ControlShare) <= 1.0, "the target: control_share is over 1");
+        ensure!(
+            target.taken(Assumed::ControlShare) <= 1.0,
+            "the target: control_share is over 1"
+        );
         Ok(target)
     }
 
@@ -129,31 +138,44 @@
     pub fn figures(&self) -> Result<Vec<(String, f64)>> {
         let whole = serde_json::to_value(self)?;
         let own = whole.as_object().into_iter().flatten();
-        let mut figures: Vec<(String, f64)> =
-            own.filter_map(|(key, value)| Some((key.clone(), value.as_f64()?))).collect();
+        let mut figures: Vec<(String, f64)> = own
+            .filter_map(|(key, value)| Some((key.clone(), value.as_f64()?)))
+            .collect();
         for assumption in &self.assumptions {
             let name = serde_json::to_value(assumption.name)?;
-            figures.push((name.as_str().unwrap_or_default().to_owned(), assumption.taken));
+            figures.push((
+                name.as_str().unwrap_or_default().to_owned(),
+                assumption.taken,
+            ));
         }
         Ok(figures)
     }
 
     /// The value taken for an assumption.
     pub fn taken(&self, name: Assumed) -> f64 {
-        self.assumptions.iter().find(|a| a.name == name).map_or(f64::NAN, |a| a.taken)
+        self.assumptions
+            .iter()
+            .find(|a| a.name == name)
+            .map_or(f64::NAN, |a| a.taken)
     }
 
     /// The same with another value for one assumption.
     pub fn with(&self, name: Assumed, value: f64) -> Target {
         let mut other = self.clone();
-        other.assumptions.iter_mut().filter(|a| a.name == name).for_each(|a| a.taken = value);
+        other
+            .assumptions
+            .iter_mut()
+            .filter(|a| a.name == name)
+            .for_each(|a| a.taken = value);
         other
     }
 
     /// A fleet this many times as large: all that counts things or events, schedulers among them. Budgets and times stay.
     pub fn scaled(&self, factor: f64) -> Target {
-        let mut other =
-            self.with(Assumed::Schedulers, (self.taken(Assumed::Schedulers) * factor).round().max(1.0));
+        let mut other = self.with(
+            Assumed::Schedulers,
+            (self.taken(Assumed::Schedulers) * factor).round().max(1.0),
+        );
         let counts = [
             &mut other.machines,
             &mut other.accelerators,
--- a/crates/serve/src/feed.rs
+++ b/crates/serve/src/feed.rs
@@ -108,7 +108,9 @@
                             entries.push(entry);
                         }
                         (Step::AskAgain, _) => break Some(End::Gap),
-                        (Step::Skip | Step::Take, line) => numbered |= matches!(line, Line::Last(_)),
+                        (Step::Skip | Step::Take, line) => {
+                            numbered |= matches!(line, Line::Last(_))
+                        }
                     }
                 }
                 Ok(None) => break None,
--- a/crates/serve/src/hosts.rs
+++ b/crates/serve/src/hosts.rs
@@ -14,7 +14,12 @@
 use tokio::time::timeout;
 
 /// Opens a connection and keeps it until it ends.
-pub(crate) fn dial(shell: Rc<Shell>, link: LinkId, address: SocketAddr, connection: Rc<Connection>) {
+pub(crate) fn dial(
+    shell: Rc<Shell>,
+    link: LinkId,
+    address: SocketAddr,
+    connection: Rc<Connection>,
+) {
     spawn_local(keep(shell, link, address, connection));
 }
 
@@ -26,13 +31,18 @@
             let stream = Rc::new(stream);
             shell.input(Input::LinkUp(link));
             let end = carry(&stream, &connection.outbox, |buffer| {
-                read(&shell, &connection, buffer, |message| shell.input(Input::Host(link, message)))
+                read(&shell, &connection, buffer, |message| {
+                    shell.input(Input::Host(link, message))
+                })
             });
             let end = end.await;
             tracing::debug!(link = link.0, %address, ?end, "connection to a host ended");
             // What a host said is all read where it closed behind a whole message.
             let whole = matches!(end, Closed::Peer) && connection.half_since.get().is_none();
-            Down::Broke { written: connection.outbox.written(), whole }
+            Down::Broke {
+                written: connection.outbox.written(),
+                whole,
+            }
         }
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Down::Refused,
         Ok(Err(_)) | Err(_) => Down::NotUp,
@@ -43,7 +53,10 @@
 
 /// Takes whole messages off the buffer; false where they cannot be read.
 pub(crate) fn read(
-    shell: &Shell, connection: &Connection, buffer: &mut BytesMut, mut take: impl FnMut(Message),
+    shell: &Shell,
+    connection: &Connection,
+    buffer: &mut BytesMut,
+    mut take: impl FnMut(Message),
 ) -> bool {
     let mut whole = false;
     let readable = loop {
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -69,10 +69,19 @@
 }
 
 fn read(path: &Path, environment: &Environment) -> Result<Config, ServeError> {
-    let text =
-        std::fs::read_to_string(path).map_err(|source| ServeError::Read { path: path.to_owned(), source })?;
-    Config::parse(&text, environment.name.as_deref(), environment.listen.as_deref())
-        .map_err(|source| ServeError::Config { path: path.to_owned(), source })
+    let text = std::fs::read_to_string(path).map_err(|source| ServeError::Read {
+        path: path.to_owned(),
+        source,
+    })?;
+    Config::parse(
+        &text,
+        environment.name.as_deref(),
+        environment.listen.as_deref(),
+    )
+    .map_err(|source| ServeError::Config {
+        path: path.to_owned(),
+        source,
+    })
 }
 
 /// Serves until SIGTERM or SIGINT; must be called within a `LocalSet`.
@@ -82,11 +91,20 @@
 pub async fn run(path: &Path, environment: &Environment) -> Result<(), ServeError> {
     // Handlers stand before anything can be seen from outside: a signal that comes early must not end the program.
     let hear = |kind| signal(kind).map_err(ServeError::Signals);
-    let (mut terminate, mut interrupt) = (hear(SignalKind::terminate())?, hear(SignalKind::interrupt())?);
+    let (mut terminate, mut interrupt) = (
+        hear(SignalKind::terminate())?,
+        hear(SignalKind::interrupt())?,
+    );
     let mut reload = hear(SignalKind::hangup())?;
     let config = read(path, environment)?;
     let address = config.listen;
-    let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+    let longest = config
+        .settings
+        .classes
+        .iter()
+        .map(|c| c.deadline)
+        .max()
+        .unwrap_or(0);
     let shell = Shell::new(config, hosts::dial).shared();
     shell.begin();
     let listen = |source| ServeError::Listen { address, source };
--- a/crates/serve/src/owners.rs
+++ b/crates/serve/src/owners.rs
@@ -25,7 +25,9 @@
         };
         let _ = stream.set_nodelay(true);
         // Without room for it, it is closed at once: its owner can come again.
-        let Some((owner, connection)) = shell.admit() else { continue };
+        let Some((owner, connection)) = shell.admit() else {
+            continue;
+        };
         if shell.is_crowded() {
             // Danger: the system would take connections faster than those to hosts that make room for them are closed.
             tokio::task::yield_now().await;
@@ -35,7 +37,9 @@
             let stream = Rc::new(stream);
             carry(&stream, &connection.outbox, |buffer| {
                 shell.is_active();
-                read(&shell, &connection, buffer, |message| shell.take_in(owner, &connection, message))
+                read(&shell, &connection, buffer, |message| {
+                    shell.take_in(owner, &connection, message)
+                })
             })
             .await;
             drop(stream);
--- a/crates/serve/src/shell.rs
+++ b/crates/serve/src/shell.rs
@@ -142,7 +142,9 @@
                 }
             }
             Output::Dial(link, address) => {
-                let Some(shell) = self.me.upgrade() else { return };
+                let Some(shell) = self.me.upgrade() else {
+                    return;
+                };
                 let connection = Connection::new(self.clock.now(), &self.budget);
                 self.links.borrow_mut().insert(link, connection.clone());
                 (self.dial)(shell, link, address, connection);
@@ -199,9 +201,15 @@
         let desk = self.desk.borrow();
         let owners = self.owners.borrow();
         let unused = |id: OwnerId, c: &Connection| c.outbox.is_empty() && !desk.is_waited_for(id);
-        let idle = owners.iter().filter(|(id, c)| !c.outbox.is_ending() && unused(**id, c));
-        let rank = |id: &OwnerId, c: &Connection| (desk.is_usual(*id), c.heard_at.get().unwrap_or(c.since));
-        let Some((_, connection)) = idle.min_by_key(|(id, c)| rank(id, c)) else { return false };
+        let idle = owners
+            .iter()
+            .filter(|(id, c)| !c.outbox.is_ending() && unused(**id, c));
+        let rank = |id: &OwnerId, c: &Connection| {
+            (desk.is_usual(*id), c.heard_at.get().unwrap_or(c.since))
+        };
+        let Some((_, connection)) = idle.min_by_key(|(id, c)| rank(id, c)) else {
+            return false;
+        };
         // It is looked at once more before it ends, and is known here until then.
         connection.outbox.finish();
         true
@@ -258,7 +266,8 @@
         let desk = self.desk.borrow();
         for (owner, connection) in self.owners.borrow().iter() {
             let half = connection.half_since.get();
-            let silent = connection.heard_at.get().is_none() && late(Some(connection.since), SILENT);
+            let silent =
+                connection.heard_at.get().is_none() && late(Some(connection.since), SILENT);
             if late(half, HALF_A_MESSAGE * 2) && !desk.is_waited_for(*owner) {
                 connection.outbox.close();
             } else if silent || late(half, HALF_A_MESSAGE) && !desk.is_waited_for(*owner) {
@@ -273,14 +282,20 @@
 impl Shell {
     /// Gives the shell its own handle, for the tasks that it starts.
     pub(crate) fn shared(self) -> Rc<Shell> {
-        Rc::new_cyclic(|me| Shell { me: me.clone(), ..self })
+        Rc::new_cyclic(|me| Shell {
+            me: me.clone(),
+            ..self
+        })
     }
 }
 
 /// Calls the desk when it wants to be called.
 pub(crate) async fn keep_time(shell: Rc<Shell>) {
     let next = || shell.desk.borrow().next_wake();
-    shell.timer.keep(&shell.clock, next, |at| shell.input(Input::Tick(at))).await;
+    shell
+        .timer
+        .keep(&shell.clock, next, |at| shell.input(Input::Tick(at)))
+        .await;
 }
 
 /// Gives the set-ups that wait their turns, for a slice of time, and lets all that arrived meanwhile come first then.
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -62,11 +62,25 @@
         };
         let name = spec.name.clone();
         let model = Model::new(spec, shared, 1, seed);
-        let state = RefCell::new(State { model, links: BTreeMap::new(), greeted: 0, dead: false });
-        let inner = Rc::new(Inner { clock, state, wake: Notify::new(), epoch: watch::Sender::new(0) });
+        let state = RefCell::new(State {
+            model,
+            links: BTreeMap::new(),
+            greeted: 0,
+            dead: false,
+        });
+        let inner = Rc::new(Inner {
+            clock,
+            state,
+            wake: Notify::new(),
+            epoch: watch::Sender::new(0),
+        });
         spawn_local(accept(inner.clone(), listener));
         spawn_local(keep_time(inner.clone()));
-        Ok(Node { inner, address, name })
+        Ok(Node {
+            inner,
+            address,
+            name,
+        })
     }
 
     /// Where it listens.
@@ -196,7 +210,10 @@
             Ok((stream, _)) if inner.state.borrow().dead => drop(stream),
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                spawn_local(serve(inner.clone(), Framed::new(stream, Messages::new(NODE_FRAME))));
+                spawn_local(serve(
+                    inner.clone(),
+                    Framed::new(stream, Messages::new(NODE_FRAME)),
+                ));
             }
             Err(_) => tokio::time::sleep(std::time::Duration::from_millis(10)).await,
         }
@@ -205,7 +222,13 @@
 
 async fn serve(inner: Rc<Inner>, mut link: Link) {
     let mut epoch = inner.epoch.subscribe();
-    let Some(Ok(ToNode::Hello { version, controller })) = link.next().await else { return };
+    let Some(Ok(ToNode::Hello {
+        version,
+        controller,
+    })) = link.next().await
+    else {
+        return;
+    };
     if version != peppercove_protocol::VERSION {
         return;
     }
@@ -251,7 +274,11 @@
     }
     let now = inner.clock.now();
     let mut state = inner.state.borrow_mut();
-    if state.links.get(&controller.name).is_some_and(|(_, s)| s.same_channel(&sender)) {
+    if state
+        .links
+        .get(&controller.name)
+        .is_some_and(|(_, s)| s.same_channel(&sender))
+    {
         state.links.remove(&controller.name);
         state.model.part(now, &controller.name, number);
     }
@@ -264,9 +291,17 @@
     }
     inner.act(|model| match message {
         ToNode::Hello { .. } => Vec::new(),
-        ToNode::Offer { attempt, expires_in, work } => model.offer(now, from, attempt, expires_in, work),
+        ToNode::Offer {
+            attempt,
+            expires_in,
+            work,
+        } => model.offer(now, from, attempt, expires_in, work),
         ToNode::Withdraw { attempt } => model.withdraw(now, from, attempt),
-        ToNode::Adopt { life, attempt, named } => model.adopt(now, from, life, attempt, named),
+        ToNode::Adopt {
+            life,
+            attempt,
+            named,
+        } => model.adopt(now, from, life, attempt, named),
         ToNode::Noted { attempt } => {
             model.noted(from, attempt);
             Vec::new()
--- a/src/bin/peppercove-adapter.rs
+++ b/src/bin/peppercove-adapter.rs
@@ -59,7 +59,9 @@
         }
         let mut body = vec![0; length as usize];
         if length > 0 && !fill(&mut input, &mut body, &format!("frame {frame}: body"))? {
-            return Err(WireError(format!("frame {frame}: body of {length} bytes is missing")).into());
+            return Err(
+                WireError(format!("frame {frame}: body of {length} bytes is missing")).into(),
+            );
         }
         let batch = decoder
             .batch(u64::from_le_bytes(clock), count, &body)
@@ -73,7 +75,11 @@
 }
 
 /// Hands each instance its events of one batch, together and in order.
-fn answer(instances: &mut BTreeMap<u16, Scheduler>, now: u64, records: Vec<(u16, Incoming)>) -> Reply {
+fn answer(
+    instances: &mut BTreeMap<u16, Scheduler>,
+    now: u64,
+    records: Vec<(u16, Incoming)>,
+) -> Reply {
     let mut reply = Reply::default();
     let mut events: BTreeMap<u16, Vec<Event>> = BTreeMap::new();
     for (instance, incoming) in records {
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -7,7 +7,8 @@
 
 use crate::interface::*;
 use crate::state::{
-    Attempt, Counts, Homes, Machine, Mean, Part, Stage, Task, first, home_rank, narrow, release, scatter,
+    Attempt, Counts, Homes, Machine, Mean, Part, Stage, Task, first, home_rank, narrow, release,
+    scatter,
 };
 use std::{cell::Cell, collections::BTreeSet};
 
@@ -71,10 +72,16 @@
     /// A scheduler that has just started and knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Scheduler {
         // Before any start is seen: one without the program misses the aim, one with it takes a part of it.
-        let start_times = settings.classes.iter().map(|c| [c.aim as f64 * 0.25, c.aim as f64 * 2.0]);
+        let start_times = settings
+            .classes
+            .iter()
+            .map(|c| [c.aim as f64 * 0.25, c.aim as f64 * 2.0]);
         Scheduler {
             // Before any use is seen: a machine full by asks is taken to be full by use.
-            use_ratio: [1.0 / settings.accepts_cores.max(1.0), 1.0 / settings.accepts_memory.max(1.0)],
+            use_ratio: [
+                1.0 / settings.accepts_cores.max(1.0),
+                1.0 / settings.accepts_memory.max(1.0),
+            ],
             start_times: start_times.collect(),
             homes: vec![HOMES; settings.classes.len()],
             headroom: vec![0.0; settings.classes.len()],
@@ -123,14 +130,35 @@
 
     fn take_in(&mut self, event: &Event) {
         match event {
-            Event::MachineList { scope, version, lines } => self.on_list(*scope, *version, lines),
+            Event::MachineList {
+                scope,
+                version,
+                lines,
+            } => self.on_list(*scope, *version, lines),
             Event::Place(ask) => self.on_place(ask),
             Event::Standing { request, machine } => self.on_standing(request, *machine),
-            Event::Placed { request, attempt, machine } => self.on_placed(*request, *attempt, *machine),
-            Event::Noted { request, attempt, machine, note } => {
+            Event::Placed {
+                request,
+                attempt,
+                machine,
+            } => self.on_placed(*request, *attempt, *machine),
+            Event::Noted {
+                request,
+                attempt,
+                machine,
+                note,
+            } => {
                 self.on_note(*request, *attempt, *machine, *note);
             }
-            Event::Ended { request, attempt, machine, outcome, why, over, load } => {
+            Event::Ended {
+                request,
+                attempt,
+                machine,
+                outcome,
+                why,
+                over,
+                load,
+            } => {
                 self.on_ended(*request, *attempt, *machine, *outcome, *why, *over);
                 if let Some(load) = load {
                     self.on_load(*machine, load);
@@ -138,7 +166,11 @@
             }
             Event::Unwanted(request) => self.close(*request),
             Event::Timer(_) => (self.wake, self.room_news) = (Micros::MAX, true),
-            Event::Probed { machine, answered, load } => {
+            Event::Probed {
+                machine,
+                answered,
+                load,
+            } => {
                 if *answered {
                     self.on_heard(*machine);
                 }
@@ -193,10 +225,16 @@
 
     fn on_line(&mut self, line: &MachineLine) {
         // Times near the end of their type would overflow in sums.
-        let line = &MachineLine { started_at: line.started_at.min(self.now), ..line.clone() };
+        let line = &MachineLine {
+            started_at: line.started_at.min(self.now),
+            ..line.clone()
+        };
         let kind = self.settings.kinds.get(usize::from(line.kind));
         let then = self.now.saturating_sub(self.settings.ask_every / 4); // A guess of the list's lateness.
-        let machine = self.machines.entry(line.machine).or_insert_with(|| Machine::new(line.machine));
+        let machine = self
+            .machines
+            .entry(line.machine)
+            .or_insert_with(|| Machine::new(line.machine));
         let (cores, memory) = kind.map_or((0.0, 0.0), |k| (k.cores, k.memory));
         (machine.cores, machine.memory, machine.listed) = (cores, memory, true);
         if line.started_at != machine.line.started_at {
@@ -208,7 +246,9 @@
         machine.line = line.clone();
         // Danger: a list that runs behind would erase what the machine itself told since.
         let news = then >= machine.told_at;
-        if let (Some(free_cores), Some(free_memory), true) = (line.free_cores, line.free_memory, news) {
+        if let (Some(free_cores), Some(free_memory), true) =
+            (line.free_cores, line.free_memory, news)
+        {
             let asked = [cores - free_cores, memory - free_memory];
             Scheduler::learn_others(&self.settings, machine, asked, then);
         }
@@ -223,9 +263,17 @@
         let alone = settings.schedulers <= 1;
         let weight = (1.0 - 1.0 / f64::from(settings.schedulers.max(1))).powi(2);
         for i in 0..2 {
-            let seen = if alone || !asked[i].is_finite() { 0.0 } else { (asked[i] - own[i]).max(0.0) };
+            let seen = if alone || !asked[i].is_finite() {
+                0.0
+            } else {
+                (asked[i] - own[i]).max(0.0)
+            };
             let others = machine.others.get_or_insert([f64::NAN; 2]);
-            others[i] = if others[i].is_nan() { seen } else { others[i] + weight * (seen - others[i]) };
+            others[i] = if others[i].is_nan() {
+                seen
+            } else {
+                others[i] + weight * (seen - others[i])
+            };
         }
     }
 
@@ -240,7 +288,10 @@
 
     fn on_place(&mut self, ask: &Request) {
         if !ask.makes_sense(&self.settings) {
-            self.out.push(Action::Refuse { request: ask.request, retry_after: None });
+            self.out.push(Action::Refuse {
+                request: ask.request,
+                retry_after: None,
+            });
             return;
         }
         if self.tasks.contains_key(&ask.request) {
@@ -278,7 +329,9 @@
     }
 
     fn is_held(&self, request: RequestId) -> bool {
-        self.tasks.get(&request).is_some_and(|t| t.stage == Stage::Held)
+        self.tasks
+            .get(&request)
+            .is_some_and(|t| t.stage == Stage::Held)
     }
 
     /// Until then a held task can still be placed. Held past the window of its key, it can be placed no more.
@@ -297,7 +350,8 @@
     /// Danger: many tasks are held where room is short. Looked at with each batch, they take all the time
     /// that there is, and answers come too late. They are looked at when something can come of it.
     fn place_held(&mut self) {
-        while let Some((_, request)) = self.held.first().copied().filter(|(at, _)| *at <= self.now) {
+        while let Some((_, request)) = self.held.first().copied().filter(|(at, _)| *at <= self.now)
+        {
             self.held.pop_first();
             if self.is_held(request) {
                 // It can be placed no more: its owner is told at once.
@@ -308,7 +362,9 @@
             return;
         }
         // Danger: when room is short the first in line takes it; the most worth for its room goes first.
-        let waiting = std::mem::take(&mut self.held).into_iter().filter(|(_, r)| self.is_held(*r));
+        let waiting = std::mem::take(&mut self.held)
+            .into_iter()
+            .filter(|(_, r)| self.is_held(*r));
         let mut ranked: Vec<(f64, RequestId)> = waiting.map(|(_, r)| (self.value(r), r)).collect();
         ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         (self.room_news, self.next_try) = (false, self.now + self.shortest_aim() / 32);
@@ -322,26 +378,46 @@
 
     /// Machines that could take the least of these tasks. Nothing opens while they are gone through.
     fn open_to(&self, waiting: &[(f64, RequestId)]) -> Vec<MachineId> {
-        let asks = || waiting.iter().filter_map(|(_, r)| self.tasks.get(r)).map(|t| &t.ask);
+        let asks = || {
+            waiting
+                .iter()
+                .filter_map(|(_, r)| self.tasks.get(r))
+                .map(|t| &t.ask)
+        };
         let least = |of: fn(&Request) -> f64| asks().map(of).fold(f64::INFINITY, f64::min);
         let least = [least(|a| a.cores), least(|a| a.memory)];
         let mean = self.others.get();
         let open = |m: &&Machine| {
-            m.line.state == MachineState::Ready && self.has_room(m, least, 1.0, mean) && self.cold_allows(m)
+            m.line.state == MachineState::Ready
+                && self.has_room(m, least, 1.0, mean)
+                && self.cold_allows(m)
         };
-        self.machines.values().filter(open).map(|m| m.line.machine).collect()
+        self.machines
+            .values()
+            .filter(open)
+            .map(|m| m.line.machine)
+            .collect()
     }
 
     /// Worth for its room: worth goes with size, so only class and timeliness tell.
     fn value(&self, request: RequestId) -> f64 {
-        let Some(task) = self.tasks.get(&request) else { return 0.0 };
+        let Some(task) = self.tasks.get(&request) else {
+            return 0.0;
+        };
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let timely = self.is_timely(task);
-        class.worth * class.start_seconds.max(1.0) * (2.0 + if timely { 1.0 } else { class.late_worth })
+        class.worth
+            * class.start_seconds.max(1.0)
+            * (2.0 + if timely { 1.0 } else { class.late_worth })
     }
 
     fn shortest_aim(&self) -> Micros {
-        self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(self.settings.ask_every)
+        self.settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .min()
+            .unwrap_or(self.settings.ask_every)
     }
 
     /// Time to spare before a deadline: answers count for a little longer, batches come a tick apart.
@@ -353,7 +429,9 @@
 
     /// Draws a machine and offers the task; false leaves it held.
     fn try_place(&mut self, request: RequestId, among: Option<&[MachineId]>) -> bool {
-        let Some(task) = self.tasks.get(&request) else { return true };
+        let Some(task) = self.tasks.get(&request) else {
+            return true;
+        };
         if task.deadline <= self.now + self.margin() || self.now < task.rests_until {
             return false;
         }
@@ -362,17 +440,28 @@
         let counts = self.counts(task);
         let may = |m: &&Machine| self.may_take(m, task, mean_others, &counts);
         let mut set: Vec<&Machine> = match among {
-            Some(ids) => ids.iter().filter_map(|id| self.machines.get(id)).filter(may).collect(),
+            Some(ids) => ids
+                .iter()
+                .filter_map(|id| self.machines.get(id))
+                .filter(may)
+                .collect(),
             None => self.machines.values().filter(may).collect(),
         };
-        self.compared.set(self.compared.get() + among.map_or(self.machines.len(), <[_]>::len) as u64);
+        self.compared
+            .set(self.compared.get() + among.map_or(self.machines.len(), <[_]>::len) as u64);
         self.keep_opened(&mut set, mean_others);
         self.keep_home(&mut set, &task.ask, mean_others);
-        narrow(&mut set, |m| self.keeps_memory_free(m, &task.ask, mean_others));
+        narrow(&mut set, |m| {
+            self.keeps_memory_free(m, &task.ask, mean_others)
+        });
         self.keep_timely(&mut set, task);
-        let set: Vec<(MachineId, f64, f64)> =
-            set.iter().map(|m| (m.line.machine, m.cores, self.entry(m, mean_others))).collect();
-        let Some(machine) = self.draw(set) else { return false };
+        let set: Vec<(MachineId, f64, f64)> = set
+            .iter()
+            .map(|m| (m.line.machine, m.cores, self.entry(m, mean_others)))
+            .collect();
+        let Some(machine) = self.draw(set) else {
+            return false;
+        };
         self.offer(request, machine);
         true
     }
@@ -405,19 +494,31 @@
     /// entry and swallows task after task. What failed rests; a silent machine is tried with a task that may
     /// run twice.
     fn is_rested(&self, m: &Machine, ask: &Request, class: &Class) -> bool {
-        let allows = |part: Part, may: bool| m.rests.get(&part).is_none_or(|r| may && self.now >= r.until);
+        let allows = |part: Part, may: bool| {
+            m.rests
+                .get(&part)
+                .is_none_or(|r| may && self.now >= r.until)
+        };
         allows(Part::Silent, class.repeat == Repeat::Safe)
-            && [Part::Line, Part::of(ask)].into_iter().all(|part| allows(part, true))
+            && [Part::Line, Part::of(ask)]
+                .into_iter()
+                .all(|part| allows(part, true))
     }
 
     /// Danger: a keyed task that may have run starts a second time on machines that do not know its key.
     fn group_allows(&self, m: &Machine, task: &Task, class: &Class) -> bool {
-        let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else { return true };
+        let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else {
+            return true;
+        };
         let same_zone = m.line.zone == first.zone;
         self.may_send_again(task)
             && match class.repeat {
-                Repeat::Keyed { group: Group::Zone, .. } => same_zone,
-                Repeat::Keyed { group: Group::Rack, .. } => same_zone && m.line.rack == first.rack,
+                Repeat::Keyed {
+                    group: Group::Zone, ..
+                } => same_zone,
+                Repeat::Keyed {
+                    group: Group::Rack, ..
+                } => same_zone && m.line.rack == first.rack,
                 _ => true,
             }
     }
@@ -431,8 +532,14 @@
     /// anywhere, so it counts everywhere.
     fn counts(&self, task: &Task) -> Counts {
         let spread = self.settings.classes[usize::from(task.ask.class)].spread;
-        let held = self.services.get(&task.ask.service).filter(|_| spread != Spread::Off);
-        let held = held.into_iter().flatten().filter_map(|(id, n)| Some((self.machines.get(id)?, *n)));
+        let held = self
+            .services
+            .get(&task.ask.service)
+            .filter(|_| spread != Spread::Off);
+        let held = held
+            .into_iter()
+            .flatten()
+            .filter_map(|(id, n)| Some((self.machines.get(id)?, *n)));
         Counts::of(held.map(|(m, n)| (m.listed.then(|| m.place(spread)), n)))
     }
 
@@ -454,7 +561,11 @@
         let place = (u64::from(self.settings.own_number) + all - first) % all;
         let share = bears / all + u64::from(place < bears % all);
         let share = m.line.cold_share.map_or(share, u64::from);
-        let recent = m.offers.iter().filter(|at| **at + window > self.now).count();
+        let recent = m
+            .offers
+            .iter()
+            .filter(|at| **at + window > self.now)
+            .count();
         (recent as u64) < share
     }
 
@@ -470,7 +581,8 @@
     /// Danger: memory in use at its end evicts tasks, and the asks do not show it. Machines that would keep
     /// a part of their memory free are preferred.
     fn keeps_memory_free(&self, m: &Machine, ask: &Request, mean_others: [f64; 2]) -> bool {
-        let memory = m.expected_use(mean_others, self.use_ratio)[1] + ask.memory * self.use_ratio[1];
+        let memory =
+            m.expected_use(mean_others, self.use_ratio)[1] + ask.memory * self.use_ratio[1];
         memory <= MEMORY_FILL * m.memory
     }
 
@@ -479,10 +591,17 @@
     /// drains: the tasks that it sends away need all the room there is.
     fn keep_opened(&self, set: &mut Vec<&Machine>, mean_others: [f64; 2]) {
         let opened = |m: &Machine| m.asked(mean_others)[0] >= self.settings.mean_cores / 2.0;
-        let entries: Vec<f64> =
-            set.iter().filter(|m| opened(m)).map(|m| self.entry(m, mean_others)).collect();
+        let entries: Vec<f64> = set
+            .iter()
+            .filter(|m| opened(m))
+            .map(|m| self.entry(m, mean_others))
+            .collect();
         let spare = entries.iter().sum::<f64>() <= OPENED_FILL * entries.len() as f64;
-        let draining = || self.machines.values().any(|m| m.line.state == MachineState::Draining);
+        let draining = || {
+            self.machines
+                .values()
+                .any(|m| m.line.state == MachineState::Draining)
+        };
         if self.settings.fleet_price > 0.0 && spare && !draining() {
             narrow(set, opened);
         }
@@ -493,7 +612,10 @@
     fn keep_timely(&self, set: &mut Vec<&Machine>, task: &Task) {
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let left = (task.arrived + class.aim).saturating_sub(self.now) as f64 * AIM_SHARE;
-        let soonest = set.iter().map(|m| self.start_estimate(m, &task.ask)).fold(f64::INFINITY, f64::min);
+        let soonest = set
+            .iter()
+            .map(|m| self.start_estimate(m, &task.ask))
+            .fold(f64::INFINITY, f64::min);
         let limit = left.max(soonest * NEAR_SOONEST);
         narrow(set, |m| self.start_estimate(m, &task.ask) <= limit);
     }
@@ -507,24 +629,33 @@
         // As many again stand in for homes that run short of memory.
         let homes = self.homes[usize::from(ask.class)].round() as usize;
         first(&mut ranked, homes * 2, |a, b| {
-            b.0.total_cmp(&a.0).then(a.1.line.machine.cmp(&b.1.line.machine))
+            b.0.total_cmp(&a.0)
+                .then(a.1.line.machine.cmp(&b.1.line.machine))
         });
         let mut ranked: Vec<&Machine> = ranked.into_iter().map(|(_, m)| m).collect();
         narrow(&mut ranked, |m| self.keeps_memory_free(m, ask, mean_others));
         // Danger: homes may be learned to grow with the machines; each held against each is their square.
-        let homes = Homes::of(ranked.into_iter().take(homes).map(|m| m.line.machine), &self.compared);
+        let homes = Homes::of(
+            ranked.into_iter().take(homes).map(|m| m.line.machine),
+            &self.compared,
+        );
         set.retain(|m| m.holds_program(ask.service) || homes.hold(m.line.machine));
     }
 
     fn start_estimate(&self, m: &Machine, ask: &Request) -> f64 {
         let cold = usize::from(!m.holds_program(ask.service));
         let own = self.start_times[usize::from(ask.class)][cold];
-        let left = |(sent, estimate): &(Micros, f64)| (estimate - (self.now - sent) as f64).max(0.0);
+        let left =
+            |(sent, estimate): &(Micros, f64)| (estimate - (self.now - sent) as f64).max(0.0);
         // Machines start a few tasks at a time: about a quarter of what is before this one delays it.
         let before: f64 = m.starting.values().map(left).sum::<f64>() * 0.25;
         // A fresh machine warms up from the least share it promises.
         let up = self.now.saturating_sub(m.line.started_at) as f64;
-        let part = if self.is_cold(m) { up / self.settings.warm_within.max(1) as f64 } else { 1.0 };
+        let part = if self.is_cold(m) {
+            up / self.settings.warm_within.max(1) as f64
+        } else {
+            1.0
+        };
         let warmth = self.settings.cold_from + (1.0 - self.settings.cold_from) * part.min(1.0);
         (own + before) / warmth.max(f64::MIN_POSITIVE)
     }
@@ -554,9 +685,14 @@
     // ---- The offer ----
 
     fn offer(&mut self, request: RequestId, machine: MachineId) {
-        let Some(mut task) = self.tasks.remove(&request) else { return };
+        let Some(mut task) = self.tasks.remove(&request) else {
+            return;
+        };
         let m = &self.machines[&machine];
-        let (estimate, warm) = (self.start_estimate(m, &task.ask), m.holds_program(task.ask.service));
+        let (estimate, warm) = (
+            self.start_estimate(m, &task.ask),
+            m.holds_program(task.ask.service),
+        );
         let (timeout, part) = (self.patience(&task, estimate), Part::of(&task.ask));
         let attempt = self.open_attempt(&task.ask, machine, estimate, warm, true);
         task.attempts.push(attempt);
@@ -566,22 +702,36 @@
             let window = self.settings.fall_window * 2;
             m.offers.retain(|at| at + window > self.now);
             m.offers.push_back(self.now);
-            let tried = [Part::Silent, Part::Line, part].into_iter().filter(|p| m.rests.contains_key(p));
+            let tried = [Part::Silent, Part::Line, part]
+                .into_iter()
+                .filter(|p| m.rests.contains_key(p));
             for part in tried.collect::<Vec<Part>>() {
                 self.rest(machine, part);
             }
         }
-        self.out.push(Action::Bind { request, machine, timeout });
+        self.out.push(Action::Bind {
+            request,
+            machine,
+            timeout,
+        });
         self.probe_some();
     }
 
     /// Adds the task to its entry at once.
     fn open_attempt(
-        &mut self, ask: &Request, machine: MachineId, estimate: f64, warm: bool, starting: bool,
+        &mut self,
+        ask: &Request,
+        machine: MachineId,
+        estimate: f64,
+        warm: bool,
+        starting: bool,
     ) -> Attempt {
         let now = self.now;
         // A task handed over on a machine that no list has named yet: it is counted, not sent to.
-        let m = self.machines.entry(machine).or_insert_with(|| Machine::new(machine));
+        let m = self
+            .machines
+            .entry(machine)
+            .or_insert_with(|| Machine::new(machine));
         m.add_own(now, ask, 1.0, self.settings.ask_every);
         let program = m.programs.entry(ask.service).or_insert((0, now));
         *program = (program.0 + 1, now);
@@ -590,10 +740,25 @@
             m.unanswered.insert(ask.request, now);
             self.awaited.insert(machine);
         }
-        *self.services.entry(ask.service).or_default().entry(machine).or_insert(0) += 1;
+        *self
+            .services
+            .entry(ask.service)
+            .or_default()
+            .entry(machine)
+            .or_insert(0) += 1;
         let (rack, zone) = (m.line.rack, m.line.zone);
         let (open, may_have_run, erred) = (true, false, false);
-        Attempt { machine, rack, zone, sent_at: now, warm, open, starting, may_have_run, erred }
+        Attempt {
+            machine,
+            rack,
+            zone,
+            sent_at: now,
+            warm,
+            open,
+            starting,
+            may_have_run,
+            erred,
+        }
     }
 
     /// Danger: a silent machine holds a task until its deadline. An attempt is given up while another could
@@ -602,7 +767,13 @@
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let left = task.deadline.saturating_sub(self.now) as f64;
         // A further try of a task confined to a rack or zone seldom finds the program there.
-        let confined = matches!(class.repeat, Repeat::Keyed { group: Group::Rack | Group::Zone, .. });
+        let confined = matches!(
+            class.repeat,
+            Repeat::Keyed {
+                group: Group::Rack | Group::Zone,
+                ..
+            }
+        );
         let wait = match self.settings.confirms {
             Confirms::Accepted => class.aim as f64,
             // A start that is cut off is lost work, so half of what is left is waited at least.
@@ -621,24 +792,34 @@
         if self.settings.probes && self.rng.f64() < PROBE_CHANCE {
             let ready = self.ready(|_| true);
             if !ready.is_empty() {
-                self.out.push(Action::Probe(ready[self.rng.usize(0..ready.len())]));
+                self.out
+                    .push(Action::Probe(ready[self.rng.usize(0..ready.len())]));
             }
         }
     }
 
     fn ready(&self, passes: impl Fn(&Machine) -> bool) -> Vec<MachineId> {
         let ready = |m: &&Machine| m.line.state == MachineState::Ready && passes(m);
-        self.machines.values().filter(ready).map(|m| m.line.machine).collect()
+        self.machines
+            .values()
+            .filter(ready)
+            .map(|m| m.line.machine)
+            .collect()
     }
 
     // ---- What machines answer ----
 
     fn on_heard(&mut self, machine: MachineId) {
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         m.heard_at = self.now;
         if m.rests.remove(&Part::Silent).is_some() {
             self.room_news = true;
-            self.out.push(Action::Log(format!("machine {:x} answers again", machine.0)));
+            self.out.push(Action::Log(format!(
+                "machine {:x} answers again",
+                machine.0
+            )));
         }
     }
 
@@ -650,12 +831,18 @@
         if self.settings.confirms == Confirms::Running {
             self.on_runs(request, attempt);
         }
-        let Some(task) = self.tasks.get_mut(&request).filter(|t| t.stage == Stage::Offered) else {
+        let Some(task) = self
+            .tasks
+            .get_mut(&request)
+            .filter(|t| t.stage == Stage::Offered)
+        else {
             return;
         };
         task.stage = Stage::Placed;
         let (parts, first) = ([Part::Line, Part::of(&task.ask)], self.first_rest());
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         m.errors.remove(&parts[1]);
         for part in parts {
             if let Some(rest) = m.rests.get_mut(&part) {
@@ -663,13 +850,20 @@
                 (rest.until, rest.wait) = (self.now, rest.wait / 4);
             }
         }
-        m.rests.retain(|part, rest| !parts.contains(part) || rest.wait >= first);
+        m.rests
+            .retain(|part, rest| !parts.contains(part) || rest.wait >= first);
     }
 
     /// A start is over: what it took teaches the estimates of its class.
     fn on_runs(&mut self, request: RequestId, attempt: u16) {
-        let Some(task) = self.tasks.get_mut(&request) else { return };
-        let Some(a) = task.attempts.get_mut(usize::from(attempt)).filter(|a| a.starting) else {
+        let Some(task) = self.tasks.get_mut(&request) else {
+            return;
+        };
+        let Some(a) = task
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|a| a.starting)
+        else {
             return;
         };
         a.starting = false;
@@ -691,7 +885,9 @@
 
     fn on_note(&mut self, request: RequestId, attempt: u16, machine: MachineId, note: Note) {
         self.on_heard(machine);
-        let Some(task) = self.tasks.get(&request) else { return };
+        let Some(task) = self.tasks.get(&request) else {
+            return;
+        };
         let ask = [task.ask.cores, task.ask.memory];
         match note {
             Note::Runs => self.on_runs(request, attempt),
@@ -711,7 +907,9 @@
     /// What a machine uses beyond what its asks explain: neighbours, hungry services.
     fn learn_excess(&mut self, machine: MachineId, busy: [Option<f64>; 2]) {
         let (mean, ratio) = (self.others.get(), self.use_ratio);
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         let (asked, size) = (m.asked(mean), [m.cores, m.memory]);
         for i in 0..2 {
             if let Some(share) = busy[i].filter(|b| b.is_finite()) {
@@ -724,7 +922,9 @@
         self.room_news = true;
         let mean = self.others.get();
         let then = self.now.saturating_sub(self.shortest_aim() / 2);
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         let (size, asked) = ([m.cores, m.memory], m.asked(mean));
         let free = [load.free_cores, load.free_memory];
         let mut busy = [load.busy, None];
@@ -756,21 +956,38 @@
     // ---- The end of an attempt ----
 
     fn on_ended(
-        &mut self, request: RequestId, attempt: u16, machine: MachineId, outcome: Outcome, why: Why,
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        machine: MachineId,
+        outcome: Outcome,
+        why: Why,
         over: bool,
     ) {
-        let silent = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::NotSent);
+        let silent = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Unreachable | Outcome::NotSent
+        );
         if !silent && outcome != Outcome::Withdrawn {
             self.on_heard(machine);
         }
-        let Some(mut task) = self.tasks.remove(&request) else { return };
-        let Some(a) = task.attempts.get_mut(usize::from(attempt)).filter(|a| a.open) else {
+        let Some(mut task) = self.tasks.remove(&request) else {
+            return;
+        };
+        let Some(a) = task
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|a| a.open)
+        else {
             self.tasks.insert(request, task);
             return;
         };
         let sent_at = a.sent_at;
         (a.open, a.starting, a.erred) = (false, false, outcome == Outcome::Error);
-        a.may_have_run = !matches!(outcome, Outcome::Refused | Outcome::Unreachable | Outcome::NotSent);
+        a.may_have_run = !matches!(
+            outcome,
+            Outcome::Refused | Outcome::Unreachable | Outcome::NotSent
+        );
         let at = a.machine;
         self.close_attempt(&task.ask, at);
         let unheard = self.machines.get(&at).is_none_or(|m| m.heard_at <= sent_at);
@@ -823,7 +1040,9 @@
         self.room_news = true;
         let now = self.now;
         release(&mut self.services, ask.service, machine);
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         m.add_own(now, ask, -1.0, self.settings.ask_every);
         m.refused = None;
         m.starting.remove(&ask.request);
@@ -840,7 +1059,10 @@
             *m.errors.entry(part).or_insert(0) += 1;
         }
         let alone = |m: &Machine| m.errors.get(&part).is_none_or(|n| *n <= 1);
-        let elsewhere = task.attempts.iter().filter(|a| a.erred && a.machine != machine);
+        let elsewhere = task
+            .attempts
+            .iter()
+            .filter(|a| a.erred && a.machine != machine);
         let elsewhere: Vec<MachineId> = elsewhere.map(|a| a.machine).collect();
         for other in &elsewhere {
             if let Some(m) = self.machines.get_mut(other).filter(|m| alone(m)) {
@@ -857,7 +1079,9 @@
     fn on_refused(&mut self, machine: MachineId, ask: &Request, why: Why) {
         let pause = self.shortest_aim();
         let accepts = [self.settings.accepts_cores, self.settings.accepts_memory];
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         let (size, asks) = ([m.cores, m.memory], [ask.cores, ask.memory]);
         let short = match why {
             Why::NoCores => 0,
@@ -870,7 +1094,8 @@
         // Less than this task's ask was free, half of it in the mean: the rest others asked.
         let before = m.others;
         let others = m.others.get_or_insert([0.0; 2]);
-        others[short] = others[short].max(accepts[short] * size[short] - asks[short] / 2.0 - m.own[short]);
+        others[short] =
+            others[short].max(accepts[short] * size[short] - asks[short] / 2.0 - m.own[short]);
         self.others.change(before, m.others);
         let mut refused = [0.0; 2];
         refused[short] = asks[short];
@@ -882,7 +1107,8 @@
     /// task are turned away within moments, each at its price. Past the aim no hurry pays for them: those
     /// left are spread over the time left, so that each meets other news.
     fn rest_after_refusal(&self, task: &Task) -> Micros {
-        let attempts = u64::from(self.settings.max_attempts).saturating_sub(task.attempts.len() as u64);
+        let attempts =
+            u64::from(self.settings.max_attempts).saturating_sub(task.attempts.len() as u64);
         if self.is_timely(task) {
             return 0;
         }
@@ -897,7 +1123,9 @@
 
     fn may_send_again(&self, task: &Task) -> bool {
         let class = &self.settings.classes[usize::from(task.ask.class)];
-        let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else { return true };
+        let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else {
+            return true;
+        };
         match class.repeat {
             Repeat::Safe => true,
             Repeat::Unsafe => false,
@@ -907,21 +1135,35 @@
 
     /// The last answer to a task that is not placed: a refusal only where a retry is known to be harmless.
     fn answer_no(&mut self, request: RequestId) {
-        let Some(task) = self.tasks.get(&request) else { return };
+        let Some(task) = self.tasks.get(&request) else {
+            return;
+        };
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let may_have_run = task.attempts.iter().any(|a| a.open || a.may_have_run);
         let harmless = match class.repeat {
-            Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
+            Repeat::Safe
+            | Repeat::Keyed {
+                group: Group::All, ..
+            } => true,
             Repeat::Keyed { .. } | Repeat::Unsafe => !may_have_run,
         };
-        let refusal = Action::Refuse { request, retry_after: None };
-        self.out.push(if harmless { refusal } else { Action::Fail(request) });
+        let refusal = Action::Refuse {
+            request,
+            retry_after: None,
+        };
+        self.out.push(if harmless {
+            refusal
+        } else {
+            Action::Fail(request)
+        });
         self.close(request);
     }
 
     /// The request is over; attempts still out are counted until their end is told.
     fn close(&mut self, request: RequestId) {
-        let Some(task) = self.tasks.get_mut(&request) else { return };
+        let Some(task) = self.tasks.get_mut(&request) else {
+            return;
+        };
         task.stage = Stage::Over;
         if !task.attempts.iter().any(|a| a.open) {
             self.tasks.remove(&request);
@@ -931,9 +1173,16 @@
     // ---- Silence ----
 
     fn on_silent(&mut self, machine: MachineId) {
-        if self.machines.get(&machine).is_some_and(|m| !m.rests.contains_key(&Part::Silent)) {
+        if self
+            .machines
+            .get(&machine)
+            .is_some_and(|m| !m.rests.contains_key(&Part::Silent))
+        {
             self.rest(machine, Part::Silent);
-            self.out.push(Action::Log(format!("machine {:x} answers nothing", machine.0)));
+            self.out.push(Action::Log(format!(
+                "machine {:x} answers nothing",
+                machine.0
+            )));
         }
     }
 
@@ -946,9 +1195,12 @@
     /// doubles the rest, up to half of the time that a list is good for.
     fn rest(&mut self, machine: MachineId, part: Part) {
         let (first, most, now) = (self.first_rest(), self.settings.ask_every / 2, self.now);
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         // Bounded state: what was not tried for long is forgotten.
-        m.rests.retain(|p, r| *p == Part::Silent || *p == part || r.until.saturating_add(most) > now);
+        m.rests
+            .retain(|p, r| *p == Part::Silent || *p == part || r.until.saturating_add(most) > now);
         let rest = m.rests.entry(part).or_default();
         if rest.until <= now {
             rest.wait = rest.wait.saturating_mul(2).clamp(first, most.max(first));
@@ -961,7 +1213,11 @@
         let least = self.shortest_aim() as f64;
         let overdue = |m: &Machine| {
             let first = m.unanswered.values().copied().min()?;
-            let longest = m.starting.values().map(|(_, estimate)| *estimate).fold(0.0, f64::max);
+            let longest = m
+                .starting
+                .values()
+                .map(|(_, estimate)| *estimate)
+                .fold(0.0, f64::max);
             let wait = match self.settings.confirms {
                 Confirms::Accepted => least,
                 Confirms::Running => (longest * OVERDUE).max(least),
@@ -969,13 +1225,21 @@
             (m.heard_at.max(first) as f64 + wait < self.now as f64).then_some(m.line.machine)
         };
         let machines = &self.machines;
-        self.awaited.retain(|id| machines.get(id).is_some_and(|m| !m.unanswered.is_empty()));
-        let silent = self.awaited.iter().filter_map(|id| overdue(machines.get(id)?));
+        self.awaited
+            .retain(|id| machines.get(id).is_some_and(|m| !m.unanswered.is_empty()));
+        let silent = self
+            .awaited
+            .iter()
+            .filter_map(|id| overdue(machines.get(id)?));
         for machine in silent.collect::<Vec<MachineId>>() {
             self.on_silent(machine);
         }
         if self.settings.probes {
-            let lapsed = |m: &Machine| m.rests.get(&Part::Silent).is_some_and(|r| r.until <= self.now);
+            let lapsed = |m: &Machine| {
+                m.rests
+                    .get(&Part::Silent)
+                    .is_some_and(|r| r.until <= self.now)
+            };
             let due = self.ready(lapsed);
             for machine in due {
                 self.rest(machine, Part::Silent);
@@ -987,9 +1251,15 @@
     // ---- Timers ----
 
     fn set_wake(&mut self) {
-        let ends = self.held.first().map(|(at, _)| (*at).min(self.now + self.shortest_aim() / 8));
+        let ends = self
+            .held
+            .first()
+            .map(|(at, _)| (*at).min(self.now + self.shortest_aim() / 8));
         let wake = ends.into_iter().chain(self.watch_at).min();
-        if let Some(at) = wake.map(|at| at.max(self.now + 1)).filter(|at| *at < self.wake) {
+        if let Some(at) = wake
+            .map(|at| at.max(self.now + 1))
+            .filter(|at| *at < self.wake)
+        {
             self.wake = at;
             self.out.push(Action::SetTimer { label: 0, at });
         }
