--- a/src/interface.rs
+++ b/src/interface.rs
@@ -225,15 +225,29 @@
             spread: Spread::Off,
             most: 1,
         };
-        let keyed = Repeat::Keyed { group: Group::Rack, window: 4_000_000 };
-        let spread = Class { repeat: keyed, spread: Spread::Rack, most: 2, ..class.clone() };
-        let once = Class { repeat: Repeat::Unsafe, ..class.clone() };
+        let keyed = Repeat::Keyed {
+            group: Group::Rack,
+            window: 4_000_000,
+        };
+        let spread = Class {
+            repeat: keyed,
+            spread: Spread::Rack,
+            most: 2,
+            ..class.clone()
+        };
+        let once = Class {
+            repeat: Repeat::Unsafe,
+            ..class.clone()
+        };
         Settings {
             schedulers: 2,
             own_number: 0,
             own_zone: 0,
             classes: vec![class, spread, once],
-            kinds: vec![Kind { cores: 16.0, memory: 32.0 }],
+            kinds: vec![Kind {
+                cores: 16.0,
+                memory: 32.0,
+            }],
             tenants: Vec::new(),
             over_share_worth: 1.0,
             accepts_cores: 1.0,
--- a/src/state.rs
+++ b/src/state.rs
@@ -39,7 +39,14 @@
 
 impl Task {
     pub(crate) fn new(ask: &Request, arrived: Micros, deadline: Micros, stage: Stage) -> Task {
-        Task { ask: ask.clone(), arrived, deadline, rests_until: 0, stage, attempts: Vec::new() }
+        Task {
+            ask: ask.clone(),
+            arrived,
+            deadline,
+            rests_until: 0,
+            stage,
+            attempts: Vec::new(),
+        }
     }
 }
 
@@ -92,8 +99,14 @@
 
 impl Machine {
     pub(crate) fn new(machine: MachineId) -> Machine {
-        let line = MachineLine { machine, ..MachineLine::default() };
-        Machine { line, ..Machine::default() }
+        let line = MachineLine {
+            machine,
+            ..MachineLine::default()
+        };
+        Machine {
+            line,
+            ..Machine::default()
+        }
     }
 
     pub(crate) fn asked(&self, others: [f64; 2]) -> [f64; 2] {
@@ -130,7 +143,10 @@
     }
 
     pub(crate) fn own_at(&self, then: Micros) -> [f64; 2] {
-        self.history.iter().find(|(at, _)| *at > then).map_or(self.own, |(_, own)| *own)
+        self.history
+            .iter()
+            .find(|(at, _)| *at > then)
+            .map_or(self.own, |(_, own)| *own)
     }
 
     /// One task of the service less; of the programs without a task, the last `keep` stay known.
@@ -191,7 +207,11 @@
     }
 
     pub(crate) fn get(&self) -> [f64; 2] {
-        if self.heard > 0.0 { self.sum.map(|sum| (sum / self.heard).max(0.0)) } else { [0.0; 2] }
+        if self.heard > 0.0 {
+            self.sum.map(|sum| (sum / self.heard).max(0.0))
+        } else {
+            [0.0; 2]
+        }
     }
 }
 
@@ -266,7 +286,10 @@
 
 /// Where a machine stands among the homes of a service, the highest first: larger ones ahead in proportion.
 pub fn home_rank(service: ServiceId, machine: MachineId, cores: f64) -> f64 {
-    unit(scatter(service.0 ^ scatter(machine.0))).max(f64::MIN_POSITIVE).ln() / cores.max(1e-9)
+    unit(scatter(service.0 ^ scatter(machine.0)))
+        .max(f64::MIN_POSITIVE)
+        .ln()
+        / cores.max(1e-9)
 }
 
 /// A fixed mixing of an id's bits (the finish of splitmix64), equal at every scheduler.
@@ -283,7 +306,9 @@
 
 /// Takes one task of a service off the count of a machine; what is empty goes.
 pub(crate) fn release(
-    services: &mut Table<ServiceId, Table<MachineId, u32>>, service: ServiceId, machine: MachineId,
+    services: &mut Table<ServiceId, Table<MachineId, u32>>,
+    service: ServiceId,
+    machine: MachineId,
 ) {
     if let Some(held) = services.get_mut(&service) {
         if let Some(n) = held.get_mut(&machine) {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -89,7 +89,10 @@
         let end = self.at.checked_add(n).filter(|&e| e <= self.bytes.len());
         let Some(end) = end else {
             let left = self.bytes.len() - self.at;
-            return Err(WireError(format!("byte {}: {n} bytes wanted, {left} left in the frame", self.at)));
+            return Err(WireError(format!(
+                "byte {}: {n} bytes wanted, {left} left in the frame",
+                self.at
+            )));
         };
         let part = &self.bytes[self.at..end];
         self.at = end;
@@ -125,7 +128,11 @@
         let mut load = Load::default();
         for i in 0..usize::from(n) {
             let value = self.f32()?;
-            report_value(&mut load, shape.fields.get(i).map_or("", String::as_str), value);
+            report_value(
+                &mut load,
+                shape.fields.get(i).map_or("", String::as_str),
+                value,
+            );
         }
         Ok((n > 0).then_some(load))
     }
@@ -170,7 +177,18 @@
         let (cores, memory, flags) = (self.f32()?, self.f32()?, self.u8()?);
         let life_hint = (flags & 1 != 0).then_some(hint);
         let again = flags & 18 != 0;
-        Ok(Request { request, task, service, class, tenant, cores, memory, deadline_in, life_hint, again })
+        Ok(Request {
+            request,
+            task,
+            service,
+            class,
+            tenant,
+            cores,
+            memory,
+            deadline_in,
+            life_hint,
+            again,
+        })
     }
     fn standing(&mut self) -> Read<Event> {
         let request = RequestId(self.u64()?);
@@ -186,8 +204,18 @@
         let class = self.u16()?;
         let life_hint = (flags & 1 != 0).then_some(hint);
         let again = flags & 18 != 0;
-        let request =
-            Request { request, task, service, class, tenant, cores, memory, deadline_in, life_hint, again };
+        let request = Request {
+            request,
+            task,
+            service,
+            class,
+            tenant,
+            cores,
+            memory,
+            deadline_in,
+            life_hint,
+            again,
+        };
         Ok(Event::Standing { request, machine })
     }
     fn update(&mut self) -> Read<Option<Event>> {
@@ -204,7 +232,12 @@
             5 => Note::MachineMemory(x),
             _ => return Ok(None),
         };
-        Ok(Some(Event::Noted { request, attempt, machine, note }))
+        Ok(Some(Event::Noted {
+            request,
+            attempt,
+            machine,
+            note,
+        }))
     }
     fn reply(&mut self, shape: &Shape) -> Read<Event> {
         let request = RequestId(self.u64()?);
@@ -233,7 +266,15 @@
             _ => Why::Unknown,
         };
         let load = self.load(shape)?;
-        Ok(Event::Ended { request, attempt, machine, outcome, why, over, load })
+        Ok(Event::Ended {
+            request,
+            attempt,
+            machine,
+            outcome,
+            why,
+            over,
+            load,
+        })
     }
 }
 
@@ -251,21 +292,29 @@
                 Ok(Some(incoming)) => match instance {
                     Some(i) => records.push((i, incoming)),
                     None => {
-                        return Err(WireError(format!("record {index} at byte {start}: no instance named")));
+                        return Err(WireError(format!(
+                            "record {index} at byte {start}: no instance named"
+                        )));
                     }
                 },
                 Err(e) => return Err(WireError(format!("record {index} at byte {start}: {e}"))),
             }
         }
         if cursor.at != body.len() {
-            return Err(WireError(format!("{} bytes left after the last record", body.len() - cursor.at)));
+            return Err(WireError(format!(
+                "{} bytes left after the last record",
+                body.len() - cursor.at
+            )));
         }
         Ok(Batch { now, records })
     }
 
     fn record(&mut self, c: &mut Cursor<'_>, instance: &mut Option<u16>) -> Read<Option<Incoming>> {
         let code = c.u8()?;
-        let shape = instance.and_then(|i| self.shapes.get(&i)).cloned().unwrap_or_default();
+        let shape = instance
+            .and_then(|i| self.shapes.get(&i))
+            .cloned()
+            .unwrap_or_default();
         let event = match code {
             1 => {
                 let seed = c.u64()?;
@@ -274,7 +323,10 @@
                 if let Some(i) = *instance {
                     self.shapes.insert(i, shape);
                 }
-                return Ok(Some(Incoming::Start { seed, settings: Box::new(settings) }));
+                return Ok(Some(Incoming::Start {
+                    seed,
+                    settings: Box::new(settings),
+                }));
             }
             2 => {
                 let bank = c.u8()?;
@@ -295,7 +347,11 @@
                         (line.free_cores, line.free_memory) = (None, None);
                     }
                 }
-                Event::MachineList { scope, version, lines }
+                Event::MachineList {
+                    scope,
+                    version,
+                    lines,
+                }
             }
             3 => Event::Place(c.place()?),
             4 => {
@@ -303,7 +359,11 @@
                 let attempt = c.u16()?;
                 let machine = c.machine()?;
                 c.u32()?;
-                Event::Placed { request, attempt, machine }
+                Event::Placed {
+                    request,
+                    attempt,
+                    machine,
+                }
             }
             5 => c.reply(&shape)?,
             6 => Event::Unwanted(RequestId(c.u64()?)),
@@ -312,12 +372,19 @@
                 let answered = c.u16()? == 200;
                 c.u32()?;
                 let machine = c.machine()?;
-                Event::Probed { machine, answered, load: c.load(&shape)? }
+                Event::Probed {
+                    machine,
+                    answered,
+                    load: c.load(&shape)?,
+                }
             }
             9 => {
                 let from = c.u32()?;
                 let n = usize::from(c.u16()?);
-                Event::Peer { from, message: c.take(n)?.to_vec() }
+                Event::Peer {
+                    from,
+                    message: c.take(n)?.to_vec(),
+                }
             }
             10 => return Ok(Some(Incoming::Stop)),
             11 => c.standing()?,
@@ -354,7 +421,10 @@
 
 impl Default for Reply {
     fn default() -> Reply {
-        Reply { frame: vec![0; 4], instance: None }
+        Reply {
+            frame: vec![0; 4],
+            instance: None,
+        }
     }
 }
 
@@ -375,7 +445,11 @@
         let out = &mut self.frame;
         match action {
             Action::Watch => out.extend([1, 1]),
-            Action::Bind { request, machine, timeout } => {
+            Action::Bind {
+                request,
+                machine,
+                timeout,
+            } => {
                 out.push(11);
                 out.extend(request.0.to_le_bytes());
                 out.extend(micros32(timeout.unwrap_or(0)));
@@ -386,7 +460,10 @@
                 out.extend(request.0.to_le_bytes());
                 out.extend(attempt.to_le_bytes());
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 out.push(14);
                 out.extend(request.0.to_le_bytes());
                 out.extend(micros32(retry_after.unwrap_or(0)));
@@ -566,7 +643,11 @@
 }
 
 fn per_class<T: Copy>(key: &str, values: &[T], index: usize) -> Read<T> {
-    let missing = || WireError(format!("settings: specifics.{key}: no value for class {index}"));
+    let missing = || {
+        WireError(format!(
+            "settings: specifics.{key}: no value for class {index}"
+        ))
+    };
     values.get(index).copied().ok_or_else(missing)
 }
 
@@ -575,7 +656,8 @@
 /// # Errors
 /// [`WireError`] names the key that is missing or wrong.
 pub fn read_settings(text: &[u8]) -> Result<(Settings, Shape), WireError> {
-    let facts: Facts = serde_json::from_slice(text).map_err(|e| WireError(format!("settings: {e}")))?;
+    let facts: Facts =
+        serde_json::from_slice(text).map_err(|e| WireError(format!("settings: {e}")))?;
     let special = &facts.specifics;
     let mut classes = Vec::new();
     for (i, class) in facts.classes.iter().enumerate() {
@@ -586,7 +668,10 @@
         };
         let repeat = match class.repeat.as_str() {
             "idempotent" => Some(Repeat::Safe),
-            "deduplicated" => Some(Repeat::Keyed { group, window: class.window as Micros }),
+            "deduplicated" => Some(Repeat::Keyed {
+                group,
+                window: class.window as Micros,
+            }),
             "at_most_once" => Some(Repeat::Unsafe),
             _ => None,
         };
@@ -624,14 +709,17 @@
         _ => None,
     };
     let kinds = special.size_cores.iter().zip(&special.memory_by_kind);
-    let tenants =
-        (0..facts.tenants.len()).map(|i| Tenant { quota_cores: special.tenant_quota_cores.get(i).copied() });
+    let tenants = (0..facts.tenants.len()).map(|i| Tenant {
+        quota_cores: special.tenant_quota_cores.get(i).copied(),
+    });
     let settings = Settings {
         schedulers: facts.fleet_size,
         own_number: facts.self_index,
         own_zone: facts.my_zone,
         classes,
-        kinds: kinds.map(|(&cores, &memory)| Kind { cores, memory }).collect(),
+        kinds: kinds
+            .map(|(&cores, &memory)| Kind { cores, memory })
+            .collect(),
         tenants: tenants.collect(),
         over_share_worth: facts.over_share_worth,
         accepts_cores: special.admit_cores,
