--- a/crates/cli/src/bench_view.rs
+++ b/crates/cli/src/bench_view.rs
@@ -11,9 +11,9 @@
 use comfy_table::presets::UTF8_BORDERS_ONLY;
 use hdrhistogram::Histogram;
 use peppercove::{
-    Action, Class, Event, Group, Kind, ListScope, Load, MachineId, MachineLine, MachineState,
-    Micros, Outcome, Repeat, Request, RequestId, Scheduler, ServiceId, Settings, Spread, TaskKey,
-    Why,
+    Action, AttemptOutcome, DedupScope, EndReason, Event, Idempotency, ListUpdateKind, LoadReport,
+    Micros, NodeEntry, NodeId, NodeKind, NodeStatus, PlacementRequest, RequestId, Scheduler,
+    ServiceId, Settings, TaskClass, TaskKey, TopologySpread,
 };
 use peppercove_core::Decide;
 use peppercove_fleet::{SIZE, View};
@@ -93,25 +93,30 @@
 /// The module, with what it is told counted.
 struct Counted {
     module: Scheduler,
-    held: BTreeSet<MachineId>,
+    held: BTreeSet<NodeId>,
     lines: u64,
 }
 
 impl Decide for Counted {
     fn decide(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         for event in events {
-            let Event::MachineList { scope, lines, .. } = event else {
+            let Event::NodeList {
+                kind: scope,
+                entries: lines,
+                ..
+            } = event
+            else {
                 continue;
             };
             self.lines += lines.len() as u64;
-            if matches!(scope, ListScope::Full | ListScope::Cached) {
+            if matches!(scope, ListUpdateKind::Full | ListUpdateKind::Cached) {
                 self.held.clear();
             }
             for line in lines {
-                if line.state == MachineState::Gone {
-                    self.held.remove(&line.machine);
+                if line.state == NodeStatus::Gone {
+                    self.held.remove(&line.node);
                 } else {
-                    self.held.insert(line.machine);
+                    self.held.insert(line.node);
                 }
             }
         }
@@ -159,7 +164,7 @@
 
 /// A host, as a few numbers.
 struct Host {
-    line: MachineLine,
+    line: NodeEntry,
     /// Cores of tasks that schedulers of this run placed, and of drawn ones.
     used: f64,
     drawn: f64,
@@ -175,15 +180,15 @@
         self.used + self.drawn
     }
 
-    fn load(&self) -> Load {
-        Load {
+    fn load(&self) -> LoadReport {
+        LoadReport {
             free_cores: Some((CORES - self.asked()).max(0.0)),
-            ..Load::default()
+            ..LoadReport::default()
         }
     }
 
     fn is_cold(&self, now: Micros, settings: &Settings) -> bool {
-        self.line.started_at > 0 && now < self.line.started_at + settings.warm_within
+        self.line.started_at > 0 && now < self.line.started_at + settings.slow_start_window
     }
 
     /// How long a start takes: longer without the program at hand, beside other starts, and while the host is cold.
@@ -195,9 +200,10 @@
             self.at_hand.pop_front();
         }
         let base = if held.is_some() { 100_000.0 } else { 500_000.0 };
-        let since = now.saturating_sub(self.line.started_at) as f64 / settings.warm_within as f64;
+        let since =
+            now.saturating_sub(self.line.started_at) as f64 / settings.slow_start_window as f64;
         let pace = if self.is_cold(now, settings) {
-            (settings.cold_from + since * (1.0 - settings.cold_from)).min(1.0)
+            (settings.slow_start_min_share + since * (1.0 - settings.slow_start_min_share)).min(1.0)
         } else {
             1.0
         };
@@ -208,11 +214,11 @@
 
 struct Job {
     scheduler: usize,
-    ask: Request,
+    ask: PlacementRequest,
     came: Micros,
     attempts: u16,
     /// The host of the attempt that is out, or of the task.
-    host: Option<MachineId>,
+    host: Option<NodeId>,
     stands: bool,
 }
 
@@ -225,7 +231,7 @@
     Ends(RequestId),
     Deadline(RequestId),
     Replace,
-    Leaves(MachineId),
+    Leaves(NodeId),
     Sample,
 }
 
@@ -258,12 +264,12 @@
     version: u64,
     next_id: u64,
     subjects: Vec<Subject>,
-    hosts: BTreeMap<MachineId, Host>,
+    hosts: BTreeMap<NodeId, Host>,
     jobs: BTreeMap<RequestId, Job>,
     queue: BTreeMap<(Micros, u64), What>,
     queued: u64,
-    contacted: Vec<BTreeSet<MachineId>>,
-    ran_on: BTreeMap<ServiceId, BTreeSet<MachineId>>,
+    contacted: Vec<BTreeSet<NodeId>>,
+    ran_on: BTreeMap<ServiceId, BTreeSet<NodeId>>,
     binds: Histogram<u64>,
     in_calls: f64,
     longest: u64,
@@ -283,63 +289,63 @@
 
 fn settings(schedulers: u32, kinds: usize) -> Settings {
     let sample = Settings::sample();
-    let safe = Class {
+    let safe = TaskClass {
         deadline: 5 * SECOND,
-        aim: SECOND,
+        latency_objective: SECOND,
         ..sample.classes[0].clone()
     };
-    let keyed = Repeat::Keyed {
-        group: Group::Rack,
+    let keyed = Idempotency::Keyed {
+        scope: DedupScope::Rack,
         window: 4 * SECOND,
     };
     let classes = vec![
         safe.clone(),
-        Class {
-            repeat: keyed,
+        TaskClass {
+            idempotency: keyed,
             ..safe.clone()
         },
-        Class {
-            repeat: Repeat::Unsafe,
+        TaskClass {
+            idempotency: Idempotency::NonIdempotent,
             ..safe.clone()
         },
-        Class {
-            spread: Spread::Rack,
-            most: 2,
+        TaskClass {
+            topology_spread: TopologySpread::Rack,
+            max_per_domain: 2,
             ..safe.clone()
         },
-        Class {
-            kind: (kinds > 1).then_some(1),
+        TaskClass {
+            node_kind: (kinds > 1).then_some(1),
             ..safe
         },
     ];
-    let kind = Kind {
+    let kind = NodeKind {
         cores: CORES,
         memory: 64.0,
     };
     Settings {
         schedulers,
         classes,
-        kinds: vec![kind; kinds],
+        node_kinds: vec![kind; kinds],
         mean_cores: 2.0,
         mean_memory: 4.0,
-        list_on_request: false,
-        cold_bears: 20.0,
+        is_list_polled: false,
+        slow_start_budget: 20.0,
         fleet_price: 0.1,
-        refusal_price: 0.01,
+        rejection_price: 0.01,
         ..sample
     }
 }
 
 /// The first line of the host of this number; its id is spread over all that an id can be.
-fn line(number: usize, plan: &Plan) -> MachineLine {
+fn line(number: usize, plan: &Plan) -> NodeEntry {
     let id = number as u64 + 1;
-    MachineLine {
-        machine: MachineId(id.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-        state: MachineState::Ready,
+    NodeEntry {
+        node: NodeId(id.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        state: NodeStatus::Ready,
         kind: u8::from(plan.kinds > 1 && number.is_multiple_of(8)),
         rack: (number / RACK) as u16,
         zone: (number / RACK % plan.zones) as u8,
-        ..MachineLine::default()
+        ..NodeEntry::default()
     }
 }
 
@@ -361,13 +367,13 @@
                 at_hand: VecDeque::new(),
                 offers: VecDeque::new(),
             };
-            hosts.insert(host.line.machine, host);
+            hosts.insert(host.line.node, host);
         }
         let real = plan.real as u32;
         let subject = |n: u32| {
             let own_number = n * (plan.schedulers / real.max(1));
             let settings = Settings {
-                own_number,
+                own_index: own_number,
                 own_zone: (n % plan.zones as u32) as u8,
                 ..settings.clone()
             };
@@ -424,7 +430,7 @@
     fn tell(&mut self, scheduler: usize, event: Event) {
         let (place, list) = (
             matches!(event, Event::Place(_)),
-            matches!(event, Event::MachineList { .. }),
+            matches!(event, Event::NodeList { .. }),
         );
         let began = Instant::now();
         let actions = self.subjects[scheduler].decide(self.now, event);
@@ -446,41 +452,47 @@
 
     fn carry_out(&mut self, scheduler: usize, action: Action) {
         match action {
-            Action::Bind {
+            Action::Dispatch {
                 request,
-                machine,
+                node: machine,
                 timeout,
             } => self.offer(scheduler, request, machine, timeout),
             Action::SetTimer { label, at } => {
                 self.queue(at.max(self.now + 1), What::Timer(scheduler, label))
             }
-            Action::Refuse { request, .. } | Action::Fail(request) => {
+            Action::Reject { request, .. } | Action::Fail(request) => {
                 if let Some(job) = self.jobs.remove(&request)
                     && self.is_counted(job.came)
                 {
                     self.refused += 1;
                 }
             }
-            Action::Withdraw { request, attempt } => {
-                self.given_up(request, attempt, Outcome::Withdrawn)
+            Action::CancelAttempt { request, attempt } => {
+                self.given_up(request, attempt, AttemptOutcome::Cancelled)
             }
-            Action::Move(request) => {
+            Action::Migrate(request) => {
                 let Some(job) = self.jobs.get(&request).filter(|job| job.stands) else {
                     return;
                 };
                 let (from, ask) = (job.scheduler, job.ask.clone());
                 self.moved += 1;
-                self.over(request, Outcome::Withdrawn);
-                self.ask(from, Request { again: true, ..ask });
+                self.over(request, AttemptOutcome::Cancelled);
+                self.ask(
+                    from,
+                    PlacementRequest {
+                        is_retry: true,
+                        ..ask
+                    },
+                );
             }
-            Action::Watch | Action::Probe(_) | Action::Tell(_) | Action::Log(_) => {}
+            Action::WatchNodes | Action::Probe(_) | Action::Broadcast(_) | Action::Log(_) => {}
         }
     }
 
-    fn ask(&mut self, scheduler: usize, ask: Request) {
+    fn ask(&mut self, scheduler: usize, ask: PlacementRequest) {
         self.next_id += 1;
-        let ask = Request {
-            request: RequestId(self.next_id),
+        let ask = PlacementRequest {
+            id: RequestId(self.next_id),
             ..ask
         };
         let came = self.now;
@@ -493,8 +505,8 @@
             host: None,
             stands: false,
         };
-        self.jobs.insert(ask.request, job);
-        self.queue(came + ask.deadline_in, What::Deadline(ask.request));
+        self.jobs.insert(ask.id, job);
+        self.queue(came + ask.deadline_in, What::Deadline(ask.id));
         self.tell(scheduler, Event::Place(ask));
     }
 
@@ -503,8 +515,8 @@
         // Some services have far more tasks than others; one class holds for all tasks of a service.
         let service = (self.rng.f64().powi(2) * self.plan.services as f64) as u64;
         self.next_id += 1;
-        let ask = Request {
-            request: RequestId(0),
+        let ask = PlacementRequest {
+            id: RequestId(0),
             task: TaskKey(self.next_id),
             service: ServiceId(service + 1),
             class: (service % self.settings.classes.len() as u64) as u16,
@@ -512,8 +524,8 @@
             cores: 1.0 + 2.0 * self.rng.f64(),
             memory: 4.0,
             deadline_in: 5 * SECOND,
-            life_hint: None,
-            again: false,
+            expected_duration: None,
+            is_retry: false,
         };
         self.ask(scheduler, ask);
     }
@@ -522,7 +534,7 @@
         &mut self,
         scheduler: usize,
         request: RequestId,
-        machine: MachineId,
+        machine: NodeId,
         timeout: Option<Micros>,
     ) {
         let counted = self.is_counted(self.now);
@@ -539,20 +551,26 @@
         );
         self.offers += u64::from(counted);
         self.contacted[scheduler].insert(machine);
-        let ready = |host: &&mut Host| host.line.state == MachineState::Ready;
+        let ready = |host: &&mut Host| host.line.state == NodeStatus::Ready;
         let Some(host) = self.hosts.get_mut(&machine).filter(ready) else {
-            return self.failed(request, attempt, machine, Outcome::Unreachable, None);
+            return self.failed(request, attempt, machine, AttemptOutcome::Unreachable, None);
         };
         if host.is_cold(self.now, &self.settings) {
             host.offers
-                .retain(|at| at + self.settings.fall_window > self.now);
+                .retain(|at| at + self.settings.overload_window > self.now);
             host.offers.push_back(self.now);
             self.cold_most = self.cold_most.max(host.offers.len());
         }
         if host.asked() + cores > CORES {
             self.offers_refused += u64::from(counted);
             let load = host.load();
-            return self.failed(request, attempt, machine, Outcome::Refused, Some(load));
+            return self.failed(
+                request,
+                attempt,
+                machine,
+                AttemptOutcome::Rejected,
+                Some(load),
+            );
         }
         host.used += cores;
         host.tasks.insert(request);
@@ -570,27 +588,27 @@
         &mut self,
         request: RequestId,
         attempt: u16,
-        machine: MachineId,
-        outcome: Outcome,
-        load: Option<Load>,
+        machine: NodeId,
+        outcome: AttemptOutcome,
+        load: Option<LoadReport>,
     ) {
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
         job.host = None;
         let scheduler = job.scheduler;
-        let why = if outcome == Outcome::Refused {
-            Why::NoCores
+        let why = if outcome == AttemptOutcome::Rejected {
+            EndReason::InsufficientCores
         } else {
-            Why::Unknown
+            EndReason::Unknown
         };
-        let event = Event::Ended {
+        let event = Event::AttemptEnded {
             request,
             attempt,
-            machine,
+            node: machine,
             outcome,
-            why,
-            over: false,
+            reason: why,
+            is_final: false,
             load,
         };
         self.tell(scheduler, event);
@@ -600,9 +618,9 @@
         &mut self,
         request: RequestId,
         cores: f64,
-        machine: MachineId,
+        machine: NodeId,
         starting: bool,
-    ) -> Option<Load> {
+    ) -> Option<LoadReport> {
         let host = self.hosts.get_mut(&machine)?;
         if host.tasks.remove(&request) {
             host.used -= cores;
@@ -611,7 +629,7 @@
         Some(host.load())
     }
 
-    fn given_up(&mut self, request: RequestId, attempt: u16, outcome: Outcome) {
+    fn given_up(&mut self, request: RequestId, attempt: u16, outcome: AttemptOutcome) {
         let out = |job: &&Job| !job.stands && job.attempts == attempt + 1;
         let Some((machine, cores)) = self
             .jobs
@@ -638,8 +656,10 @@
         let (scheduler, service) = (job.scheduler, job.ask.service);
         if counted(job.came) {
             self.placed += 1;
-            self.timely +=
-                u64::from(now - job.came <= self.settings.classes[usize::from(job.ask.class)].aim);
+            self.timely += u64::from(
+                now - job.came
+                    <= self.settings.classes[usize::from(job.ask.class)].latency_objective,
+            );
         }
         if let Some(job) = self.jobs.get_mut(&request) {
             job.stands = true;
@@ -655,13 +675,13 @@
             Event::Placed {
                 request,
                 attempt,
-                machine,
+                node: machine,
             },
         );
     }
 
     /// A task that stands is over.
-    fn over(&mut self, request: RequestId, outcome: Outcome) {
+    fn over(&mut self, request: RequestId, outcome: AttemptOutcome) {
         let Some(job) = self.jobs.get(&request).filter(|job| job.stands) else {
             return;
         };
@@ -669,31 +689,31 @@
         let (attempt, scheduler, cores) = (job.attempts - 1, job.scheduler, job.ask.cores);
         self.jobs.remove(&request);
         let load = self.off_host(request, cores, machine, false);
-        let why = Why::Unknown;
+        let why = EndReason::Unknown;
         self.tell(
             scheduler,
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
-                machine,
+                node: machine,
                 outcome,
-                why,
-                over: true,
+                reason: why,
+                is_final: true,
                 load,
             },
         );
     }
 
-    fn list(&mut self, lines: &[MachineLine]) {
+    fn list(&mut self, lines: &[NodeEntry]) {
         self.version += 1;
         for scheduler in 0..self.subjects.len() {
             let (version, lines) = (self.version, lines.to_vec());
             self.tell(
                 scheduler,
-                Event::MachineList {
-                    scope: ListScope::Delta,
+                Event::NodeList {
+                    kind: ListUpdateKind::Incremental,
                     version,
-                    lines,
+                    entries: lines,
                 },
             );
         }
@@ -707,39 +727,39 @@
         let Some(host) = self
             .hosts
             .get_mut(&machine)
-            .filter(|h| h.line.state == MachineState::Ready)
+            .filter(|h| h.line.state == NodeStatus::Ready)
         else {
             return;
         };
-        host.line.state = MachineState::Draining;
+        host.line.state = NodeStatus::Draining;
         let told = host.line.clone();
         self.queue(self.now + 5 * SECOND, What::Leaves(machine));
         self.list(&[told]);
     }
 
-    fn leaves(&mut self, machine: MachineId) {
+    fn leaves(&mut self, machine: NodeId) {
         let Some(host) = self.hosts.remove(&machine) else {
             return;
         };
         for request in &host.tasks {
             if self.jobs.get(request).is_some_and(|job| job.stands) {
-                self.over(*request, Outcome::Lost);
+                self.over(*request, AttemptOutcome::Lost);
             } else if let Some(attempts) = self.jobs.get(request).map(|job| job.attempts) {
-                self.given_up(*request, attempts.saturating_sub(1), Outcome::Error);
+                self.given_up(*request, attempts.saturating_sub(1), AttemptOutcome::Error);
             }
         }
         self.next_id += 1;
-        let gone = MachineLine {
-            state: MachineState::Gone,
+        let gone = NodeEntry {
+            state: NodeStatus::Gone,
             ..host.line.clone()
         };
-        let id = MachineId(self.next_id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let id = NodeId(self.next_id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let (now, free) = (self.now, Some(CORES));
-        let new = MachineLine {
-            machine: id,
-            state: MachineState::Ready,
+        let new = NodeEntry {
+            node: id,
+            state: NodeStatus::Ready,
             started_at: now,
-            life: now,
+            incarnation: now,
             free_cores: free,
             free_memory: Some(64.0),
             ..host.line
@@ -780,8 +800,10 @@
             }
             What::Timer(scheduler, label) => self.tell(scheduler, Event::Timer(label)),
             What::Starts(request, attempt) => self.starts(request, attempt),
-            What::GivenUp(request, attempt) => self.given_up(request, attempt, Outcome::TimedOut),
-            What::Ends(request) => self.over(request, Outcome::Done),
+            What::GivenUp(request, attempt) => {
+                self.given_up(request, attempt, AttemptOutcome::TimedOut)
+            }
+            What::Ends(request) => self.over(request, AttemptOutcome::Completed),
             What::Deadline(request) => {
                 let open = self.jobs.get(&request).filter(|job| !job.stands);
                 let Some((scheduler, host, cores)) =
@@ -794,7 +816,7 @@
                 }
                 let job = self.jobs.remove(&request);
                 self.refused += u64::from(job.is_some_and(|job| self.is_counted(job.came)));
-                self.tell(scheduler, Event::Unwanted(request));
+                self.tell(scheduler, Event::RequestCancelled(request));
             }
             What::Replace => {
                 self.queue(
@@ -812,15 +834,15 @@
     }
 
     fn play(mut self) -> Result<Row> {
-        let lines: Vec<MachineLine> = self.hosts.values().map(|host| host.line.clone()).collect();
+        let lines: Vec<NodeEntry> = self.hosts.values().map(|host| host.line.clone()).collect();
         for scheduler in 0..self.subjects.len() {
             let lines = lines.clone();
             self.tell(
                 scheduler,
-                Event::MachineList {
-                    scope: ListScope::Full,
+                Event::NodeList {
+                    kind: ListUpdateKind::Full,
                     version: 1,
-                    lines,
+                    entries: lines,
                 },
             );
         }
@@ -866,14 +888,14 @@
             offers_refused: self.offers_refused as f64 / self.offers.max(1) as f64,
             moved: self.moved,
             cold_most: self.cold_most,
-            cold_bears: self.settings.cold_bears,
+            cold_bears: self.settings.slow_start_budget,
             bind_p50_us: self.binds.value_at_quantile(0.5),
             bind_p99_us: self.binds.value_at_quantile(0.99),
             processor_us_a_start: self.in_calls * 1e6 * share.min(1.0) / self.placed as f64,
             longest_us: self.longest,
             whole_list_us: self.whole,
             list_lines: lines as f64 / real,
-            list_bytes: lines as f64 / real * size_of::<MachineLine>() as f64,
+            list_bytes: lines as f64 / real * size_of::<NodeEntry>() as f64,
             spread: mean(&self.spreads),
             hosts_a_service: mean(&ran_on),
             opened: mean(&self.opened),
--- a/crates/cli/tests/view/main.rs
+++ b/crates/cli/tests/view/main.rs
@@ -15,7 +15,7 @@
 use host::{Host, Record, Sent};
 use journal::Journal;
 use owner::Owners;
-use peppercove::MachineId;
+use peppercove::NodeId;
 use peppercove_platform::wire::code;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -378,7 +378,7 @@
         let Some(started) = host.started_at else {
             continue;
         };
-        let machine = MachineId(xxhash_rust::xxh3::xxh3_64(host.name.as_bytes()));
+        let machine = NodeId(xxhash_rust::xxh3::xxh3_64(host.name.as_bytes()));
         let sent = record
             .iter()
             .filter(|s| s.host == host.number && s.at < started + WARM);
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -2,7 +2,8 @@
 
 use crate::schema::{Attribute, ConfigError, Document, Element, Kind, Often, Problem};
 use peppercove::{
-    Class, Confirms, Group, Kind as MachineKind, Repeat, ReportCounts, Settings, Spread, Tenant,
+    DedupScope, Idempotency, LoadBasis, NodeKind as MachineKind, PlacementAck, Settings, TaskClass,
+    Tenant, TopologySpread,
 };
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -893,14 +894,14 @@
     let size = |name: &str| usize::try_from(limits.count(name)).unwrap_or(usize::MAX);
     let module = Settings {
         schedulers: controller.count("of") as u32,
-        own_number: controller.count("number") as u32,
+        own_index: controller.count("number") as u32,
         own_zone: controller.count("zone") as u8,
         classes: classes
             .children("class")
             .iter()
             .map(|c| class(c, &kinds, limits, problems))
             .collect(),
-        kinds: nodes
+        node_kinds: nodes
             .children("kind")
             .iter()
             .map(|k| MachineKind {
@@ -915,45 +916,45 @@
                 quota_cores: t.text("quota-cores").and_then(|q| q.parse().ok()),
             })
             .collect(),
-        over_share_worth: tenants.number("over-share-worth"),
-        accepts_cores: nodes.number("accepts-cores"),
-        accepts_memory: nodes.number("accepts-memory"),
-        confirms: if nodes.word("confirms") == "accepted" {
-            Confirms::Accepted
+        over_quota_weight: tenants.number("over-share-worth"),
+        cores_overcommit: nodes.number("accepts-cores"),
+        memory_overcommit: nodes.number("accepts-memory"),
+        placement_ack: if nodes.word("confirms") == "accepted" {
+            PlacementAck::Accepted
         } else {
-            Confirms::Running
+            PlacementAck::Running
         },
-        preempts: nodes.flag("preempts"),
-        report_counts: if nodes.word("report-counts") == "used" {
-            ReportCounts::Used
+        allows_preemption: nodes.flag("preempts"),
+        load_basis: if nodes.word("report-counts") == "used" {
+            LoadBasis::Used
         } else {
-            ReportCounts::Asked
+            LoadBasis::Requested
         },
         mean_cores: classes.number("mean-cores"),
         mean_memory: classes.number("mean-memory"),
         max_attempts: d.child("attempts").count("most") as u32,
-        may_withdraw: d.child("attempts").flag("may-withdraw"),
+        can_cancel_attempts: d.child("attempts").flag("may-withdraw"),
         // Never two attempts of a task in flight.
-        may_duplicate: false,
-        probes: nodes.flag("probes"),
+        can_hedge: false,
+        can_probe: nodes.flag("probes"),
         peer_messages: peers.text("listen").is_some(),
-        list_on_request: list.word("mode") == "on-request",
-        ask_every: list.micros("ask-every"),
-        ask_again: [16, 2].map(|part| list.micros("ask-every") / part),
+        is_list_polled: list.word("mode") == "on-request",
+        poll_interval: list.micros("ask-every"),
+        poll_backoff: [16, 2].map(|part| list.micros("ask-every") / part),
         // The daemon keeps its own reserve ahead of the deadline, so the module is told of no slack after it.
         answer_slack: 0,
         drain_grace: rules.micros("drain-grace"),
-        cold_from: rules.number("cold-from"),
-        warm_within: rules.micros("warm-within"),
-        fall_multiple: rules.number("fall-multiple"),
-        fall_window: rules.micros("fall-window"),
-        cold_bears: rules.number("cold-bears"),
+        slow_start_min_share: rules.number("cold-from"),
+        slow_start_window: rules.micros("warm-within"),
+        overload_multiple: rules.number("fall-multiple"),
+        overload_window: rules.micros("fall-window"),
+        slow_start_budget: rules.number("cold-bears"),
         tick: 1_000,
         fleet_price: prices.number("fleet"),
-        move_price: prices.number("move"),
-        refusal_price: prices.number("refusal"),
+        migration_price: prices.number("move"),
+        rejection_price: prices.number("refusal"),
         probe_price: prices.number("probe"),
-        settle: rules.micros("settle"),
+        ambiguous_retry_delay: rules.micros("settle"),
     };
     Config {
         name: controller.word("name").into(),
@@ -1059,7 +1060,12 @@
     })
 }
 
-fn class(c: &Document, kinds: &[String], limits: &Document, problems: &mut Vec<Problem>) -> Class {
+fn class(
+    c: &Document,
+    kinds: &[String],
+    limits: &Document,
+    problems: &mut Vec<Problem>,
+) -> TaskClass {
     let kind = c
         .text("kind")
         .map(|name| kinds.iter().position(|k| k == name));
@@ -1071,34 +1077,34 @@
         problems.push(c.problem("deadline must be longer than twice limits/answer-reserve"));
     }
     let group = match c.word("group") {
-        "zone" => Group::Zone,
-        "rack" => Group::Rack,
-        _ => Group::All,
+        "zone" => DedupScope::Zone,
+        "rack" => DedupScope::Rack,
+        _ => DedupScope::All,
     };
-    Class {
-        aim: c.micros("aim"),
+    TaskClass {
+        latency_objective: c.micros("aim"),
         deadline: c.micros("deadline"),
-        repeat: match c.word("repeat") {
-            "keyed" => Repeat::Keyed {
-                group,
+        idempotency: match c.word("repeat") {
+            "keyed" => Idempotency::Keyed {
+                scope: group,
                 window: c.micros("window"),
             },
-            "unsafe" => Repeat::Unsafe,
-            _ => Repeat::Safe,
+            "unsafe" => Idempotency::NonIdempotent,
+            _ => Idempotency::Idempotent,
         },
-        worth: c.number("worth"),
-        late_worth: c.number("late-worth"),
+        weight: c.number("worth"),
+        late_weight: c.number("late-worth"),
         start_seconds: c.number("start-seconds"),
-        calm: c.number("calm"),
-        fade: c.number("fade"),
+        saturation_start: c.number("calm"),
+        saturation_span: c.number("fade"),
         priority: c.count("priority") as u8,
-        kind: kind.flatten().map(|k| k as u8),
-        spread: match c.word("spread") {
-            "node" => Spread::Machine,
-            "rack" => Spread::Rack,
-            "zone" => Spread::Zone,
-            _ => Spread::Off,
+        node_kind: kind.flatten().map(|k| k as u8),
+        topology_spread: match c.word("spread") {
+            "node" => TopologySpread::Node,
+            "rack" => TopologySpread::Rack,
+            "zone" => TopologySpread::Zone,
+            _ => TopologySpread::Off,
         },
-        most: c.count("most") as u32,
+        max_per_domain: c.count("most") as u32,
     }
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings files: what is read, and what is said of what is wrong.
 
-use peppercove::{Group, Repeat, Spread};
+use peppercove::{DedupScope, Idempotency, TopologySpread};
 use peppercove_config::{Config, SETTINGS, embedded_default, schema};
 
 fn problems(text: &str) -> Vec<String> {
@@ -13,14 +13,20 @@
     let config = Config::parse(embedded_default()).unwrap();
     assert_eq!(config.classes, ["fill", "render", "update"]);
     assert_eq!(
-        config.module.classes[1].repeat,
-        Repeat::Keyed {
-            group: Group::Rack,
+        config.module.classes[1].idempotency,
+        Idempotency::Keyed {
+            scope: DedupScope::Rack,
             window: 5_000_000
         }
     );
-    assert_eq!(config.module.classes[1].spread, Spread::Rack);
-    assert_eq!(config.module.classes[2].repeat, Repeat::Unsafe);
+    assert_eq!(
+        config.module.classes[1].topology_spread,
+        TopologySpread::Rack
+    );
+    assert_eq!(
+        config.module.classes[2].idempotency,
+        Idempotency::NonIdempotent
+    );
     assert_eq!(config.module.classes[2].deadline, 9_500_000);
     assert_eq!(config.module.max_attempts, 4);
     assert_eq!(config.class_asks[2], (8.0, 19.0));
--- a/crates/controller/src/figures.rs
+++ b/crates/controller/src/figures.rs
@@ -1,7 +1,7 @@
 //! The controller's own figures: counted as things happen, or read from the core when they are gathered.
 
 use crate::shell::Shell;
-use peppercove::{MachineState, Micros, Outcome, Why};
+use peppercove::{AttemptOutcome, EndReason, Micros, NodeStatus};
 use peppercove_core::nodes::Link;
 use peppercove_core::{Answer, Counters};
 use peppercove_metrics::{self as names, Metrics, Point};
@@ -99,9 +99,9 @@
         }
         for (_, node) in core.nodes().iter() {
             let state = match node.line.state {
-                MachineState::Ready => "ready",
-                MachineState::Draining => "draining",
-                MachineState::Gone => "gone",
+                NodeStatus::Ready => "ready",
+                NodeStatus::Draining => "draining",
+                NodeStatus::Gone => "gone",
             };
             let link = if node.link == Link::Up { "up" } else { "down" };
             *nodes.entry((state, link)).or_default() += 1.0;
@@ -113,28 +113,28 @@
     }
 }
 
-fn outcome_name(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Done => "done",
-        Outcome::Error => "error",
-        Outcome::Refused => "refused",
-        Outcome::TimedOut => "timed-out",
-        Outcome::Unreachable => "unreachable",
-        Outcome::Lost => "lost",
-        Outcome::Withdrawn => "withdrawn",
-        Outcome::NotSent => "not-sent",
+        AttemptOutcome::Completed => "done",
+        AttemptOutcome::Error => "error",
+        AttemptOutcome::Rejected => "refused",
+        AttemptOutcome::TimedOut => "timed-out",
+        AttemptOutcome::Unreachable => "unreachable",
+        AttemptOutcome::Lost => "lost",
+        AttemptOutcome::Cancelled => "withdrawn",
+        AttemptOutcome::NotSent => "not-sent",
     }
 }
 
-fn why_name(why: Why) -> &'static str {
+fn why_name(why: EndReason) -> &'static str {
     match why {
-        Why::Unknown => "none",
-        Why::NoCores => "no-cores",
-        Why::NoMemory => "no-memory",
-        Why::Busy => "busy",
-        Why::NotHere => "not-here",
-        Why::Evicted => "evicted",
-        Why::PushedOut => "pushed-out",
-        Why::SentAway => "sent-away",
+        EndReason::Unknown => "none",
+        EndReason::InsufficientCores => "no-cores",
+        EndReason::InsufficientMemory => "no-memory",
+        EndReason::QueueFull => "busy",
+        EndReason::Ineligible => "not-here",
+        EndReason::Evicted => "evicted",
+        EndReason::Preempted => "pushed-out",
+        EndReason::Drained => "sent-away",
     }
 }
--- a/crates/controller/src/journal.rs
+++ b/crates/controller/src/journal.rs
@@ -236,14 +236,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use peppercove::{MachineId, RequestId, TaskKey};
+    use peppercove::{NodeId, RequestId, TaskKey};
     use peppercove_core::evidence::{Copy, Past, Trace};
 
     fn entry(n: u64) -> Entry {
         Entry::Closed(Copy {
             life: 1,
             at: Trace {
-                node: MachineId(n),
+                node: NodeId(n),
                 request: RequestId(n),
                 attempt: 0,
             },
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::Shell;
 use futures_util::{SinkExt, StreamExt};
-use peppercove::MachineId;
+use peppercove::NodeId;
 use peppercove_core::Input;
 use peppercove_exchange::{GreetError, Greeting, Heard, Retry, Step, heard, request_of};
 use peppercove_protocol::codec::{FrameError, Messages, NODE_FRAME};
@@ -40,7 +40,7 @@
 }
 
 /// Keeps the link to a node until the task is ended.
-pub(crate) async fn keep(shell: Rc<Shell>, node: MachineId, address: SocketAddrV4, name: String) {
+pub(crate) async fn keep(shell: Rc<Shell>, node: NodeId, address: SocketAddrV4, name: String) {
     let listen = &shell.config.listen;
     let mut retry = Retry::new(listen.retry_least, listen.retry_most);
     loop {
@@ -64,7 +64,7 @@
 /// Connects and greets; gives the link once the node has told all that it holds.
 async fn greet(
     shell: &Shell,
-    node: MachineId,
+    node: NodeId,
     address: SocketAddrV4,
     name: &str,
 ) -> Result<Greeted, LinkError> {
@@ -105,7 +105,7 @@
 
 async fn carry(
     shell: &Shell,
-    node: MachineId,
+    node: NodeId,
     mut link: Link,
     mut queue: mpsc::Receiver<ToNode>,
 ) -> LinkError {
@@ -159,7 +159,7 @@
 }
 
 /// Takes a message in, and answers it.
-fn take(shell: &Shell, node: MachineId, message: Heard) {
+fn take(shell: &Shell, node: NodeId, message: Heard) {
     if let Some(input) = message.input {
         shell.input(input);
     }
--- a/crates/controller/src/listing.rs
+++ b/crates/controller/src/listing.rs
@@ -34,7 +34,7 @@
 /// Calls the list when the module asks for it, or by itself where the list pushes, and passes on what it tells.
 pub(crate) async fn keep(shell: Rc<Shell>) {
     let listen = &shell.config.listen;
-    let by_itself = !shell.config.module.list_on_request;
+    let by_itself = !shell.config.module.is_list_polled;
     let mut retry = Retry::new(listen.retry_least, listen.retry_most);
     loop {
         if !by_itself {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -12,7 +12,7 @@
 /// Carries messages both ways: four bytes of the sender's number, little endian, then the message.
 pub(crate) async fn carry(shell: Rc<Shell>, socket: UdpSocket, mut told: mpsc::Receiver<Vec<u8>>) {
     let mut buffer = [0; 4 + LONGEST + 1];
-    let number = shell.config.module.own_number.to_le_bytes();
+    let number = shell.config.module.own_index.to_le_bytes();
     loop {
         tokio::select! {
             Some(message) = told.recv() => {
--- a/crates/controller/src/session.rs
+++ b/crates/controller/src/session.rs
@@ -422,9 +422,9 @@
         ));
     }
     sessions.join(connection, &p.session, p.notify);
-    let settle_ms = shell.config.module.settle.div_ceil(1000);
-    let category = |(name, class): (&String, &peppercove::Class)| {
-        let safe = class.repeat == peppercove::Repeat::Safe;
+    let settle_ms = shell.config.module.ambiguous_retry_delay.div_ceil(1000);
+    let category = |(name, class): (&String, &peppercove::TaskClass)| {
+        let safe = class.idempotency == peppercove::Idempotency::Idempotent;
         (name.clone(), rpc::Category { safe, settle_ms })
     };
     result(rpc::Session {
--- a/crates/controller/src/shell.rs
+++ b/crates/controller/src/shell.rs
@@ -5,7 +5,7 @@
 use crate::journal::Journal;
 use crate::link;
 use crate::session::Sessions;
-use peppercove::{MachineId, Scheduler};
+use peppercove::{NodeId, Scheduler};
 use peppercove_config::Config;
 use peppercove_core::evidence::Entry;
 use peppercove_core::{Answer, Core, End, Input, Job, JobId, JobState, Output, record};
@@ -35,7 +35,7 @@
     pub(crate) life: u64,
     pub(crate) clock: Clock,
     pub(crate) core: RefCell<Core<Decider>>,
-    pub(crate) links: RefCell<BTreeMap<MachineId, LinkHandle>>,
+    pub(crate) links: RefCell<BTreeMap<NodeId, LinkHandle>>,
     pub(crate) sessions: RefCell<Sessions>,
     /// The module asked for the list.
     pub(crate) watch: Notify,
@@ -91,7 +91,7 @@
                     source,
                 })?;
                 let mut file = BufWriter::new(file);
-                let schedulers = (config.module.schedulers, config.module.own_number);
+                let schedulers = (config.module.schedulers, config.module.own_index);
                 let head = record::Head {
                     seed,
                     life,
@@ -269,7 +269,7 @@
     }
 
     /// Queues a message for a node; false where there is no link or its queue is full.
-    pub(crate) fn send(&self, node: MachineId, message: ToNode) -> bool {
+    pub(crate) fn send(&self, node: NodeId, message: ToNode) -> bool {
         let links = self.links.borrow();
         let queue = links.get(&node).and_then(|l| l.queue.as_ref());
         queue.is_some_and(|q| q.try_send(message).is_ok())
@@ -309,7 +309,7 @@
             Answer::Failed => (rpc::Outcome::Failed, None, None),
             Answer::Withdrawn => (rpc::Outcome::Withdrawn, None, None),
         };
-        let name = |id: MachineId| {
+        let name = |id: NodeId| {
             let known = self.core.borrow().nodes().get(id).map(|n| n.name.clone());
             known.unwrap_or_else(|| format!("{:x}", id.0))
         };
--- a/crates/controller/src/template.rs
+++ b/crates/controller/src/template.rs
@@ -107,11 +107,12 @@
         native.cores.unwrap_or(cores),
         native.memory.unwrap_or(memory),
     );
-    let most =
-        |f: fn(&peppercove::Kind) -> f64| config.module.kinds.iter().map(f).fold(0.0, f64::max);
+    let most = |f: fn(&peppercove::NodeKind) -> f64| {
+        config.module.node_kinds.iter().map(f).fold(0.0, f64::max)
+    };
     let limits = [
-        most(|k| k.cores) * config.module.accepts_cores,
-        most(|k| k.memory) * config.module.accepts_memory,
+        most(|k| k.cores) * config.module.cores_overcommit,
+        most(|k| k.memory) * config.module.memory_overcommit,
     ];
     if cores > limits[0] || memory > limits[1] {
         let what = format!(
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -7,8 +7,9 @@
 use crate::life::{After, Ask, Attempt, Life};
 use crate::nodes::{Link, NodeLine, Nodes};
 use peppercove::{
-    Action, Class, Confirms, Event, ListScope, Load, MachineId, MachineState, Micros, Note,
-    Outcome, Repeat, Request, RequestId, Spread, TaskKey, Why,
+    Action, AttemptOutcome, EndReason, Event, Idempotency, ListUpdateKind, LoadReport, Micros,
+    NodeId, NodeStatus, PlacementAck, PlacementRequest, RequestId, TaskClass, TaskKey, TaskUpdate,
+    TopologySpread,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,9 +21,9 @@
     /// Another number after each start of the controller.
     pub life: u64,
     /// The classes, as the decision module has them.
-    pub classes: Vec<Class>,
+    pub classes: Vec<TaskClass>,
     /// What confirms a placing.
-    pub confirms: Confirms,
+    pub confirms: PlacementAck,
     /// Attempts allowed for one ask.
     pub max_attempts: u32,
     /// Asks that may be open at once.
@@ -61,7 +62,7 @@
     /// It ended while nobody could be told.
     pub ended: Option<End>,
     /// Why, where its node gave it up.
-    pub why: Why,
+    pub why: EndReason,
 }
 
 /// What a node says of one attempt.
@@ -72,13 +73,13 @@
     /// It runs.
     Running,
     /// Refused, or handed back before it ran.
-    Refused(Why),
+    Refused(EndReason),
     /// The node answers with an error.
     Error,
     /// The task ended.
-    Ended(End, Why),
+    Ended(End, EndReason),
     /// News of the running task.
-    Note(Note),
+    Note(TaskUpdate),
 }
 
 /// What the owner of a job may do to it.
@@ -104,7 +105,7 @@
     /// News of the node list.
     List {
         /// How it relates to the list held.
-        scope: ListScope,
+        scope: ListUpdateKind,
         /// Its version.
         generation: u64,
         /// The lines.
@@ -133,7 +134,7 @@
     /// The link to a node stands, and the node has told what it holds.
     LinkUp {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// Its life.
         life: u64,
         /// It has forgotten nothing that it held of this controller.
@@ -142,11 +143,11 @@
         standing: Vec<Standing>,
     },
     /// The link to a node broke.
-    LinkDown(MachineId),
+    LinkDown(NodeId),
     /// A node speaks of an attempt.
     News {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
@@ -154,21 +155,21 @@
         /// What it says.
         news: NodeNews,
         /// A load report that came along.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A probe came back, or did not.
     Probed {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// It answered.
         answered: bool,
         /// Its load.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// An offer could not be written: it never left.
     Unsent {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
@@ -244,18 +245,18 @@
     /// Keep a link to this node.
     Connect {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// Where it listens.
         address: SocketAddrV4,
         /// The name it must answer to.
         name: String,
     },
     /// Keep it no longer.
-    Disconnect(MachineId),
+    Disconnect(NodeId),
     /// Offer a task.
     Offer {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
@@ -268,7 +269,7 @@
     /// Wait for an attempt no longer.
     Withdraw {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
@@ -277,7 +278,7 @@
     /// Act on a task that runs.
     Act {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
@@ -288,7 +289,7 @@
     /// Call a standing task by a number of this life.
     Adopt {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// Life of the controller that placed it.
         life: u64,
         /// The ask in that life.
@@ -301,7 +302,7 @@
     /// Stop a standing task of an earlier life that nobody knows, or take note of its end.
     StopStanding {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// Life of the controller that placed it.
         life: u64,
         /// The ask in that life.
@@ -314,7 +315,7 @@
     /// Subscribe to the node list.
     Watch,
     /// Ask a node for its load.
-    Probe(MachineId),
+    Probe(NodeId),
     /// Tell all other controllers something.
     Tell(Vec<u8>),
     /// A line for the people on call.
@@ -387,7 +388,7 @@
     Module(u64),
     Attempt(RequestId, u16),
     Deadline(RequestId),
-    Lost(MachineId),
+    Lost(NodeId),
 }
 
 /// One controller, without its sockets.
@@ -415,7 +416,7 @@
     events: Vec<Event>,
     out: Vec<Output>,
     counters: Counters,
-    attempt_ends: BTreeMap<(u8, u8), (Outcome, Why, u64)>,
+    attempt_ends: BTreeMap<(u8, u8), (AttemptOutcome, EndReason, u64)>,
 }
 
 /// Rounds of events and actions that one input may cause; each failed bind is one, and attempts are bounded.
@@ -450,7 +451,7 @@
     }
 
     /// Attempts that ended, by how and why.
-    pub fn attempt_ends(&self) -> impl Iterator<Item = (Outcome, Why, u64)> + '_ {
+    pub fn attempt_ends(&self) -> impl Iterator<Item = (AttemptOutcome, EndReason, u64)> + '_ {
         self.attempt_ends.values().copied()
     }
 
@@ -495,7 +496,7 @@
     }
 
     /// Nodes that hold, or may hold, a copy of a task that is followed.
-    pub fn in_doubt_at(&self) -> Vec<MachineId> {
+    pub fn in_doubt_at(&self) -> Vec<NodeId> {
         self.evidence.nodes().into_iter().collect()
     }
 
@@ -595,11 +596,11 @@
                 lines,
             } => self.on_list(scope, generation, &lines),
             Input::ListFailed => {
-                let (scope, version) = (ListScope::Failed, self.nodes.generation);
-                self.events.push(Event::MachineList {
-                    scope,
+                let (scope, version) = (ListUpdateKind::Failed, self.nodes.generation);
+                self.events.push(Event::NodeList {
+                    kind: scope,
                     version,
-                    lines: Vec::new(),
+                    entries: Vec::new(),
                 });
             }
             Input::Submit { ticket, submission } => self.on_submit(ticket, *submission),
@@ -641,7 +642,7 @@
                 load,
             } => {
                 self.events.push(Event::Probed {
-                    machine: node,
+                    node: node,
                     answered,
                     load,
                 });
@@ -657,7 +658,13 @@
                     attempt,
                 }) {
                     self.counters.unreachable += 1;
-                    self.end_attempt(request, attempt, Outcome::Unreachable, Why::Unknown, None);
+                    self.end_attempt(
+                        request,
+                        attempt,
+                        AttemptOutcome::Unreachable,
+                        EndReason::Unknown,
+                        None,
+                    );
                 }
             }
             Input::Peer { from, message } => self.events.push(Event::Peer { from, message }),
@@ -668,12 +675,12 @@
 
     // ---- The node list ----
 
-    fn on_list(&mut self, scope: ListScope, generation: u64, lines: &[NodeLine]) {
+    fn on_list(&mut self, scope: ListUpdateKind, generation: u64, lines: &[NodeLine]) {
         let (told, changes) = self.nodes.take_in(self.now, scope, generation, lines);
-        self.events.push(Event::MachineList {
-            scope,
+        self.events.push(Event::NodeList {
+            kind: scope,
             version: generation,
-            lines: told,
+            entries: told,
         });
         for node in changes.added {
             for (copy, of) in self.evidence.back(node) {
@@ -687,7 +694,7 @@
                 });
             }
         }
-        if scope != ListScope::Delta {
+        if scope != ListUpdateKind::Incremental {
             // Nodes of an earlier life that no list names any more can tell nothing.
             let unknown = self
                 .evidence
@@ -708,11 +715,11 @@
     }
 
     /// A node that the list names no more keeps its link while it holds anything of ours: its answers count.
-    fn let_go(&mut self, node: MachineId) {
+    fn let_go(&mut self, node: NodeId) {
         let gone = self
             .nodes
             .get(node)
-            .is_some_and(|n| n.line.state == MachineState::Gone);
+            .is_some_and(|n| n.line.state == NodeStatus::Gone);
         let holds = |a: &Ask| {
             a.attempts
                 .iter()
@@ -778,12 +785,16 @@
 
     /// A second effect of the class's tasks would do harm, or is harmless only within its group and window.
     fn is_strict(&self, class: u16) -> bool {
-        self.class(class).is_none_or(|c| c.repeat != Repeat::Safe)
+        self.class(class)
+            .is_none_or(|c| c.idempotency != Idempotency::Idempotent)
     }
 
     /// Copies of the class are kept in the evidence.
     fn is_kept(&self, class: u16) -> bool {
-        self.is_strict(class) || self.class(class).is_some_and(|c| c.spread != Spread::Off)
+        self.is_strict(class)
+            || self
+                .class(class)
+                .is_some_and(|c| c.topology_spread != TopologySpread::Off)
     }
 
     fn remember_first(&mut self, submission: &Submission) {
@@ -816,7 +827,7 @@
             && self
                 .nodes
                 .iter()
-                .all(|(_, n)| n.link == Link::Up || n.line.state == MachineState::Gone);
+                .all(|(_, n)| n.link == Link::Up || n.line.state == NodeStatus::Gone);
         Some(if told {
             TurnedAway::NotKnown
         } else {
@@ -875,8 +886,8 @@
             life: Life::Waiting,
             attempts: Vec::new(),
         };
-        self.alarms.set(deadline, Alarm::Deadline(request.request));
-        self.asks.insert(request.request, ask);
+        self.alarms.set(deadline, Alarm::Deadline(request.id));
+        self.asks.insert(request.id, ask);
         self.open += 1;
         self.events.push(Event::Place(request));
     }
@@ -954,7 +965,7 @@
 
     /// An ask that never left is forgotten, unanswered: its job makes another one later.
     fn call_off(&mut self, request: RequestId) {
-        self.events.push(Event::Unwanted(request));
+        self.events.push(Event::RequestCancelled(request));
         self.leave(request, false);
         self.step(request, Life::Over);
         self.forget_if_done(request);
@@ -965,7 +976,7 @@
             return;
         };
         let (life, job) = (ask.life, ask.job);
-        self.events.push(Event::Unwanted(request));
+        self.events.push(Event::RequestCancelled(request));
         self.leave(request, false);
         self.step(request, Life::Over);
         self.settle_job(job, Answer::Withdrawn);
@@ -979,19 +990,19 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Watch => self.out.push(Output::Watch),
-            Action::Bind {
+            Action::WatchNodes => self.out.push(Output::Watch),
+            Action::Dispatch {
                 request,
-                machine,
+                node: machine,
                 timeout,
             } => self.bind(request, machine, timeout),
-            Action::Withdraw { request, attempt } => self.withdraw(request, attempt),
-            Action::Refuse {
+            Action::CancelAttempt { request, attempt } => self.withdraw(request, attempt),
+            Action::Reject {
                 request,
                 retry_after,
             } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::Move(request) => match self.asks.get(&request).and_then(placed_at) {
+            Action::Migrate(request) => match self.asks.get(&request).and_then(placed_at) {
                 Some(at) if self.nodes.is_up(at.node) => {
                     self.moving.insert(request, ());
                     self.out.push(act(at, Control::Terminate));
@@ -1006,18 +1017,18 @@
                     self.out.push(Output::Probe(node));
                 } else {
                     self.events.push(Event::Probed {
-                        machine: node,
+                        node: node,
                         answered: false,
                         load: None,
                     });
                 }
             }
-            Action::Tell(message) => self.out.push(Output::Tell(message)),
+            Action::Broadcast(message) => self.out.push(Output::Tell(message)),
             Action::Log(line) => self.out.push(Output::Log(line)),
         }
     }
 
-    fn bind(&mut self, request: RequestId, node: MachineId, timeout: Option<Micros>) {
+    fn bind(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
         let up = self.nodes.is_up(node);
         let Some(ask) = self.asks.get_mut(&request) else {
             self.counters.void_actions += 1;
@@ -1039,14 +1050,26 @@
         ask.attempts.push(attempt);
         if !sent {
             self.counters.void_actions += 1;
-            self.end_attempt(request, number, Outcome::NotSent, Why::Unknown, None);
+            self.end_attempt(
+                request,
+                number,
+                AttemptOutcome::NotSent,
+                EndReason::Unknown,
+                None,
+            );
             return;
         }
         let job = ask.job;
         self.step(request, Life::Offered(number));
         if !up {
             self.counters.unreachable += 1;
-            self.end_attempt(request, number, Outcome::Unreachable, Why::Unknown, None);
+            self.end_attempt(
+                request,
+                number,
+                AttemptOutcome::Unreachable,
+                EndReason::Unknown,
+                None,
+            );
             return;
         }
         self.counters.offers += 1;
@@ -1097,7 +1120,13 @@
             request,
             attempt,
         });
-        self.end_attempt(request, attempt, Outcome::Withdrawn, Why::Unknown, None);
+        self.end_attempt(
+            request,
+            attempt,
+            AttemptOutcome::Cancelled,
+            EndReason::Unknown,
+            None,
+        );
     }
 
     /// The final answer of the module to an ask that is not placed.
@@ -1110,7 +1139,7 @@
         let harmful = !ask.never_ran()
             && self
                 .class(ask.request.class)
-                .is_none_or(|c| c.repeat == Repeat::Unsafe);
+                .is_none_or(|c| c.idempotency == Idempotency::NonIdempotent);
         let (job, mut answer) = (ask.job, answer);
         if harmful && matches!(answer, Answer::Refused(_)) {
             // Guard of the second rule: a refusal promises that a retry does no harm.
@@ -1158,7 +1187,9 @@
     /// A copy may run that no open attempt stands for: the module counts it as standing until it is known to be over,
     /// so that neither spread nor room is given away twice.
     fn haunt(&mut self, copy: Copy, of: Of) {
-        if self.class(of.class).is_none_or(|c| c.spread == Spread::Off)
+        if self
+            .class(of.class)
+            .is_none_or(|c| c.topology_spread == TopologySpread::Off)
             || self.ghosts.contains_key(&copy)
         {
             return;
@@ -1173,8 +1204,8 @@
             memory,
         } = of;
         let (deadline_in, life_hint, again) = (0, None, true);
-        let request = Request {
-            request: id,
+        let request = PlacementRequest {
+            id: id,
             task,
             service,
             class,
@@ -1182,13 +1213,13 @@
             cores,
             memory,
             deadline_in,
-            life_hint,
-            again,
+            expected_duration: life_hint,
+            is_retry: again,
         };
         self.ghosts.insert(copy, id);
-        self.events.push(Event::Standing {
+        self.events.push(Event::RunningTask {
             request,
-            machine: copy.at.node,
+            node: copy.at.node,
         });
     }
 
@@ -1197,15 +1228,15 @@
         let Some(request) = self.ghosts.remove(&copy) else {
             return;
         };
-        let (machine, outcome, why) = (copy.at.node, Outcome::Withdrawn, Why::Unknown);
+        let (machine, outcome, why) = (copy.at.node, AttemptOutcome::Cancelled, EndReason::Unknown);
         let (attempt, over, load) = (0, true, None);
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             request,
             attempt,
-            machine,
+            node: machine,
             outcome,
-            why,
-            over,
+            reason: why,
+            is_final: over,
             load,
         });
     }
@@ -1222,11 +1253,16 @@
     }
 
     /// The node told how an attempt ended.
-    fn copy_ended(&mut self, copy: Copy, end: End, why: Why) {
+    fn copy_ended(&mut self, copy: Copy, end: End, why: EndReason) {
         match end {
             End::Exited { .. } => self.copy_over(copy, Past::Ended(copy.at.node, end)),
             // Its node says that it gave it up before its end, and why.
-            End::GivenUp if matches!(why, Why::Evicted | Why::PushedOut | Why::SentAway) => {
+            End::GivenUp
+                if matches!(
+                    why,
+                    EndReason::Evicted | EndReason::Preempted | EndReason::Drained
+                ) =>
+            {
                 self.copy_closed(copy);
             }
             End::Signalled { .. } | End::GivenUp | End::Lost => {
@@ -1235,7 +1271,7 @@
         }
     }
 
-    fn node_is_gone(&mut self, node: MachineId) {
+    fn node_is_gone(&mut self, node: NodeId) {
         for copy in self.evidence.gone(self.now, node) {
             self.lay(copy);
         }
@@ -1271,7 +1307,7 @@
 
     // ---- Attempts ----
 
-    fn class(&self, class: u16) -> Option<&Class> {
+    fn class(&self, class: u16) -> Option<&TaskClass> {
         self.limits.classes.get(usize::from(class))
     }
 
@@ -1314,9 +1350,9 @@
         &mut self,
         request: RequestId,
         attempt: u16,
-        outcome: Outcome,
-        why: Why,
-        load: Option<Load>,
+        outcome: AttemptOutcome,
+        why: EndReason,
+        load: Option<LoadReport>,
     ) {
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
@@ -1337,7 +1373,7 @@
         });
         if matches!(
             outcome,
-            Outcome::Refused | Outcome::Unreachable | Outcome::NotSent
+            AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
         ) {
             self.copy_closed(copy);
         } else if self.evidence.is_open(copy) {
@@ -1352,20 +1388,20 @@
         self.settle_by_what_was_found(request);
         let over = self.asks.get(&request).is_none_or(|a| !a.life.is_open());
         self.count_end(outcome, why);
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             request,
             attempt,
-            machine,
+            node: machine,
             outcome,
-            why,
-            over,
+            reason: why,
+            is_final: over,
             load,
         });
         self.forget_if_done(request);
         self.let_go(machine);
     }
 
-    fn count_end(&mut self, outcome: Outcome, why: Why) {
+    fn count_end(&mut self, outcome: AttemptOutcome, why: EndReason) {
         let key = (outcome as u8, why as u8);
         self.attempt_ends.entry(key).or_insert((outcome, why, 0)).2 += 1;
     }
@@ -1380,7 +1416,13 @@
             request,
             attempt,
         });
-        self.end_attempt(request, attempt, Outcome::TimedOut, Why::Unknown, None);
+        self.end_attempt(
+            request,
+            attempt,
+            AttemptOutcome::TimedOut,
+            EndReason::Unknown,
+            None,
+        );
     }
 
     /// Guard of the first rule: the module had until the reserve before this.
@@ -1394,7 +1436,7 @@
             "fault: ask {} was left without an answer",
             request.0
         )));
-        self.events.push(Event::Unwanted(request));
+        self.events.push(Event::RequestCancelled(request));
         self.leave(request, true);
         self.step(request, Life::Over);
         self.settle_job(job, Answer::Failed);
@@ -1413,7 +1455,7 @@
 
     // ---- What nodes say ----
 
-    fn on_news(&mut self, at: Trace, news: NodeNews, load: Option<Load>) {
+    fn on_news(&mut self, at: Trace, news: NodeNews, load: Option<LoadReport>) {
         // A node that uses the new number has heard of it.
         self.former.retain(|_, named| *named != at);
         let at = self.former.get(&self.copy(at)).copied().unwrap_or(at);
@@ -1425,7 +1467,7 @@
         }
     }
 
-    fn on_news_of_offer(&mut self, at: Trace, news: NodeNews, load: Option<Load>) {
+    fn on_news_of_offer(&mut self, at: Trace, news: NodeNews, load: Option<LoadReport>) {
         let Trace {
             node,
             request,
@@ -1441,58 +1483,76 @@
                 {
                     a.accepted = true;
                 }
-                if self.limits.confirms == Confirms::Accepted && !over {
+                if self.limits.confirms == PlacementAck::Accepted && !over {
                     self.on_confirmed(at);
                 }
                 self.report(node, load);
             }
             NodeNews::Running if over => {
                 // Answered meanwhile: nobody waits for this copy.
-                self.end_attempt(request, attempt, Outcome::Withdrawn, Why::Unknown, load);
+                self.end_attempt(
+                    request,
+                    attempt,
+                    AttemptOutcome::Cancelled,
+                    EndReason::Unknown,
+                    load,
+                );
                 self.on_news_out_of_place(at, &NodeNews::Running);
             }
             NodeNews::Running => {
                 self.on_confirmed(at);
-                if self.limits.confirms == Confirms::Accepted {
-                    self.events.push(Event::Noted {
+                if self.limits.confirms == PlacementAck::Accepted {
+                    self.events.push(Event::TaskUpdated {
                         request,
                         attempt,
-                        machine: node,
-                        note: Note::Runs,
+                        node: node,
+                        update: TaskUpdate::Running,
                     });
                 }
                 self.report(node, load);
             }
             NodeNews::Refused(why) => {
-                self.end_attempt(request, attempt, Outcome::Refused, why, load);
+                self.end_attempt(request, attempt, AttemptOutcome::Rejected, why, load);
             }
             NodeNews::Error => {
                 // It may have started; its node is asked what it knows of it once nobody waits for it.
-                self.end_attempt(request, attempt, Outcome::Error, Why::Unknown, load);
+                self.end_attempt(
+                    request,
+                    attempt,
+                    AttemptOutcome::Error,
+                    EndReason::Unknown,
+                    load,
+                );
             }
             NodeNews::Ended(end, why) if over => {
                 let copy = self.copy(at);
                 self.copy_ended(copy, end, why);
-                self.end_attempt(request, attempt, Outcome::Done, Why::Unknown, load);
+                self.end_attempt(
+                    request,
+                    attempt,
+                    AttemptOutcome::Completed,
+                    EndReason::Unknown,
+                    load,
+                );
             }
             NodeNews::Ended(..) => {
                 // It ran and ended before its start was told.
                 self.on_confirmed(at);
                 self.on_news_of_placed(at, news, load);
             }
-            NodeNews::Note(note) => self.events.push(Event::Noted {
+            NodeNews::Note(note) => self.events.push(Event::TaskUpdated {
                 request,
                 attempt,
-                machine: node,
-                note,
+                node: node,
+                update: note,
             }),
         }
     }
 
-    fn report(&mut self, node: MachineId, load: Option<Load>) {
+    fn report(&mut self, node: NodeId, load: Option<LoadReport>) {
         if load.is_some() {
             self.events.push(Event::Probed {
-                machine: node,
+                node: node,
                 answered: true,
                 load,
             });
@@ -1515,14 +1575,14 @@
         self.events.push(Event::Placed {
             request,
             attempt,
-            machine: node,
+            node: node,
         });
         if let Some(job) = self.asks.get(&request).map(|a| a.job) {
             self.settle_job(job, Answer::Placed(node));
         }
     }
 
-    fn on_news_of_placed(&mut self, at: Trace, news: NodeNews, load: Option<Load>) {
+    fn on_news_of_placed(&mut self, at: Trace, news: NodeNews, load: Option<LoadReport>) {
         let Trace {
             node,
             request,
@@ -1531,35 +1591,37 @@
         let (outcome, end, why) = match news {
             NodeNews::Accepted => return self.report(node, load),
             NodeNews::Running => {
-                if self.limits.confirms == Confirms::Accepted {
-                    self.events.push(Event::Noted {
+                if self.limits.confirms == PlacementAck::Accepted {
+                    self.events.push(Event::TaskUpdated {
                         request,
                         attempt,
-                        machine: node,
-                        note: Note::Runs,
+                        node: node,
+                        update: TaskUpdate::Running,
                     });
                 }
                 return self.report(node, load);
             }
             NodeNews::Note(note) => {
-                self.events.push(Event::Noted {
+                self.events.push(Event::TaskUpdated {
                     request,
                     attempt,
-                    machine: node,
-                    note,
+                    node: node,
+                    update: note,
                 });
                 return;
             }
-            NodeNews::Ended(end @ End::Exited { .. }, why) => (Outcome::Done, end, why),
-            NodeNews::Ended(end @ End::Signalled { .. }, why) => (Outcome::Withdrawn, end, why),
-            NodeNews::Ended(end, why) => (Outcome::Lost, end, why),
+            NodeNews::Ended(end @ End::Exited { .. }, why) => (AttemptOutcome::Completed, end, why),
+            NodeNews::Ended(end @ End::Signalled { .. }, why) => {
+                (AttemptOutcome::Cancelled, end, why)
+            }
+            NodeNews::Ended(end, why) => (AttemptOutcome::Lost, end, why),
             NodeNews::Refused(why) => {
                 // Handed back before it ran.
                 let copy = self.copy(at);
                 self.copy_closed(copy);
-                (Outcome::Lost, End::GivenUp, why)
+                (AttemptOutcome::Lost, End::GivenUp, why)
             }
-            NodeNews::Error => (Outcome::Error, End::Lost, Why::Unknown),
+            NodeNews::Error => (AttemptOutcome::Error, End::Lost, EndReason::Unknown),
         };
         if let NodeNews::Ended(..) = news {
             let copy = self.copy(at);
@@ -1572,7 +1634,14 @@
         self.end_placed(at, outcome, end, why, load);
     }
 
-    fn end_placed(&mut self, at: Trace, outcome: Outcome, end: End, why: Why, load: Option<Load>) {
+    fn end_placed(
+        &mut self,
+        at: Trace,
+        outcome: AttemptOutcome,
+        end: End,
+        why: EndReason,
+        load: Option<LoadReport>,
+    ) {
         let Trace {
             node,
             request,
@@ -1593,13 +1662,13 @@
             self.evidence.left(self.now, copy, true);
         }
         self.count_end(outcome, why);
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             request,
             attempt,
-            machine: node,
+            node: node,
             outcome,
-            why,
-            over: true,
+            reason: why,
+            is_final: true,
             load,
         });
         // Moved, it is asked for again only where it is known to be stopped before its end.
@@ -1764,7 +1833,7 @@
 
     // ---- Links ----
 
-    fn on_link_up(&mut self, node: MachineId, life: u64, whole: bool, standing: Vec<Standing>) {
+    fn on_link_up(&mut self, node: NodeId, life: u64, whole: bool, standing: Vec<Standing>) {
         if self.nodes.is_up(node) {
             // A second link stands for the first: what was under way on that one is as lost as if it had broken.
             self.on_link_down(node);
@@ -1775,11 +1844,11 @@
         (n.link, n.own_life) = (Link::Up, Some(life));
         // The list tells of a restart seconds later; until then all controllers would push a cold node over.
         if let Some(line) = n.restarted(self.now, life) {
-            let (scope, version) = (ListScope::Delta, self.nodes.generation);
-            self.events.push(Event::MachineList {
-                scope,
+            let (scope, version) = (ListUpdateKind::Incremental, self.nodes.generation);
+            self.events.push(Event::NodeList {
+                kind: scope,
                 version,
-                lines: vec![line],
+                entries: vec![line],
             });
         }
         let standing: Vec<Standing> = standing
@@ -1810,7 +1879,13 @@
             .filter(|t| t.node == node && !held.contains(t))
             .collect();
         for at in placed {
-            self.end_placed(at, Outcome::Lost, End::Lost, Why::Unknown, None);
+            self.end_placed(
+                at,
+                AttemptOutcome::Lost,
+                End::Lost,
+                EndReason::Unknown,
+                None,
+            );
         }
         for s in standing {
             if s.life == self.limits.life {
@@ -1830,7 +1905,7 @@
 
     /// Danger: the word that a copy goes by a new number can be lost with its link. Its node then names it by the former
     /// one, and the job would be taken for lost and the copy for a stray: stopped, and counted no more while it goes on.
-    fn by_its_present_number(&mut self, node: MachineId, s: Standing) -> Option<Standing> {
+    fn by_its_present_number(&mut self, node: NodeId, s: Standing) -> Option<Standing> {
         let (life, was, attempt) = (s.life, s.request, s.attempt);
         let copy = Copy {
             life,
@@ -1869,7 +1944,7 @@
     }
 
     /// Nothing that a node may still call by a former number is remembered for longer than the copy matters.
-    fn forget_former(&mut self, node: MachineId) {
+    fn forget_former(&mut self, node: NodeId) {
         let Core {
             asks,
             evidence,
@@ -1890,7 +1965,7 @@
 
     /// A task of an earlier life ran and ended: its job is known again under its key, and one that must not run
     /// twice is not started again for an owner who never heard of it.
-    fn learn_of_past(&mut self, node: MachineId, s: Standing, end: End) {
+    fn learn_of_past(&mut self, node: NodeId, s: Standing, end: End) {
         let ran = matches!(end, End::Exited { .. } | End::Signalled { .. });
         let (life, was, attempt) = (s.life, s.request, s.attempt);
         let copy = Copy {
@@ -1945,7 +2020,7 @@
     }
 
     /// A task that an earlier life placed runs on; its job is found again under its key.
-    fn adopt(&mut self, node: MachineId, s: Standing) {
+    fn adopt(&mut self, node: NodeId, s: Standing) {
         let Standing {
             life,
             request: was,
@@ -2053,14 +2128,14 @@
         self.asks.insert(id, ask);
         self.open += 1;
         self.step(id, Life::Placed(0));
-        self.events.push(Event::Standing {
+        self.events.push(Event::RunningTask {
             request,
-            machine: node,
+            node: node,
         });
         id
     }
 
-    fn on_link_down(&mut self, node: MachineId) {
+    fn on_link_down(&mut self, node: NodeId) {
         let Some(n) = self.nodes.get_mut(node) else {
             return;
         };
@@ -2086,18 +2161,24 @@
             .map(|(r, _, i, _)| (r, i))
             .collect();
         for (request, attempt) in out {
-            self.end_attempt(request, attempt, Outcome::Lost, Why::Unknown, None);
+            self.end_attempt(
+                request,
+                attempt,
+                AttemptOutcome::Lost,
+                EndReason::Unknown,
+                None,
+            );
         }
         if self
             .nodes
             .get(node)
-            .is_some_and(|n| n.line.state == MachineState::Gone)
+            .is_some_and(|n| n.line.state == NodeStatus::Gone)
         {
             self.lose_placed(node);
         }
     }
 
-    fn on_lost(&mut self, node: MachineId) {
+    fn on_lost(&mut self, node: NodeId) {
         let Some(Link::Down(since)) = self.nodes.get(node).map(|n| n.link) else {
             return;
         };
@@ -2108,7 +2189,7 @@
 
     /// Tasks on a node that is gone, or was out of reach for too long, count as lost; whether they still run
     /// stays in doubt until the node is heard again or gone for good.
-    fn lose_placed(&mut self, node: MachineId) {
+    fn lose_placed(&mut self, node: NodeId) {
         let placed: Vec<Trace> = self
             .asks
             .values()
@@ -2116,7 +2197,13 @@
             .filter(|t| t.node == node)
             .collect();
         for at in placed {
-            self.end_placed(at, Outcome::Lost, End::Lost, Why::Unknown, None);
+            self.end_placed(
+                at,
+                AttemptOutcome::Lost,
+                End::Lost,
+                EndReason::Unknown,
+                None,
+            );
         }
         self.let_go(node);
     }
@@ -2132,7 +2219,7 @@
             .map(Ask::id)
             .collect();
         for request in open {
-            self.events.push(Event::Unwanted(request));
+            self.events.push(Event::RequestCancelled(request));
             let harmless = self.asks.get(&request).is_some_and(Ask::never_ran);
             let retry_after = Some(self.limits.retry_after);
             self.answer(
@@ -2169,8 +2256,8 @@
 }
 
 /// What a copy of the ask is of.
-fn of(r: &Request) -> Of {
-    let Request {
+fn of(r: &PlacementRequest) -> Of {
+    let PlacementRequest {
         task,
         service,
         class,
@@ -2189,7 +2276,7 @@
     }
 }
 
-fn request_of(s: &Submission, request: RequestId, deadline_in: Micros) -> Request {
+fn request_of(s: &Submission, request: RequestId, deadline_in: Micros) -> PlacementRequest {
     let Submission {
         task,
         service,
@@ -2201,8 +2288,8 @@
         again,
         ..
     } = s.clone();
-    Request {
-        request,
+    PlacementRequest {
+        id: request,
         task,
         service,
         class,
@@ -2210,7 +2297,7 @@
         cores,
         memory,
         deadline_in,
-        life_hint,
-        again,
+        expected_duration: life_hint,
+        is_retry: again,
     }
 }
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -11,7 +11,7 @@
 //! to be over.
 
 use crate::jobs::End;
-use peppercove::{MachineId, Micros, RequestId, ServiceId, TaskKey};
+use peppercove::{Micros, NodeId, RequestId, ServiceId, TaskKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Trace {
     /// The node.
-    pub node: MachineId,
+    pub node: NodeId,
     /// The ask.
     pub request: RequestId,
     /// The number of the attempt.
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Past {
     /// By itself, on this node.
-    Ended(MachineId, End),
+    Ended(NodeId, End),
     /// It ran or may have run, and nobody can tell how it ended.
     MayHaveRun,
 }
@@ -117,7 +117,7 @@
     /// Take over the copy that runs.
     TakeOver(Copy),
     /// It has run to its end on this node: that is the answer.
-    Ran(MachineId, End),
+    Ran(NodeId, End),
     /// Never: it ran, or may have.
     Never,
 }
@@ -456,7 +456,7 @@
     pub fn greeted(
         &mut self,
         now: Micros,
-        node: MachineId,
+        node: NodeId,
         life: u64,
         whole: bool,
         held: &[Copy],
@@ -479,7 +479,7 @@
 
     /// The list names a node no more, and no link to it stands. That proves nothing about its copies: they stay open
     /// until it comes back and tells, or until that is given up. Gives them.
-    pub fn gone(&mut self, now: Micros, node: MachineId) -> Vec<Copy> {
+    pub fn gone(&mut self, now: Micros, node: NodeId) -> Vec<Copy> {
         let mut there = Vec::new();
         for (copy, open) in self.open.iter_mut().filter(|(c, _)| c.at.node == node) {
             open.gone.get_or_insert(now);
@@ -490,7 +490,7 @@
     }
 
     /// The list names a node again: its copies count. Gives them.
-    pub fn back(&mut self, node: MachineId) -> Vec<(Copy, Of)> {
+    pub fn back(&mut self, node: NodeId) -> Vec<(Copy, Of)> {
         let there = self.open.iter_mut().filter(|(c, _)| c.at.node == node);
         there
             .map(|(copy, open)| (open.gone.take(), (*copy, open.of)).1)
@@ -498,7 +498,7 @@
     }
 
     /// Nodes that hold an open copy.
-    pub fn nodes(&self) -> BTreeSet<MachineId> {
+    pub fn nodes(&self) -> BTreeSet<NodeId> {
         self.open.keys().map(|c| c.at.node).collect()
     }
 
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,6 +1,6 @@
 //! The jobs that clients see: their states, their one settlement and their end. Bounded in number.
 
-use peppercove::{MachineId, Micros, RequestId, ServiceId, TaskKey};
+use peppercove::{Micros, NodeId, RequestId, ServiceId, TaskKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// The task is placed on this node.
-    Placed(MachineId),
+    Placed(NodeId),
     /// Turned away; a retry is harmless, best after this long.
     Refused(Option<Micros>),
     /// No promise about its effect.
--- a/crates/core/src/life.rs
+++ b/crates/core/src/life.rs
@@ -8,7 +8,7 @@
 //! ```
 
 use crate::jobs::{End, JobId};
-use peppercove::{MachineId, Micros, Outcome, Request, RequestId};
+use peppercove::{AttemptOutcome, Micros, NodeId, PlacementRequest, RequestId};
 use std::fmt;
 
 /// Where an ask stands.
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Where it was sent.
-    pub node: MachineId,
+    pub node: NodeId,
     /// When it was sent.
     pub sent_at: Micros,
     /// When the controller stops waiting for it.
@@ -84,7 +84,7 @@
     /// The node said that it has accepted it.
     pub accepted: bool,
     /// How it ended; `None` while it is out or its task runs.
-    pub ended: Option<Outcome>,
+    pub ended: Option<AttemptOutcome>,
     /// What its node said of it after the attempt was given up.
     pub after: After,
 }
@@ -106,7 +106,7 @@
     pub fn never_ran(&self) -> bool {
         matches!(
             self.ended,
-            Some(Outcome::Refused | Outcome::Unreachable | Outcome::NotSent)
+            Some(AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
         )
     }
 }
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug)]
 pub struct Ask {
     /// As the decision module was told of it.
-    pub request: Request,
+    pub request: PlacementRequest,
     /// The job that asks.
     pub job: JobId,
     /// When its owner gives up.
@@ -129,7 +129,7 @@
 impl Ask {
     /// Its id.
     pub fn id(&self) -> RequestId {
-        self.request.request
+        self.request.id
     }
 
     /// Nothing of it may have run: a retry by its owner does no harm.
--- a/crates/core/src/nodes.rs
+++ b/crates/core/src/nodes.rs
@@ -1,6 +1,6 @@
 //! The nodes that the list names, and what is known of the links to them.
 
-use peppercove::{ListScope, MachineId, MachineLine, MachineState, Micros};
+use peppercove::{ListUpdateKind, Micros, NodeEntry, NodeId, NodeStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -13,7 +13,7 @@
     /// The name it must answer to.
     pub name: String,
     /// Its state.
-    pub state: MachineState,
+    pub state: NodeStatus,
     /// Index of its kind.
     pub kind: u8,
     /// Its rack.
@@ -31,8 +31,8 @@
 }
 
 /// The id of a node: its address, as the bench's wire has it.
-pub fn id_of(address: SocketAddrV4) -> MachineId {
-    MachineId((u64::from(u32::from(*address.ip())) << 16) | u64::from(address.port()))
+pub fn id_of(address: SocketAddrV4) -> NodeId {
+    NodeId((u64::from(u32::from(*address.ip())) << 16) | u64::from(address.port()))
 }
 
 /// What is known of the link to a node.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     /// As the decision module was told last.
-    pub line: MachineLine,
+    pub line: NodeEntry,
     /// Its address.
     pub address: SocketAddrV4,
     /// The name it must answer to.
@@ -63,12 +63,12 @@
 
 impl Node {
     /// The node itself tells a life that the list has not told: it has just started.
-    pub(crate) fn restarted(&mut self, now: Micros, life: u64) -> Option<MachineLine> {
+    pub(crate) fn restarted(&mut self, now: Micros, life: u64) -> Option<NodeEntry> {
         if self.listed_life.0 == life {
             return None;
         }
         self.listed_life = (life, now);
-        (self.line.started_at, self.line.life) = (now, life);
+        (self.line.started_at, self.line.incarnation) = (now, life);
         (self.line.free_cores, self.line.free_memory) = (None, None);
         Some(self.line.clone())
     }
@@ -77,7 +77,7 @@
 /// All nodes.
 #[derive(Debug, Default)]
 pub struct Nodes {
-    nodes: BTreeMap<MachineId, Node>,
+    nodes: BTreeMap<NodeId, Node>,
     /// Version of the list that was taken in last.
     pub generation: u64,
 }
@@ -86,28 +86,28 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Nodes to connect to.
-    pub added: Vec<MachineId>,
+    pub added: Vec<NodeId>,
     /// Nodes that the list names no more.
-    pub gone: Vec<MachineId>,
+    pub gone: Vec<NodeId>,
 }
 
 impl Nodes {
     /// A node.
-    pub fn get(&self, id: MachineId) -> Option<&Node> {
+    pub fn get(&self, id: NodeId) -> Option<&Node> {
         self.nodes.get(&id)
     }
 
-    pub(crate) fn get_mut(&mut self, id: MachineId) -> Option<&mut Node> {
+    pub(crate) fn get_mut(&mut self, id: NodeId) -> Option<&mut Node> {
         self.nodes.get_mut(&id)
     }
 
     /// All of them.
-    pub fn iter(&self) -> impl Iterator<Item = (&MachineId, &Node)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&NodeId, &Node)> {
         self.nodes.iter()
     }
 
     /// The node can be sent to now.
-    pub fn is_up(&self, id: MachineId) -> bool {
+    pub fn is_up(&self, id: NodeId) -> bool {
         self.nodes.get(&id).is_some_and(|n| n.link == Link::Up)
     }
 
@@ -115,21 +115,21 @@
     pub(crate) fn take_in(
         &mut self,
         now: Micros,
-        scope: ListScope,
+        scope: ListUpdateKind,
         generation: u64,
         lines: &[NodeLine],
-    ) -> (Vec<MachineLine>, Changes) {
+    ) -> (Vec<NodeEntry>, Changes) {
         let mut changes = Changes::default();
         // The module ignores a list older than the one held, and the links must not follow it either.
         if generation < self.generation {
             return (Vec::new(), changes);
         }
         self.generation = generation;
-        if scope != ListScope::Delta {
-            let named: BTreeSet<MachineId> = lines.iter().map(|l| id_of(l.address)).collect();
+        if scope != ListUpdateKind::Incremental {
+            let named: BTreeSet<NodeId> = lines.iter().map(|l| id_of(l.address)).collect();
             for (id, node) in self.nodes.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                if node.line.state != MachineState::Gone {
-                    node.line.state = MachineState::Gone;
+                if node.line.state != NodeStatus::Gone {
+                    node.line.state = NodeStatus::Gone;
                     changes.gone.push(*id);
                 }
             }
@@ -141,7 +141,7 @@
         (told, changes)
     }
 
-    fn take_line(&mut self, now: Micros, line: &NodeLine, changes: &mut Changes) -> MachineLine {
+    fn take_line(&mut self, now: Micros, line: &NodeLine, changes: &mut Changes) -> NodeEntry {
         let id = id_of(line.address);
         let known = self.nodes.get(&id);
         // Ages are read against this controller's own clock once a life, so that neither another clock nor the
@@ -152,22 +152,22 @@
             Some(node) if node.listed_life.0 >= line.life => node.listed_life,
             _ => (line.life, started),
         };
-        let told = MachineLine {
-            cold_share: None,
-            machine: id,
+        let told = NodeEntry {
+            slow_start_share: None,
+            node: id,
             state: line.state,
             kind: line.kind,
             rack: line.rack,
             zone: line.zone,
             started_at: began,
-            life,
+            incarnation: life,
             free_cores: line.free_cores,
             free_memory: line.free_memory,
         };
-        let was_listed = known.is_some_and(|n| n.line.state != MachineState::Gone);
+        let was_listed = known.is_some_and(|n| n.line.state != NodeStatus::Gone);
         match (was_listed, line.state) {
-            (true, MachineState::Gone) => changes.gone.push(id),
-            (false, MachineState::Ready | MachineState::Draining) => changes.added.push(id),
+            (true, NodeStatus::Gone) => changes.gone.push(id),
+            (false, NodeStatus::Ready | NodeStatus::Draining) => changes.added.push(id),
             _ => {}
         }
         let (link, own_life) = known.map_or((Link::Down(now), None), |n| (n.link, n.own_life));
@@ -180,18 +180,18 @@
             listed_life,
             own_life,
         };
-        if line.state != MachineState::Gone || known.is_some() {
+        if line.state != NodeStatus::Gone || known.is_some() {
             self.nodes.insert(id, node);
         }
         told
     }
 
     /// Forgets a node that the list names no more and that holds nothing.
-    pub(crate) fn forget(&mut self, id: MachineId) {
+    pub(crate) fn forget(&mut self, id: NodeId) {
         if self
             .nodes
             .get(&id)
-            .is_some_and(|n| n.line.state == MachineState::Gone)
+            .is_some_and(|n| n.line.state == NodeStatus::Gone)
         {
             self.nodes.remove(&id);
         }
@@ -206,7 +206,7 @@
         NodeLine {
             address: SocketAddrV4::new([127, 0, 0, 1].into(), port),
             name: format!("n{port}"),
-            state: MachineState::Ready,
+            state: NodeStatus::Ready,
             kind: 0,
             rack: 0,
             zone: 0,
@@ -222,20 +222,24 @@
         let mut nodes = Nodes::default();
         let (first, changes) = nodes.take_in(
             10_000_000,
-            ListScope::Full,
+            ListUpdateKind::Full,
             1,
             &[line(1, 7, Some(1_000_000))],
         );
         assert_eq!(changes.added.len(), 1);
         let (second, _) = nodes.take_in(
             12_000_000,
-            ListScope::Full,
+            ListUpdateKind::Full,
             2,
             &[line(1, 7, Some(2_500_000))],
         );
         assert_eq!(first[0].started_at, second[0].started_at);
-        let (third, _) =
-            nodes.take_in(13_000_000, ListScope::Full, 3, &[line(1, 8, Some(500_000))]);
+        let (third, _) = nodes.take_in(
+            13_000_000,
+            ListUpdateKind::Full,
+            3,
+            &[line(1, 8, Some(500_000))],
+        );
         assert_eq!(
             third[0].started_at, 12_500_000,
             "another life is another start"
@@ -245,10 +249,10 @@
     #[test]
     fn an_older_list_changes_nothing() {
         let mut nodes = Nodes::default();
-        nodes.take_in(0, ListScope::Full, 5, &[line(1, 7, None)]);
-        let (told, changes) = nodes.take_in(1, ListScope::Full, 4, &[]);
+        nodes.take_in(0, ListUpdateKind::Full, 5, &[line(1, 7, None)]);
+        let (told, changes) = nodes.take_in(1, ListUpdateKind::Full, 4, &[]);
         assert!(told.is_empty() && changes == Changes::default());
-        let (_, changes) = nodes.take_in(2, ListScope::Full, 6, &[]);
+        let (_, changes) = nodes.take_in(2, ListUpdateKind::Full, 6, &[]);
         assert_eq!(changes.gone.len(), 1);
     }
 }
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -29,7 +29,7 @@
         let (schedulers, own_number) = self.schedulers;
         peppercove::Settings {
             schedulers,
-            own_number,
+            own_index: own_number,
             ..settings.clone()
         }
     }
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -1,8 +1,8 @@
 //! The core driven by hand: every action carried out, every event fed, nothing chosen by the core itself.
 
 use peppercove::{
-    Action, Event, ListScope, MachineId, MachineState, Micros, Outcome, Repeat, RequestId,
-    Scheduler, ServiceId, Settings, TaskKey, Why,
+    Action, AttemptOutcome, EndReason, Event, Idempotency, ListUpdateKind, Micros, NodeId,
+    NodeStatus, RequestId, Scheduler, ServiceId, Settings, TaskKey,
 };
 use peppercove_core::nodes::{NodeLine, id_of};
 use peppercove_core::{
@@ -36,7 +36,7 @@
     Limits {
         life: 77,
         classes: settings.classes.clone(),
-        confirms: settings.confirms,
+        confirms: settings.placement_ack,
         max_attempts: 3,
         most_open: 100,
         most_jobs: 200,
@@ -51,7 +51,7 @@
     }
 }
 
-fn node(i: u16) -> MachineId {
+fn node(i: u16) -> NodeId {
     id_of(address(i))
 }
 
@@ -59,7 +59,7 @@
     SocketAddrV4::new([127, 0, 0, 1].into(), 1000 + i)
 }
 
-fn line(i: u16, state: MachineState) -> NodeLine {
+fn line(i: u16, state: NodeStatus) -> NodeLine {
     NodeLine {
         address: address(i),
         name: format!("n{i}"),
@@ -76,7 +76,7 @@
 
 fn list(generation: u64, lines: Vec<NodeLine>) -> Input {
     Input::List {
-        scope: ListScope::Full,
+        scope: ListUpdateKind::Full,
         generation,
         lines,
     }
@@ -126,7 +126,7 @@
             cpu: 1,
             memory: 0.0,
         },
-        Why::Unknown,
+        EndReason::Unknown,
     )
 }
 
@@ -140,7 +140,7 @@
     fn new() -> Rig {
         let fixed = Fixed::default();
         let mut core = Core::new(fixed.clone(), limits());
-        let lines = vec![line(0, MachineState::Ready), line(1, MachineState::Ready)];
+        let lines = vec![line(0, NodeStatus::Ready), line(1, NodeStatus::Ready)];
         core.handle(0, list(1, lines));
         for i in 0..2 {
             core.handle(
@@ -169,20 +169,20 @@
     }
 
     fn bind(&self, request: u64, i: u16, timeout: Option<Micros>) -> Action {
-        Action::Bind {
+        Action::Dispatch {
             request: RequestId(request),
-            machine: node(i),
+            node: node(i),
             timeout,
         }
     }
 }
 
-fn ended(events: &[Event]) -> Vec<(u16, Outcome, bool)> {
+fn ended(events: &[Event]) -> Vec<(u16, AttemptOutcome, bool)> {
     let ended = events.iter().filter_map(|e| match e {
-        Event::Ended {
+        Event::AttemptEnded {
             attempt,
             outcome,
-            over,
+            is_final: over,
             ..
         } => Some((*attempt, *outcome, *over)),
         _ => None,
@@ -247,11 +247,11 @@
     rig.told();
     let outputs = rig.step(SECOND, Input::Tick, vec![]);
     assert!(matches!(outputs[..], [Output::Withdraw { attempt: 0, .. }]));
-    assert_eq!(ended(&rig.told()), [(0, Outcome::TimedOut, false)]);
+    assert_eq!(ended(&rig.told()), [(0, AttemptOutcome::TimedOut, false)]);
     // A refusal that comes after it changes nothing.
     rig.step(
         SECOND + 1,
-        news(0, 0, 0, NodeNews::Refused(Why::NoCores)),
+        news(0, 0, 0, NodeNews::Refused(EndReason::InsufficientCores)),
         vec![],
     );
     assert!(ended(&rig.told()).is_empty());
@@ -292,7 +292,7 @@
         1,
         "never two out at once"
     );
-    assert_eq!(ended(&rig.told()), [(1, Outcome::NotSent, false)]);
+    assert_eq!(ended(&rig.told()), [(1, AttemptOutcome::NotSent, false)]);
     assert_eq!(rig.core.counters().void_actions, 2);
 }
 
@@ -303,11 +303,14 @@
     let actions = vec![rig.bind(0, 0, None)];
     let outputs = rig.step(1, submit(submission("a", 2)), actions);
     assert!(!outputs.iter().any(|o| matches!(o, Output::Offer { .. })));
-    assert_eq!(ended(&rig.told()), [(0, Outcome::Unreachable, false)]);
+    assert_eq!(
+        ended(&rig.told()),
+        [(0, AttemptOutcome::Unreachable, false)]
+    );
     let outputs = rig.step(
         2,
         Input::ListFailed,
-        vec![Action::Refuse {
+        vec![Action::Reject {
             request: RequestId(0),
             retry_after: None,
         }],
@@ -329,13 +332,13 @@
     rig.step(2, submit(submission("b", 2)), actions);
     rig.told();
     rig.step(3, Input::LinkDown(node(0)), vec![]);
-    assert_eq!(ended(&rig.told()), [(0, Outcome::Lost, false)]);
+    assert_eq!(ended(&rig.told()), [(0, AttemptOutcome::Lost, false)]);
     assert_eq!(rig.core.placed_tasks(), 1);
     // The module would refuse; that cannot be promised, so it goes out as a failure.
     let outputs = rig.step(
         4,
         Input::ListFailed,
-        vec![Action::Refuse {
+        vec![Action::Reject {
             request: RequestId(1),
             retry_after: None,
         }],
@@ -365,7 +368,7 @@
         attempt: 0,
         submission: submission("a", 0),
         ended: None,
-        why: Why::Unknown,
+        why: EndReason::Unknown,
     }];
     rig.step(
         6,
@@ -428,7 +431,7 @@
         attempt: 0,
         submission: submission("a", 0),
         ended,
-        why: Why::Unknown,
+        why: EndReason::Unknown,
     };
     let up = |standing| Input::LinkUp {
         node: node(0),
@@ -478,7 +481,7 @@
             rig.step(7 * SECOND, up(former(life, 0, Some(end))), vec![])
         };
         assert!(outputs.contains(&Output::Finished(JobId(0))), "{outputs:?}");
-        assert_eq!(ended(&rig.told()), [(0, Outcome::Done, true)]);
+        assert_eq!(ended(&rig.told()), [(0, AttemptOutcome::Completed, true)]);
         assert_eq!(rig.core.placed_tasks(), 0);
     }
 }
@@ -496,7 +499,10 @@
     assert!(
         matches!(
             told[..],
-            [Event::Unwanted(RequestId(0)), Event::Standing { .. }]
+            [
+                Event::RequestCancelled(RequestId(0)),
+                Event::RunningTask { .. }
+            ]
         ),
         "{told:?}"
     );
@@ -550,7 +556,7 @@
         attempt: 0,
         submission: submission(key, 2),
         ended,
-        why: Why::Unknown,
+        why: EndReason::Unknown,
     };
     let end = End::Exited {
         status: 4,
@@ -613,20 +619,20 @@
     );
     let told = rig.told();
     let started = told.iter().find_map(|e| match e {
-        Event::MachineList { lines, .. } => lines.first().map(|l| l.started_at),
+        Event::NodeList { entries: lines, .. } => lines.first().map(|l| l.started_at),
         _ => None,
     });
     assert_eq!(started, Some(9 * SECOND));
     // A list that still names the earlier life does not make it warm again.
     let late = Input::List {
-        scope: ListScope::Delta,
+        scope: ListUpdateKind::Incremental,
         generation: 2,
-        lines: vec![line(0, MachineState::Ready)],
+        lines: vec![line(0, NodeStatus::Ready)],
     };
     rig.step(10 * SECOND, late, vec![]);
     let told = rig.told();
     assert!(
-        matches!(&told[..], [Event::MachineList { lines, .. }] if lines[0].started_at == 9 * SECOND),
+        matches!(&told[..], [Event::NodeList { entries: lines, .. }] if lines[0].started_at == 9 * SECOND),
         "{told:?}"
     );
 }
@@ -636,7 +642,7 @@
     let mut rig = Rig::new();
     let actions = vec![rig.bind(0, 0, None)];
     rig.step(0, submit(submission("a", 0)), actions);
-    let outputs = rig.step(1, list(2, vec![line(1, MachineState::Ready)]), vec![]);
+    let outputs = rig.step(1, list(2, vec![line(1, NodeStatus::Ready)]), vec![]);
     assert!(!outputs.contains(&Output::Disconnect(node(0))));
     let outputs = rig.step(2, news(0, 0, 0, NodeNews::Running), vec![]);
     assert_eq!(answers(&outputs), [Answer::Placed(node(0))]);
@@ -733,7 +739,7 @@
         "{told:?}"
     );
     rig.step(10 * SECOND, control(Control::Hold), vec![]);
-    assert!(matches!(rig.told()[..], [Event::Unwanted(_)]));
+    assert!(matches!(rig.told()[..], [Event::RequestCancelled(_)]));
     let outputs = rig.step(20 * SECOND, control(Control::Terminate), vec![]);
     assert_eq!(answers(&outputs), [Answer::Withdrawn]);
     assert_eq!(
@@ -772,7 +778,7 @@
 }
 
 fn inputs(steps: &[Step]) -> Vec<(Micros, Input)> {
-    let all = || (0..4).map(|i| line(i, MachineState::Ready)).collect();
+    let all = || (0..4).map(|i| line(i, NodeStatus::Ready)).collect();
     let mut now = 1;
     let mut inputs = vec![(now, list(1, all()))];
     let mut lives = [1u64; 4];
@@ -808,11 +814,11 @@
                 let what = match what {
                     0 => NodeNews::Accepted,
                     1 | 2 => NodeNews::Running,
-                    3 => NodeNews::Refused(Why::NoCores),
-                    4 => NodeNews::Refused(Why::Busy),
+                    3 => NodeNews::Refused(EndReason::InsufficientCores),
+                    4 => NodeNews::Refused(EndReason::QueueFull),
                     5 => NodeNews::Error,
                     6 => exited(),
-                    _ => NodeNews::Ended(End::GivenUp, Why::Evicted),
+                    _ => NodeNews::Ended(End::GivenUp, EndReason::Evicted),
                 };
                 news(n, request.into(), 0, what)
             }
@@ -828,14 +834,14 @@
             }
             Step::List(bits) => {
                 let state = |i: u16| match bits >> (2 * i) & 3 {
-                    0 => MachineState::Gone,
-                    1 => MachineState::Draining,
-                    _ => MachineState::Ready,
+                    0 => NodeStatus::Gone,
+                    1 => NodeStatus::Draining,
+                    _ => NodeStatus::Ready,
                 };
                 let lines = (0..4).map(|i| line(i, state(i)));
                 list(
                     generation,
-                    lines.filter(|l| l.state != MachineState::Gone).collect(),
+                    lines.filter(|l| l.state != NodeStatus::Gone).collect(),
                 )
             }
             Step::Failed => Input::ListFailed,
@@ -870,7 +876,7 @@
 
 fn settings_and_limits() -> (Settings, Limits) {
     let settings = Settings {
-        list_on_request: false,
+        is_list_polled: false,
         ..Settings::sample()
     };
     let limits = Limits {
@@ -944,7 +950,7 @@
         let mut core = Core::new(Scheduler::new(settings.clone(), 7), limits);
         // What each task's last offer came to, as the wire shows it: true once it may have run.
         let mut may_run: BTreeMap<TaskKey, bool> = BTreeMap::new();
-        let mut asks: BTreeMap<(RequestId, MachineId), TaskKey> = BTreeMap::new();
+        let mut asks: BTreeMap<(RequestId, NodeId), TaskKey> = BTreeMap::new();
         for (now, input) in inputs(&steps) {
             if let Input::News { node, request, attempt: 0, news, .. } = &input
                 && let Some(task) = asks.get(&(*request, *node))
@@ -963,7 +969,7 @@
             for output in core.handle(now, input.clone()) {
                 if let Output::Offer { node, request, job, .. } = output {
                     let Some(j) = core.jobs().get(job) else { continue };
-                    if settings.classes.get(usize::from(j.submission.class)).is_some_and(|c| c.repeat == Repeat::Unsafe) {
+                    if settings.classes.get(usize::from(j.submission.class)).is_some_and(|c| c.idempotency == Idempotency::NonIdempotent) {
                         let task = j.submission.task;
                         prop_assert!(may_run.get(&task) != Some(&true), "{task:?} is offered again");
                         may_run.insert(task, true);
@@ -1011,7 +1017,7 @@
         attempt: 0,
         submission: submission("old", 2),
         ended: None,
-        why: Why::Unknown,
+        why: EndReason::Unknown,
     };
     let up = Input::LinkUp {
         node: node(0),
@@ -1062,7 +1068,7 @@
     let third = rig.bind(0, 0, None);
     let outputs = rig.step(
         3 * SECOND,
-        news(1, 0, 1, NodeNews::Refused(Why::NotHere)),
+        news(1, 0, 1, NodeNews::Refused(EndReason::Ineligible)),
         vec![third],
     );
     assert_eq!(answers(&outputs), [Answer::Placed(node(0))]);
@@ -1121,7 +1127,7 @@
             ..limits()
         },
     );
-    core.handle(0, list(1, vec![line(0, MachineState::Ready)]));
+    core.handle(0, list(1, vec![line(0, NodeStatus::Ready)]));
     let again = |key: &str| {
         submit(Submission {
             again: true,
--- a/crates/core/tests/evidence.rs
+++ b/crates/core/tests/evidence.rs
@@ -1,13 +1,13 @@
 //! What is known of copies: by hand, and by property against nodes whose truth the test knows.
 
-use peppercove::{MachineId, Micros, RequestId, ServiceId, TaskKey};
+use peppercove::{Micros, NodeId, RequestId, ServiceId, TaskKey};
 use peppercove_core::End;
 use peppercove_core::evidence::{Copy, Due, Entry, Evidence, Of, Past, Stray, Trace, Verdict};
 use proptest::prelude::*;
 
 const SECOND: Micros = 1_000_000;
 const TASK: TaskKey = TaskKey(5);
-const NODE: MachineId = MachineId(1);
+const NODE: NodeId = NodeId(1);
 const EXITED: End = End::Exited {
     status: 0,
     wall: 1,
@@ -19,7 +19,7 @@
     Copy {
         life,
         at: Trace {
-            node: MachineId(node),
+            node: NodeId(node),
             request: RequestId(request),
             attempt: 0,
         },
@@ -81,7 +81,7 @@
         (8, true, false, Verdict::Never),
     ] {
         let (mut evidence, sent) = doubtful();
-        evidence.greeted(0, MachineId(9), 7, true, &[]);
+        evidence.greeted(0, NodeId(9), 7, true, &[]);
         assert_eq!(
             evidence.ask(TASK, true),
             Verdict::Later(3 * SECOND),
@@ -212,17 +212,14 @@
 fn the_next_life_knows_what_was_written_down() {
     let (mut evidence, sent) = doubtful();
     evidence.sent(copy(1, 2, 3), 7, of(6));
-    evidence.over(0, copy(1, 2, 3), Past::Ended(MachineId(2), EXITED));
+    evidence.over(0, copy(1, 2, 3), Past::Ended(NodeId(2), EXITED));
     evidence.sent(copy(1, 2, 4), 7, of(8));
     evidence.closed(copy(1, 2, 4));
     for entries in [evidence.take_journal(), evidence.snapshot()] {
         let mut next = empty();
         next.recover(0, &entries);
         assert_eq!(next.ask(TASK, true), Verdict::Later(3 * SECOND));
-        assert_eq!(
-            next.ask(TaskKey(6), true),
-            Verdict::Ran(MachineId(2), EXITED)
-        );
+        assert_eq!(next.ask(TaskKey(6), true), Verdict::Ran(NodeId(2), EXITED));
         assert_eq!(next.ask(TaskKey(8), true), Verdict::Free);
         assert_eq!(next.open().count(), 1);
         assert!(next.is_open(sent) && next.take_journal().is_empty());
@@ -339,7 +336,7 @@
                             Truth::Nothing => {}
                         }
                     }
-                    evidence.greeted(now, MachineId(node), lives[node as usize], true, &held);
+                    evidence.greeted(now, NodeId(node), lives[node as usize], true, &held);
                 }
                 Step::Restarts(node) => {
                     lives[node as usize] += 1;
@@ -362,8 +359,8 @@
                     evidence.recover(now, &disk);
                     linked = [false; 2];
                 }
-                Step::Gone(node) => { evidence.gone(now, MachineId(node)); }
-                Step::Back(node) => { evidence.back(MachineId(node)); }
+                Step::Gone(node) => { evidence.gone(now, NodeId(node)); }
+                Step::Back(node) => { evidence.back(NodeId(node)); }
                 Step::Wait(seconds) => {
                     // Less than the time for which what ran is remembered, all in all.
                     now = (now + seconds * SECOND).min(59 * SECOND);
--- a/crates/day/src/cluster.rs
+++ b/crates/day/src/cluster.rs
@@ -106,15 +106,15 @@
 
 /// The `i`-th node of a small cluster with these settings.
 pub fn spec(config: &Config, i: usize) -> Spec {
-    let kind = i % config.module.kinds.len();
+    let kind = i % config.module.node_kinds.len();
     Spec {
         kind: kind as u8,
         rack: (i % 4) as u16,
-        cores: config.module.kinds[kind].cores,
-        memory: config.module.kinds[kind].memory,
-        accepts_cores: config.module.accepts_cores,
-        accepts_memory: config.module.accepts_memory,
-        preempts: config.module.preempts,
+        cores: config.module.node_kinds[kind].cores,
+        memory: config.module.node_kinds[kind].memory,
+        accepts_cores: config.module.cores_overcommit,
+        accepts_memory: config.module.memory_overcommit,
+        preempts: config.module.allows_preemption,
         ..Spec::small(format!("node-{i}"))
     }
 }
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::{Owners, misbehave};
 use crate::tap::{Book, ClassFacts, Line, Tap};
-use peppercove::Repeat;
+use peppercove::Idempotency;
 use peppercove_audit::{Event, Seen};
 use peppercove_config::Config;
 use peppercove_controller::{Controller, StartError};
@@ -111,14 +111,14 @@
     fn new(file: PathBuf, settings: PathBuf, script: &Script, config: &Config) -> Program {
         let text = |path: &Option<PathBuf>| path.as_ref().map(|p| p.display().to_string());
         let m = &config.module;
-        let confirms = match m.confirms {
-            peppercove::Confirms::Accepted => "accepted",
-            peppercove::Confirms::Running => "running",
+        let confirms = match m.placement_ack {
+            peppercove::PlacementAck::Accepted => "accepted",
+            peppercove::PlacementAck::Running => "running",
         };
         let values = [
             ("controller/name", Some(config.name.clone())),
             ("controller/clients", Some("127.0.0.1:0".into())),
-            ("controller/number", Some(m.own_number.to_string())),
+            ("controller/number", Some(m.own_index.to_string())),
             ("controller/of", Some(script.controllers.to_string())),
             ("controller/seed", config.seed.map(|s| s.to_string())),
             ("controller/journal", text(&config.journal)),
@@ -128,8 +128,8 @@
                 Some(config.listen.node_list.to_string()),
             ),
             ("nodes/confirms", Some(confirms.into())),
-            ("nodes/preempts", Some(m.preempts.to_string())),
-            ("nodes/probes", Some(m.probes.to_string())),
+            ("nodes/preempts", Some(m.allows_preemption.to_string())),
+            ("nodes/probes", Some(m.can_probe.to_string())),
         ];
         let value = |(path, value): (&str, Option<String>)| value.map(|v| format!("{path}={v}"));
         Program {
@@ -228,7 +228,7 @@
             config.listen.clients = ([127, 0, 0, 1], 0).into();
             config.listen.node_list = list_tap.address().into();
             config.module.schedulers = script.controllers as u32;
-            config.module.own_number = i as u32;
+            config.module.own_index = i as u32;
             config.journal = script.journal.then(|| disk.path().join(&config.name));
             config.record = how
                 .records
@@ -301,15 +301,15 @@
 }
 
 fn facts(config: &Config) -> ClassFacts {
-    let repeat = |r: Repeat| match r {
-        Repeat::Safe => node::Repeat::Safe,
-        Repeat::Keyed { .. } => node::Repeat::Keyed,
-        Repeat::Unsafe => node::Repeat::Unsafe,
+    let repeat = |r: Idempotency| match r {
+        Idempotency::Idempotent => node::Repeat::Safe,
+        Idempotency::Keyed { .. } => node::Repeat::Keyed,
+        Idempotency::NonIdempotent => node::Repeat::Unsafe,
     };
     let classes = config.classes.iter().zip(&config.module.classes);
     ClassFacts {
         classes: classes
-            .map(|(n, c)| (n.clone(), (c.deadline, Some(repeat(c.repeat)))))
+            .map(|(n, c)| (n.clone(), (c.deadline, Some(repeat(c.idempotency)))))
             .collect(),
         default: config.classes[usize::from(config.default_class)].clone(),
     }
@@ -323,8 +323,8 @@
     let begin = Instant::now();
     let end = begin + script.length;
     let addresses: Vec<SocketAddrV4> = stage.seats.iter().map(|s| s.tap.address()).collect();
-    let safe = |c: &peppercove::Class| ClassFact {
-        safe: c.repeat == Repeat::Safe,
+    let safe = |c: &peppercove::TaskClass| ClassFact {
+        safe: c.idempotency == Idempotency::Idempotent,
         deadline: Duration::from_micros(c.deadline),
     };
     let classes = script
@@ -333,7 +333,7 @@
         .iter()
         .zip(&script.config.module.classes);
     let classes: BTreeMap<String, ClassFact> = classes.map(|(n, c)| (n.clone(), safe(c))).collect();
-    let settle = Duration::from_micros(script.config.module.settle);
+    let settle = Duration::from_micros(script.config.module.ambiguous_retry_delay);
     let owners = Rc::new(Owners::open(
         &addresses,
         &classes,
--- a/crates/day/src/trouble.rs
+++ b/crates/day/src/trouble.rs
@@ -8,8 +8,8 @@
 
 use peppercove::wire::{Decoder, Incoming};
 use peppercove::{
-    Confirms, Event, Group, ListScope, MachineId, MachineState, Micros, Outcome, Repeat,
-    ReportCounts, Request, RequestId, Settings, Spread, TaskKey,
+    AttemptOutcome, DedupScope, Event, Idempotency, ListUpdateKind, LoadBasis, Micros, NodeId,
+    NodeStatus, PlacementAck, PlacementRequest, RequestId, Settings, TaskKey, TopologySpread,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -129,7 +129,7 @@
 struct Job {
     at: Micros,
     controller: u64,
-    ask: Request,
+    ask: PlacementRequest,
     life: Option<Micros>,
 }
 
@@ -140,14 +140,14 @@
     begin: Option<Micros>,
     settings: Option<Settings>,
     controllers: BTreeSet<u64>,
-    nodes: BTreeMap<MachineId, (u8, u16, u8)>,
+    nodes: BTreeMap<NodeId, (u8, u16, u8)>,
     jobs: Vec<Job>,
     by_task: BTreeMap<TaskKey, usize>,
     asks: BTreeMap<(u16, RequestId), (usize, Option<Micros>)>,
-    signs: BTreeMap<MachineId, Vec<(Micros, Sign)>>,
-    started: BTreeMap<MachineId, Micros>,
-    changes: Vec<(Micros, &'static str, MachineId)>,
-    state: BTreeMap<MachineId, MachineState>,
+    signs: BTreeMap<NodeId, Vec<(Micros, Sign)>>,
+    started: BTreeMap<NodeId, Micros>,
+    changes: Vec<(Micros, &'static str, NodeId)>,
+    state: BTreeMap<NodeId, NodeStatus>,
     list_failed: Vec<Micros>,
     killed: Vec<(Micros, u64)>,
     back: Vec<(Micros, u64)>,
@@ -182,11 +182,13 @@
     fn event(&mut self, at: Micros, instance: u16, controller: u64, event: Event) {
         match event {
             Event::Place(ask) => self.job(at, instance, controller, ask, None),
-            Event::Standing { request, .. } => {
+            Event::RunningTask { request, .. } => {
                 self.job(at, instance, controller, request, Some(at))
             }
             Event::Placed {
-                request, machine, ..
+                request,
+                node: machine,
+                ..
             } => {
                 if let Some((_, placed)) = self.asks.get_mut(&(instance, request)) {
                     *placed = Some(at);
@@ -196,9 +198,9 @@
                     .or_default()
                     .push((at, Sign::Answered));
             }
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
-                machine,
+                node: machine,
                 outcome,
                 ..
             } => {
@@ -207,51 +209,55 @@
                     .and_then(|(i, _)| self.jobs.get(i))
                     .map_or(0, |j| j.ask.class);
                 let sign = match outcome {
-                    Outcome::TimedOut => Some(Sign::Silent),
-                    Outcome::Error => Some(Sign::Error(class)),
-                    Outcome::Done | Outcome::Refused => Some(Sign::Answered),
+                    AttemptOutcome::TimedOut => Some(Sign::Silent),
+                    AttemptOutcome::Error => Some(Sign::Error(class)),
+                    AttemptOutcome::Completed | AttemptOutcome::Rejected => Some(Sign::Answered),
                     _ => None,
                 };
                 self.signs
                     .entry(machine)
                     .or_default()
                     .extend(sign.map(|s| (at, s)));
-                if let (Some((job, Some(placed))), Outcome::Done) = (ask, outcome)
+                if let (Some((job, Some(placed))), AttemptOutcome::Completed) = (ask, outcome)
                     && let Some(job) = self.jobs.get_mut(job)
                 {
                     job.life = Some(at.saturating_sub(placed));
                 }
             }
-            Event::MachineList {
-                scope: ListScope::Failed,
+            Event::NodeList {
+                kind: ListUpdateKind::Failed,
                 ..
             } => self.list_failed.push(at),
-            Event::MachineList { scope, lines, .. } => {
+            Event::NodeList {
+                kind: scope,
+                entries: lines,
+                ..
+            } => {
                 for line in lines {
-                    let new = !self.nodes.contains_key(&line.machine);
+                    let new = !self.nodes.contains_key(&line.node);
                     self.nodes
-                        .entry(line.machine)
+                        .entry(line.node)
                         .or_insert((line.kind, line.rack, line.zone));
-                    let was = self.started.insert(line.machine, line.started_at);
-                    let state = self.state.insert(line.machine, line.state);
+                    let was = self.started.insert(line.node, line.started_at);
+                    let state = self.state.insert(line.node, line.state);
                     // The cached list only tells what was; a machine that comes later starts cold.
-                    let cached = scope == ListScope::Cached;
+                    let cached = scope == ListUpdateKind::Cached;
                     if cached || state == Some(line.state) && was == Some(line.started_at) {
                         continue;
                     }
                     let kind = match line.state {
-                        MachineState::Draining => "drains",
-                        MachineState::Gone => "dies",
-                        MachineState::Ready if !new && was != Some(line.started_at) => "restarts",
-                        MachineState::Ready => continue,
+                        NodeStatus::Draining => "drains",
+                        NodeStatus::Gone => "dies",
+                        NodeStatus::Ready if !new && was != Some(line.started_at) => "restarts",
+                        NodeStatus::Ready => continue,
                     };
                     // Every controller is told, each at its time: the first one counts.
                     let known = self
                         .changes
                         .iter()
-                        .any(|(t, k, m)| *k == kind && *m == line.machine && at - t < 10_000_000);
+                        .any(|(t, k, m)| *k == kind && *m == line.node && at - t < 10_000_000);
                     if !known {
-                        self.changes.push((at, kind, line.machine));
+                        self.changes.push((at, kind, line.node));
                     }
                 }
             }
@@ -264,10 +270,10 @@
         at: Micros,
         instance: u16,
         controller: u64,
-        ask: Request,
+        ask: PlacementRequest,
         placed: Option<Micros>,
     ) {
-        let key = (instance, ask.request);
+        let key = (instance, ask.id);
         // A task that comes again is asked for again by the day's own owners.
         let job = match self.by_task.get(&ask.task) {
             Some(job) => *job,
@@ -293,7 +299,7 @@
         if self.nodes.is_empty() {
             return Err(ImportError::Empty("nodes"));
         }
-        let names: BTreeMap<MachineId, String> = self
+        let names: BTreeMap<NodeId, String> = self
             .nodes
             .keys()
             .enumerate()
@@ -316,7 +322,7 @@
         let _ = writeln!(
             out,
             "<day name=\"{name}\" length=\"{length}us\" after=\"{}us\" settings=\"{name}-settings.xml\">",
-            longest * 2 + settings.settle
+            longest * 2 + settings.ambiguous_retry_delay
         );
         let _ = writeln!(
             out,
@@ -336,7 +342,7 @@
         let mut jobs = 0;
         for job in self.jobs.iter().filter(|j| j.at <= length) {
             jobs += 1;
-            let life = job.life.or(job.ask.life_hint).unwrap_or(usual);
+            let life = job.life.or(job.ask.expected_duration).unwrap_or(usual);
             let _ = writeln!(
                 out,
                 "  <job at=\"{}us\" class=\"c{}\" service=\"s{:x}\" life=\"{life}us\" cores=\"{}\" memory=\"{}\" \
@@ -368,7 +374,7 @@
         })
     }
 
-    fn faults(&self, length: Micros, names: &BTreeMap<MachineId, String>) -> Vec<String> {
+    fn faults(&self, length: Micros, names: &BTreeMap<NodeId, String>) -> Vec<String> {
         let mut faults: Vec<(Micros, String)> = Vec::new();
         let mut add = |at: Micros, lasts: Micros, kind: &str, whom: String| {
             if at < length {
@@ -464,7 +470,7 @@
 /// The settings of the bench as a settings file.
 fn settings_xml(s: &Settings) -> String {
     let mut out = String::from("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<peppercove>\n");
-    let mode = if s.list_on_request {
+    let mode = if s.is_list_polled {
         "on-request"
     } else {
         "pushed"
@@ -476,31 +482,31 @@
     let _ = writeln!(
         out,
         "  <node-list address=\"127.0.0.1:7001\" mode=\"{mode}\" ask-every=\"{}us\"/>",
-        s.ask_every
+        s.poll_interval
     );
     let _ = writeln!(
         out,
         "  <rules drain-grace=\"{}us\" cold-from=\"{}\" warm-within=\"{}us\" fall-multiple=\"{}\" fall-window=\"{}us\" \
          cold-bears=\"{}\" settle=\"{}us\"/>",
         s.drain_grace,
-        s.cold_from,
-        s.warm_within,
-        s.fall_multiple,
-        s.fall_window,
-        s.cold_bears,
-        s.settle
+        s.slow_start_min_share,
+        s.slow_start_window,
+        s.overload_multiple,
+        s.overload_window,
+        s.slow_start_budget,
+        s.ambiguous_retry_delay
     );
     let _ = writeln!(
         out,
         "  <attempts most=\"{}\" may-withdraw=\"{}\"/>",
-        s.max_attempts, s.may_withdraw
+        s.max_attempts, s.can_cancel_attempts
     );
-    let confirms = if s.confirms == Confirms::Accepted {
+    let confirms = if s.placement_ack == PlacementAck::Accepted {
         "accepted"
     } else {
         "running"
     };
-    let counts = if s.report_counts == ReportCounts::Used {
+    let counts = if s.load_basis == LoadBasis::Used {
         "used"
     } else {
         "asked"
@@ -509,9 +515,9 @@
         out,
         "  <nodes accepts-cores=\"{}\" accepts-memory=\"{}\" confirms=\"{confirms}\" preempts=\"{}\" \
          report-counts=\"{counts}\" probes=\"{}\">",
-        s.accepts_cores, s.accepts_memory, s.preempts, s.probes
+        s.cores_overcommit, s.memory_overcommit, s.allows_preemption, s.can_probe
     );
-    for (i, kind) in s.kinds.iter().enumerate() {
+    for (i, kind) in s.node_kinds.iter().enumerate() {
         let _ = writeln!(
             out,
             "    <kind name=\"k{i}\" cores=\"{}\" memory=\"{}\"/>",
@@ -525,26 +531,29 @@
         s.mean_cores, s.mean_memory
     );
     for (i, c) in s.classes.iter().enumerate() {
-        let repeat = match c.repeat {
-            Repeat::Safe => "repeat=\"safe\"".to_owned(),
-            Repeat::Unsafe => "repeat=\"unsafe\"".to_owned(),
-            Repeat::Keyed { group, window } => {
+        let repeat = match c.idempotency {
+            Idempotency::Idempotent => "repeat=\"safe\"".to_owned(),
+            Idempotency::NonIdempotent => "repeat=\"unsafe\"".to_owned(),
+            Idempotency::Keyed {
+                scope: group,
+                window,
+            } => {
                 let group = match group {
-                    Group::All => "all",
-                    Group::Zone => "zone",
-                    Group::Rack => "rack",
+                    DedupScope::All => "all",
+                    DedupScope::Zone => "zone",
+                    DedupScope::Rack => "rack",
                 };
                 format!("repeat=\"keyed\" group=\"{group}\" window=\"{window}us\"")
             }
         };
-        let spread = match c.spread {
-            Spread::Off => "off",
-            Spread::Machine => "node",
-            Spread::Rack => "rack",
-            Spread::Zone => "zone",
+        let spread = match c.topology_spread {
+            TopologySpread::Off => "off",
+            TopologySpread::Node => "node",
+            TopologySpread::Rack => "rack",
+            TopologySpread::Zone => "zone",
         };
         let kind = c
-            .kind
+            .node_kind
             .map(|k| format!(" kind=\"k{k}\""))
             .unwrap_or_default();
         let _ = writeln!(
@@ -552,15 +561,15 @@
             "    <class name=\"c{i}\" aim=\"{}us\" deadline=\"{}us\" {repeat} worth=\"{}\" late-worth=\"{}\" \
              start-seconds=\"{}\" calm=\"{}\" fade=\"{}\" priority=\"{}\"{kind} spread=\"{spread}\" most=\"{}\" \
              cores=\"{}\" memory=\"{}\"/>",
-            c.aim,
+            c.latency_objective,
             c.deadline,
-            c.worth,
-            c.late_worth,
+            c.weight,
+            c.late_weight,
             c.start_seconds,
-            c.calm.min(1.0),
-            c.fade,
+            c.saturation_start.min(1.0),
+            c.saturation_span,
             c.priority,
-            c.most.max(1),
+            c.max_per_domain.max(1),
             s.mean_cores,
             s.mean_memory
         );
@@ -570,7 +579,7 @@
         let _ = writeln!(
             out,
             "  <tenants over-share-worth=\"{}\">",
-            s.over_share_worth
+            s.over_quota_weight
         );
         for (i, tenant) in s.tenants.iter().enumerate() {
             let quota = tenant
@@ -584,7 +593,7 @@
     let _ = writeln!(
         out,
         "  <prices fleet=\"{}\" move=\"{}\" refusal=\"{}\" probe=\"{}\"/>\n</peppercove>",
-        s.fleet_price, s.move_price, s.refusal_price, s.probe_price
+        s.fleet_price, s.migration_price, s.rejection_price, s.probe_price
     );
     out
 }
--- a/crates/day/tests/trouble.rs
+++ b/crates/day/tests/trouble.rs
@@ -181,10 +181,10 @@
     std::fs::write(folder.join("made-settings.xml"), &imported.settings).unwrap();
     let script = Script::parse(&imported.day, &folder).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!(script.config.module.cold_bears, 28.0);
+    assert_eq!(script.config.module.slow_start_budget, 28.0);
     assert_eq!(
-        script.config.module.classes[1].repeat,
-        peppercove::Repeat::Unsafe
+        script.config.module.classes[1].idempotency,
+        peppercove::Idempotency::NonIdempotent
     );
     let report = play(&script, 1, &How::default()).unwrap();
     assert!(report.is_clean(), "{:#?}", report.verdict.breaches);
--- a/crates/exchange/src/greeting.rs
+++ b/crates/exchange/src/greeting.rs
@@ -1,7 +1,7 @@
 //! The greeting of a node: what it says of itself, and then all that it holds of this controller.
 
 use crate::nodes::{Heard, heard, past, request_of, submission_of};
-use peppercove::{MachineId, Why};
+use peppercove::{EndReason, NodeId};
 use peppercove_config::Config;
 use peppercove_core::{Input, Standing};
 use peppercove_protocol::node::{FromNode, Party, ToNode};
@@ -35,7 +35,7 @@
 /// A greeting under way on one link.
 #[derive(Debug)]
 pub struct Greeting {
-    node: MachineId,
+    node: NodeId,
     name: String,
     most: usize,
     life: Option<u64>,
@@ -46,7 +46,7 @@
 
 impl Greeting {
     /// A greeting with the node that the list calls `name`; it may hold `most` tasks of this controller.
-    pub fn new(node: MachineId, name: &str, most: usize) -> Greeting {
+    pub fn new(node: NodeId, name: &str, most: usize) -> Greeting {
         Greeting {
             node,
             name: name.into(),
@@ -108,7 +108,7 @@
                 },
             ) => {
                 let (request, submission) = (request_of(attempt), submission_of(work));
-                let (ended, why) = ended.map_or((None, Why::Unknown), past);
+                let (ended, why) = ended.map_or((None, EndReason::Unknown), past);
                 let attempt = attempt.number;
                 self.standing.push(Standing {
                     life,
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -1,6 +1,6 @@
 //! News of the node list.
 
-use peppercove::{ListScope, MachineState};
+use peppercove::{ListUpdateKind, NodeStatus};
 use peppercove_core::Input;
 use peppercove_core::nodes::NodeLine;
 use peppercove_protocol::list::{FromList, Line, NodeState, Scope};
@@ -16,8 +16,8 @@
         return None;
     };
     let scope = match scope {
-        Scope::Delta => ListScope::Delta,
-        Scope::Full => ListScope::Full,
+        Scope::Delta => ListUpdateKind::Incremental,
+        Scope::Full => ListUpdateKind::Full,
     };
     Some(Input::List {
         scope,
@@ -32,9 +32,9 @@
         address: line.address,
         name: line.name,
         state: match line.state {
-            NodeState::Ready => MachineState::Ready,
-            NodeState::Draining => MachineState::Draining,
-            NodeState::Gone => MachineState::Gone,
+            NodeState::Ready => NodeStatus::Ready,
+            NodeState::Draining => NodeStatus::Draining,
+            NodeState::Gone => NodeStatus::Gone,
         },
         kind: line.kind,
         rack: line.rack,
--- a/crates/exchange/src/nodes.rs
+++ b/crates/exchange/src/nodes.rs
@@ -1,6 +1,6 @@
 //! Frames of nodes to inputs, outputs to frames of nodes.
 
-use peppercove::{Load, MachineId, Note, RequestId, Why};
+use peppercove::{EndReason, LoadReport, NodeId, RequestId, TaskUpdate};
 use peppercove_config::Config;
 use peppercove_core::{Control, End, Input, Job, Limits, NodeNews, Output, Submission};
 use peppercove_protocol::node::{
@@ -14,14 +14,14 @@
     Limits {
         life,
         classes: config.module.classes.clone(),
-        confirms: config.module.confirms,
+        confirms: config.module.placement_ack,
         max_attempts: config.module.max_attempts,
         most_open: config.limits.open_asks,
         most_jobs: config.limits.jobs,
         most_session_jobs: config.limits.session_jobs,
         answer_reserve: micros(config.limits.answer_reserve),
         retry_after: micros(config.limits.retry_after),
-        settle: config.module.settle,
+        settle: config.module.ambiguous_retry_delay,
         fate_memory: micros(config.limits.fate_memory),
         most_fates: config.limits.doubtful,
         lost_after: micros(config.limits.lost_after),
@@ -32,9 +32,9 @@
 /// A task as nodes know it.
 pub fn work_of(config: &Config, s: &Submission) -> Work {
     let class = config.module.classes.get(usize::from(s.class));
-    let repeat = match class.map(|c| c.repeat) {
-        Some(peppercove::Repeat::Safe) => node::Repeat::Safe,
-        Some(peppercove::Repeat::Keyed { .. }) => node::Repeat::Keyed,
+    let repeat = match class.map(|c| c.idempotency) {
+        Some(peppercove::Idempotency::Idempotent) => node::Repeat::Safe,
+        Some(peppercove::Idempotency::Keyed { .. }) => node::Repeat::Keyed,
         _ => node::Repeat::Unsafe,
     };
     let program = Program {
@@ -99,7 +99,7 @@
     nonce: u64,
     output: &Output,
     job: impl FnOnce(peppercove_core::JobId) -> Option<&'a Job>,
-) -> Option<(MachineId, ToNode)> {
+) -> Option<(NodeId, ToNode)> {
     let id = |request: RequestId, number: u16| AttemptId {
         request: request.0,
         number,
@@ -192,7 +192,7 @@
 }
 
 /// Reads a message of a node that has greeted.
-pub fn heard(node: MachineId, message: FromNode) -> Heard {
+pub fn heard(node: NodeId, message: FromNode) -> Heard {
     let mut reply = None;
     let (attempt, news, load) = match message {
         FromNode::Accepted { attempt, load } => (attempt, NodeNews::Accepted, load),
@@ -230,26 +230,26 @@
     Heard { input, reply }
 }
 
-fn loaded(report: Report) -> Load {
+fn loaded(report: Report) -> LoadReport {
     let finite = |x: Option<f64>| x.filter(|x| x.is_finite());
-    Load {
+    LoadReport {
         free_cores: finite(report.free_cores),
         free_memory: finite(report.free_memory),
-        busy: finite(report.busy),
-        waiting: finite(report.waiting),
+        cpu_utilization: finite(report.busy),
+        queue_depth: finite(report.waiting),
     }
 }
 
-fn why(reason: Reason) -> Why {
+fn why(reason: Reason) -> EndReason {
     match reason {
-        Reason::Unknown => Why::Unknown,
-        Reason::NoCores => Why::NoCores,
-        Reason::NoMemory => Why::NoMemory,
-        Reason::Busy => Why::Busy,
-        Reason::NotHere => Why::NotHere,
-        Reason::Evicted => Why::Evicted,
-        Reason::PushedOut => Why::PushedOut,
-        Reason::SentAway => Why::SentAway,
+        Reason::Unknown => EndReason::Unknown,
+        Reason::NoCores => EndReason::InsufficientCores,
+        Reason::NoMemory => EndReason::InsufficientMemory,
+        Reason::Busy => EndReason::QueueFull,
+        Reason::NotHere => EndReason::Ineligible,
+        Reason::Evicted => EndReason::Evicted,
+        Reason::PushedOut => EndReason::Preempted,
+        Reason::SentAway => EndReason::Drained,
     }
 }
 
@@ -262,7 +262,7 @@
                 cpu: u.cpu,
                 memory: u.memory,
             },
-            Why::Unknown,
+            EndReason::Unknown,
         ),
         node::End::Signalled { signal, usage: u } => NodeNews::Ended(
             End::Signalled {
@@ -271,25 +271,25 @@
                 cpu: u.cpu,
                 memory: u.memory,
             },
-            Why::Unknown,
+            EndReason::Unknown,
         ),
         node::End::Error => NodeNews::Error,
         node::End::GivenUp(reason) => NodeNews::Ended(End::GivenUp, why(reason)),
     }
 }
 
-pub(crate) fn past(end: node::End) -> (Option<End>, Why) {
+pub(crate) fn past(end: node::End) -> (Option<End>, EndReason) {
     match ended(end) {
         NodeNews::Ended(end, why) => (Some(end), why),
-        _ => (Some(End::Lost), Why::Unknown),
+        _ => (Some(End::Lost), EndReason::Unknown),
     }
 }
 
-fn noted(note: TaskNote) -> Note {
+fn noted(note: TaskNote) -> TaskUpdate {
     match note {
-        TaskNote::CoresUsed(x) => Note::CoresUsed(x),
-        TaskNote::MemoryUsed(x) => Note::MemoryUsed(x),
-        TaskNote::Served(x) => Note::Served(x),
-        TaskNote::NodeMemory(x) => Note::MachineMemory(x),
+        TaskNote::CoresUsed(x) => TaskUpdate::CoresUsed(x),
+        TaskNote::MemoryUsed(x) => TaskUpdate::MemoryUsed(x),
+        TaskNote::Served(x) => TaskUpdate::ServedShare(x),
+        TaskNote::NodeMemory(x) => TaskUpdate::NodeMemoryShare(x),
     }
 }
--- a/crates/fleet/src/places.rs
+++ b/crates/fleet/src/places.rs
@@ -1,7 +1,7 @@
 //! The machines that the list names, counted by zone and kind, and how many slots put one into a view there.
 
 use crate::slots::COLD_SLOTS;
-use peppercove::{MachineLine, MachineState};
+use peppercove::{NodeEntry, NodeStatus};
 use std::collections::BTreeMap;
 
 /// Machines of each kind in each zone that a view has in the mean, where there are so many: a keyed task whose group is its
@@ -11,7 +11,7 @@
 /// Zone and kind.
 pub(crate) type Place = (u8, u8);
 
-pub(crate) fn place(line: &MachineLine) -> Place {
+pub(crate) fn place(line: &NodeEntry) -> Place {
     (line.zone, line.kind)
 }
 
@@ -54,8 +54,8 @@
     }
 
     /// A machine's line is taken in place of another; none where there was none, or is none any more.
-    pub(crate) fn change(&mut self, before: Option<&MachineLine>, after: Option<&MachineLine>) {
-        let ready = |line: &&MachineLine| line.state == MachineState::Ready;
+    pub(crate) fn change(&mut self, before: Option<&NodeEntry>, after: Option<&NodeEntry>) {
+        let ready = |line: &&NodeEntry| line.state == NodeStatus::Ready;
         if let Some(line) = before.filter(ready)
             && let Some(count) = self.ready.get_mut(&place(line))
         {
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -14,8 +14,8 @@
 use crate::places::{LEAST_EACH, Places, place};
 use crate::slots::{cold_share, owner};
 use peppercove::{
-    Action, Event, Group, ListScope, MachineId, MachineLine, MachineState, Micros, Outcome, Repeat,
-    RequestId, Scheduler, ServiceId, Settings, home_rank,
+    Action, AttemptOutcome, DedupScope, Event, Idempotency, ListUpdateKind, Micros, NodeEntry,
+    NodeId, NodeStatus, RequestId, Scheduler, ServiceId, Settings, preferred_node_rank,
 };
 use peppercove_core::Decide;
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 struct Homes {
     kind: Option<u8>,
-    best: Vec<(f64, MachineId)>,
+    best: Vec<(f64, NodeId)>,
     used_at: Micros,
     in_view: bool,
 }
@@ -46,7 +46,7 @@
 /// A machine as the list names it.
 #[derive(Debug)]
 struct Known {
-    line: MachineLine,
+    line: NodeEntry,
     /// One of its first slots is this scheduler's.
     own: bool,
     /// The module has been told the room that this line names.
@@ -78,27 +78,27 @@
     /// Until then others may not know yet that the views are bounded, or are no more.
     unsettled_until: Micros,
     /// As the list names them; a view that is not bounded is all of them.
-    fleet: BTreeMap<MachineId, Known>,
+    fleet: BTreeMap<NodeId, Known>,
     places: Places,
     /// What the module has been told of as it is.
-    shown: BTreeSet<MachineId>,
+    shown: BTreeSet<NodeId>,
     homes: BTreeMap<ServiceId, Homes>,
     /// Homes in view, by how many services have them there.
-    home_of: BTreeMap<MachineId, u32>,
+    home_of: BTreeMap<NodeId, u32>,
     /// Homes that the last list took out of view, to be told.
-    left_homes: Vec<MachineId>,
+    left_homes: Vec<NodeId>,
     /// Racks that are in view whole, until when.
     racks: BTreeMap<Rack, Micros>,
     /// The part of the rest that is in view, and where the next one begins.
-    more: BTreeSet<MachineId>,
-    next_more: MachineId,
+    more: BTreeSet<NodeId>,
+    next_more: NodeId,
     more_at: Micros,
     open: BTreeMap<RequestId, Open>,
     /// Tasks that were handed over before the list named their machine. Danger: their place is not known, so each counts
     /// at all places, and the module is to be told the place even where the machine is outside the view.
-    unplaced: BTreeMap<MachineId, BTreeSet<RequestId>>,
+    unplaced: BTreeMap<NodeId, BTreeSet<RequestId>>,
     /// Machines outside the view where tasks were handed over, whose places the module is not told yet.
-    outside: BTreeSet<MachineId>,
+    outside: BTreeSet<NodeId>,
 }
 
 impl<D: Decide> View<D> {
@@ -130,7 +130,7 @@
             left_homes: Vec::new(),
             racks: BTreeMap::new(),
             more: BTreeSet::new(),
-            next_more: MachineId(0),
+            next_more: NodeId(0),
             more_at: 0,
             open: BTreeMap::new(),
             unplaced: BTreeMap::new(),
@@ -158,7 +158,7 @@
     }
 
     /// Whether the module works with a machine.
-    pub fn shows(&self, machine: MachineId) -> bool {
+    pub fn shows(&self, machine: NodeId) -> bool {
         if self.bounded {
             self.shown.contains(&machine)
         } else {
@@ -189,28 +189,25 @@
     fn is_in_view(&self, known: &Known) -> bool {
         let line = &known.line;
         known.own
-            || self.home_of.contains_key(&line.machine)
-            || self.more.contains(&line.machine)
+            || self.home_of.contains_key(&line.node)
+            || self.more.contains(&line.node)
             || self.racks.contains_key(&(line.zone, line.rack))
     }
 
     /// One of the first slots of the machine is this scheduler's.
-    fn is_own(&self, line: &MachineLine) -> bool {
-        let (own, all) = (self.settings.own_number, self.settings.schedulers);
+    fn is_own(&self, line: &NodeEntry) -> bool {
+        let (own, all) = (self.settings.own_index, self.settings.schedulers);
         let slots = self.places.slots(place(line));
-        slots == u32::MAX || (0..slots).any(|slot| owner(line.machine, slot, all) == own)
+        slots == u32::MAX || (0..slots).any(|slot| owner(line.node, slot, all) == own)
     }
 
     /// The line as the module is told it. Danger: the list named the room at its own time; told again later, it would
     /// erase what the machine itself has said since. Not told at all, a machine that comes into view would count as full
     /// as the mean of those in view, and where these are full nothing would go to the room outside.
-    fn told(&self, line: &MachineLine, fresh: bool) -> MachineLine {
-        let (own, all) = (self.settings.own_number, self.settings.schedulers);
-        let bears = self.settings.cold_bears.max(0.0) as u64;
-        let split = || {
-            self.bounded
-                .then(|| cold_share(line.machine, own, all, bears))
-        };
+    fn told(&self, line: &NodeEntry, fresh: bool) -> NodeEntry {
+        let (own, all) = (self.settings.own_index, self.settings.schedulers);
+        let bears = self.settings.slow_start_budget.max(0.0) as u64;
+        let split = || self.bounded.then(|| cold_share(line.node, own, all, bears));
         let cold_share = if self.now < self.unsettled_until {
             Some(0)
         } else {
@@ -221,8 +218,8 @@
         } else {
             (None, None)
         };
-        MachineLine {
-            cold_share,
+        NodeEntry {
+            slow_start_share: cold_share,
             free_cores: room.0,
             free_memory: room.1,
             ..line.clone()
@@ -230,9 +227,9 @@
     }
 
     /// The module is to send nothing new there, whatever the list says. Its place stays known.
-    fn gone(line: &MachineLine) -> MachineLine {
-        MachineLine {
-            state: MachineState::Gone,
+    fn gone(line: &NodeEntry) -> NodeEntry {
+        NodeEntry {
+            state: NodeStatus::Gone,
             free_cores: None,
             free_memory: None,
             ..line.clone()
@@ -240,7 +237,7 @@
     }
 
     /// What the module has to be told of these machines so that it works with those in view and no others.
-    fn changes(&mut self, machines: impl IntoIterator<Item = MachineId>) -> Vec<MachineLine> {
+    fn changes(&mut self, machines: impl IntoIterator<Item = NodeId>) -> Vec<NodeEntry> {
         let mut lines = Vec::new();
         for machine in machines {
             let Some(known) = self.fleet.get(&machine) else {
@@ -258,19 +255,19 @@
         lines
     }
 
-    fn room_was_told(&mut self, machine: MachineId) {
+    fn room_was_told(&mut self, machine: NodeId) {
         if let Some(known) = self.fleet.get_mut(&machine) {
             known.room_told = true;
         }
     }
 
     /// Tells the module of these lines, if there are any.
-    fn tell(&self, lines: Vec<MachineLine>, events: &mut Vec<Event>) {
+    fn tell(&self, lines: Vec<NodeEntry>, events: &mut Vec<Event>) {
         if !lines.is_empty() {
-            events.push(Event::MachineList {
-                scope: ListScope::View,
+            events.push(Event::NodeList {
+                kind: ListUpdateKind::SubsetChange,
                 version: self.version,
-                lines,
+                entries: lines,
             });
         }
     }
@@ -279,23 +276,23 @@
 
     fn on_list(
         &mut self,
-        scope: ListScope,
+        scope: ListUpdateKind,
         version: u64,
-        lines: &[MachineLine],
+        lines: &[NodeEntry],
         events: &mut Vec<Event>,
     ) {
-        let old = version < self.version && scope != ListScope::Cached;
-        if matches!(scope, ListScope::Failed | ListScope::View) || old {
-            events.push(Event::MachineList {
-                scope,
+        let old = version < self.version && scope != ListUpdateKind::Cached;
+        if matches!(scope, ListUpdateKind::Failed | ListUpdateKind::SubsetChange) || old {
+            events.push(Event::NodeList {
+                kind: scope,
                 version,
-                lines: lines.to_vec(),
+                entries: lines.to_vec(),
             });
             return;
         }
         self.version = version;
         let (whole, was, first) = (
-            scope != ListScope::Delta,
+            scope != ListUpdateKind::Incremental,
             self.bounded,
             self.fleet.is_empty(),
         );
@@ -304,22 +301,20 @@
         if !self.bounded && !was {
             lines
                 .iter()
-                .for_each(|line| drop(self.unplaced.remove(&line.machine)));
+                .for_each(|line| drop(self.unplaced.remove(&line.node)));
             let settled = self.now >= self.unsettled_until;
-            lines
-                .iter()
-                .for_each(|line| self.room_was_told(line.machine));
-            let told = |line: &MachineLine| {
+            lines.iter().for_each(|line| self.room_was_told(line.node));
+            let told = |line: &NodeEntry| {
                 if settled {
                     line.clone()
                 } else {
                     self.told(line, true)
                 }
             };
-            events.push(Event::MachineList {
-                scope,
+            events.push(Event::NodeList {
+                kind: scope,
                 version,
-                lines: lines.iter().map(told).collect(),
+                entries: lines.iter().map(told).collect(),
             });
             return;
         }
@@ -344,22 +339,22 @@
         for line in lines {
             let wanted = self
                 .fleet
-                .get(&line.machine)
+                .get(&line.node)
                 .is_some_and(|known| self.is_in_view(known));
             if wanted {
-                self.shown.insert(line.machine);
-                self.room_was_told(line.machine);
+                self.shown.insert(line.node);
+                self.room_was_told(line.node);
                 told.push(self.told(line, true));
-            } else if self.shown.remove(&line.machine) {
+            } else if self.shown.remove(&line.node) {
                 told.push(Self::gone(line));
             }
         }
         told.extend(self.place_standing(lines));
         // Passed on also where it tells nothing: the call for the list was answered.
-        events.push(Event::MachineList {
-            scope,
+        events.push(Event::NodeList {
+            kind: scope,
             version,
-            lines: told,
+            entries: told,
         });
         // A service that lost a home has another one now.
         let mut homes = std::mem::take(&mut self.left_homes);
@@ -369,12 +364,11 @@
     }
 
     /// Takes the list in; returns the machines that take tasks now and did not before, or the other way round.
-    fn take_in(&mut self, whole: bool, lines: &[MachineLine]) -> BTreeSet<MachineId> {
+    fn take_in(&mut self, whole: bool, lines: &[NodeEntry]) -> BTreeSet<NodeId> {
         let mut turned = BTreeSet::new();
-        let ready = |line: &MachineLine| (line.state == MachineState::Ready).then_some(line.kind);
+        let ready = |line: &NodeEntry| (line.state == NodeStatus::Ready).then_some(line.kind);
         // Danger: a list that names a machine twice, gone and back, would lose it. The last line stands.
-        let named: BTreeMap<MachineId, MachineState> =
-            lines.iter().map(|l| (l.machine, l.state)).collect();
+        let named: BTreeMap<NodeId, NodeStatus> = lines.iter().map(|l| (l.node, l.state)).collect();
         let unnamed = self
             .fleet
             .keys()
@@ -383,13 +377,13 @@
         // Bounded state: what has left is forgotten; the module knows by itself what it holds there.
         let gone = named
             .iter()
-            .filter(|(_, state)| **state == MachineState::Gone)
+            .filter(|(_, state)| **state == NodeStatus::Gone)
             .map(|(machine, _)| *machine);
-        let left: Vec<MachineId> = unnamed.chain(gone).collect();
+        let left: Vec<NodeId> = unnamed.chain(gone).collect();
         for line in lines {
             let own = self.bounded && self.is_own(line);
             let before = self.fleet.insert(
-                line.machine,
+                line.node,
                 Known {
                     line: line.clone(),
                     own,
@@ -398,7 +392,7 @@
             );
             let before = before.as_ref().map(|known| &known.line);
             if before.and_then(ready) != ready(line) {
-                turned.insert(line.machine);
+                turned.insert(line.node);
             }
             self.places.change(before, Some(line));
         }
@@ -415,45 +409,43 @@
     /// The view changes as a whole, and the module is told all that is in it.
     fn tell_whole(
         &mut self,
-        scope: ListScope,
+        scope: ListUpdateKind,
         version: u64,
-        list: &[MachineLine],
+        list: &[NodeEntry],
         events: &mut Vec<Event>,
     ) {
         self.left_homes.clear();
         let in_view = |known: &&Known| !self.bounded || self.is_in_view(known);
         let told = |known: &Known| self.told(&known.line, !known.room_told);
-        let mut lines: Vec<MachineLine> = self.fleet.values().filter(in_view).map(told).collect();
-        lines
-            .iter()
-            .for_each(|line| self.room_was_told(line.machine));
+        let mut lines: Vec<NodeEntry> = self.fleet.values().filter(in_view).map(told).collect();
+        lines.iter().for_each(|line| self.room_was_told(line.node));
         self.shown = lines
             .iter()
             .filter(|_| self.bounded)
-            .map(|line| line.machine)
+            .map(|line| line.node)
             .collect();
         lines.extend(self.place_standing(list));
         // What is whole to the list is whole to the module: what is not named is gone for it.
-        let scope = if scope == ListScope::Cached {
+        let scope = if scope == ListUpdateKind::Cached {
             scope
         } else {
-            ListScope::Full
+            ListUpdateKind::Full
         };
-        events.push(Event::MachineList {
-            scope,
+        events.push(Event::NodeList {
+            kind: scope,
             version,
-            lines,
+            entries: lines,
         });
     }
 
     /// Tasks that were handed over on machines outside the view stand at a place now that the list names them, be it as
     /// gone.
-    fn place_standing(&mut self, list: &[MachineLine]) -> Vec<MachineLine> {
-        let named = |line: &&MachineLine| self.unplaced.remove(&line.machine).is_some();
-        let named: Vec<&MachineLine> = list.iter().filter(named).collect();
+    fn place_standing(&mut self, list: &[NodeEntry]) -> Vec<NodeEntry> {
+        let named = |line: &&NodeEntry| self.unplaced.remove(&line.node).is_some();
+        let named: Vec<&NodeEntry> = list.iter().filter(named).collect();
         named
             .into_iter()
-            .filter(|line| !self.shows(line.machine))
+            .filter(|line| !self.shows(line.node))
             .map(Self::gone)
             .collect()
     }
@@ -472,8 +464,8 @@
         // others, and together they would push it over. Until all have been told, nothing of it is used; also by one that
         // has just started, unless the fleet is so large that it cannot have been smaller lately.
         if !first || ready <= least.saturating_mul(2) {
-            let window = self.settings.fall_window + self.settings.fall_window / 4;
-            self.unsettled_until = self.now + self.settings.ask_every + window;
+            let window = self.settings.overload_window + self.settings.overload_window / 4;
+            self.unsettled_until = self.now + self.settings.poll_interval + window;
         }
         self.shown.clear();
         self.more.clear();
@@ -488,7 +480,7 @@
             return;
         }
         self.unsettled_until = 0;
-        let shown = |known: &&Known| !self.bounded || self.shown.contains(&known.line.machine);
+        let shown = |known: &&Known| !self.bounded || self.shown.contains(&known.line.node);
         let lines = self
             .fleet
             .values()
@@ -500,24 +492,24 @@
 
     // ---- Homes ----
 
-    fn cores(&self, line: &MachineLine) -> f64 {
+    fn cores(&self, line: &NodeEntry) -> f64 {
         self.settings
-            .kinds
+            .node_kinds
             .get(usize::from(line.kind))
             .map_or(0.0, |kind| kind.cores)
     }
 
     /// The homes of a service, best first.
-    fn best(&self, service: ServiceId, kind: Option<u8>) -> Vec<(f64, MachineId)> {
-        let usable = |line: &&MachineLine| {
-            line.state == MachineState::Ready && kind.is_none_or(|kind| kind == line.kind)
+    fn best(&self, service: ServiceId, kind: Option<u8>) -> Vec<(f64, NodeId)> {
+        let usable = |line: &&NodeEntry| {
+            line.state == NodeStatus::Ready && kind.is_none_or(|kind| kind == line.kind)
         };
-        let mut best: Vec<(f64, MachineId)> = Vec::with_capacity(HOMES + 1);
+        let mut best: Vec<(f64, NodeId)> = Vec::with_capacity(HOMES + 1);
         for line in self.fleet.values().map(|known| &known.line).filter(usable) {
-            let rank = home_rank(service, line.machine, self.cores(line));
+            let rank = preferred_node_rank(service, line.node, self.cores(line));
             if best.len() < HOMES || best.last().is_some_and(|(worst, _)| rank > *worst) {
                 let at = best.partition_point(|(better, _)| *better >= rank);
-                best.insert(at, (rank, line.machine));
+                best.insert(at, (rank, line.node));
                 best.truncate(HOMES);
             }
         }
@@ -525,7 +517,7 @@
     }
 
     /// A task of the service came: its homes are in view, and those of services that had none for longest are not.
-    fn use_homes(&mut self, service: ServiceId, class: u16) -> Vec<MachineLine> {
+    fn use_homes(&mut self, service: ServiceId, class: u16) -> Vec<NodeEntry> {
         let now = self.now;
         if let Some(homes) = self.homes.get_mut(&service) {
             homes.used_at = now;
@@ -537,7 +529,7 @@
                 .settings
                 .classes
                 .get(usize::from(class))
-                .and_then(|class| class.kind);
+                .and_then(|class| class.node_kind);
             let best = self.best(service, kind);
             self.homes.insert(
                 service,
@@ -576,7 +568,7 @@
     }
 
     /// Counts the homes of a service in, or out.
-    fn put_in_view(&mut self, service: ServiceId, in_view: bool) -> Vec<MachineId> {
+    fn put_in_view(&mut self, service: ServiceId, in_view: bool) -> Vec<NodeId> {
         let Some(homes) = self
             .homes
             .get_mut(&service)
@@ -585,7 +577,7 @@
             return Vec::new();
         };
         homes.in_view = in_view;
-        let machines: Vec<MachineId> = homes.best.iter().map(|(_, machine)| *machine).collect();
+        let machines: Vec<NodeId> = homes.best.iter().map(|(_, machine)| *machine).collect();
         for machine in &machines {
             let count = self.home_of.entry(*machine).or_insert(0);
             *count = if in_view {
@@ -601,7 +593,7 @@
     }
 
     /// Homes follow the list: a service that lost one has the next best one, and a new machine may be better.
-    fn keep_homes(&mut self, turned: &BTreeSet<MachineId>) {
+    fn keep_homes(&mut self, turned: &BTreeSet<NodeId>) {
         if turned.is_empty() {
             return;
         }
@@ -609,8 +601,8 @@
             .iter()
             .filter_map(|machine| self.fleet.get(machine))
             .map(|known| &known.line);
-        let risen: Vec<&MachineLine> = lines
-            .filter(|line| line.state == MachineState::Ready)
+        let risen: Vec<&NodeEntry> = lines
+            .filter(|line| line.state == NodeStatus::Ready)
             .collect();
         let stale = |service: &ServiceId, homes: &Homes| {
             let worst = homes
@@ -618,9 +610,11 @@
                 .last()
                 .filter(|_| homes.best.len() == HOMES)
                 .map(|(worst, _)| *worst);
-            let better = |line: &&MachineLine| {
+            let better = |line: &&NodeEntry| {
                 homes.kind.is_none_or(|kind| kind == line.kind)
-                    && worst.is_none_or(|w| home_rank(*service, line.machine, self.cores(line)) > w)
+                    && worst.is_none_or(|w| {
+                        preferred_node_rank(*service, line.node, self.cores(line)) > w
+                    })
             };
             homes
                 .best
@@ -657,7 +651,7 @@
 
     /// Danger: a keyed task that may have run goes on within its rack alone, and one machine of it may be all that the
     /// view has.
-    fn bring_rack(&mut self, request: RequestId) -> Vec<MachineLine> {
+    fn bring_rack(&mut self, request: RequestId) -> Vec<NodeEntry> {
         let Some(open) = self.open.get(&request) else {
             return Vec::new();
         };
@@ -665,10 +659,10 @@
             .settings
             .classes
             .get(usize::from(open.class))
-            .map(|class| class.repeat);
+            .map(|class| class.idempotency);
         let (
-            Some(Repeat::Keyed {
-                group: Group::Rack,
+            Some(Idempotency::Keyed {
+                scope: DedupScope::Rack,
                 window,
             }),
             Some(rack),
@@ -681,15 +675,15 @@
         self.changes(machines)
     }
 
-    fn in_racks(&self, racks: &[Rack]) -> Vec<MachineId> {
+    fn in_racks(&self, racks: &[Rack]) -> Vec<NodeId> {
         let lines = self.fleet.values().map(|known| &known.line);
         lines
             .filter(|line| racks.contains(&(line.zone, line.rack)))
-            .map(|line| line.machine)
+            .map(|line| line.node)
             .collect()
     }
 
-    fn drop_racks(&mut self) -> Vec<MachineLine> {
+    fn drop_racks(&mut self) -> Vec<NodeEntry> {
         let over: Vec<Rack> = self
             .racks
             .iter()
@@ -706,7 +700,7 @@
 
     /// Danger: a task that no machine in view can take would be turned away while others have room. While one waits, a
     /// part of the rest as large as the view is looked at beside it, and then the next part; the whole fleet in turn.
-    fn look_further(&mut self) -> Vec<MachineLine> {
+    fn look_further(&mut self) -> Vec<NodeEntry> {
         let waits = self.open.values().any(|open| open.waits);
         let due = self.now >= self.more_at;
         if waits && due {
@@ -714,15 +708,14 @@
                 .settings
                 .classes
                 .iter()
-                .map(|c| c.aim)
+                .map(|c| c.latency_objective)
                 .min()
                 .unwrap_or(0)
                 / 8;
             self.more_at = self.now + pause.max(self.settings.tick);
             let before = std::mem::take(&mut self.more);
-            let outside = |(machine, known): (&MachineId, &Known)| {
-                (!self.is_in_view(known)).then_some(*machine)
-            };
+            let outside =
+                |(machine, known): (&NodeId, &Known)| (!self.is_in_view(known)).then_some(*machine);
             let after = self
                 .fleet
                 .range((Bound::Excluded(self.next_more), Bound::Unbounded));
@@ -731,14 +724,14 @@
                 .chain(rest)
                 .filter_map(outside)
                 .take(self.size as usize);
-            let more: Vec<MachineId> = more.collect();
+            let more: Vec<NodeId> = more.collect();
             self.next_more = more.last().copied().unwrap_or(self.next_more);
             self.more = more.into_iter().collect();
-            let changed: BTreeSet<MachineId> = before.union(&self.more).copied().collect();
+            let changed: BTreeSet<NodeId> = before.union(&self.more).copied().collect();
             self.changes(changed)
         } else if !waits
             && !self.more.is_empty()
-            && self.now >= self.more_at + self.settings.ask_every
+            && self.now >= self.more_at + self.settings.poll_interval
         {
             let before = std::mem::take(&mut self.more);
             self.changes(before)
@@ -762,14 +755,14 @@
 
     fn on_event(&mut self, event: &Event, events: &mut Vec<Event>) {
         // Their places are known before anything is placed beside them.
-        if !matches!(event, Event::Standing { .. }) {
+        if !matches!(event, Event::RunningTask { .. }) {
             self.place_outside(events);
         }
         match event {
-            Event::MachineList {
-                scope,
+            Event::NodeList {
+                kind: scope,
                 version,
-                lines,
+                entries: lines,
             } => {
                 return self.on_list(*scope, *version, lines, events);
             }
@@ -777,15 +770,17 @@
                 let lines = self.use_homes(ask.service, ask.class);
                 self.tell(lines, events);
             }
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 outcome,
-                over: false,
+                is_final: false,
                 ..
             } if self.bounded => {
                 let never_ran = matches!(
                     outcome,
-                    Outcome::Refused | Outcome::Unreachable | Outcome::NotSent
+                    AttemptOutcome::Rejected
+                        | AttemptOutcome::Unreachable
+                        | AttemptOutcome::NotSent
                 );
                 if !never_ran {
                     let lines = self.bring_rack(*request);
@@ -796,17 +791,24 @@
         }
         events.push(event.clone());
         match event {
-            Event::Standing { request, machine } if !self.fleet.contains_key(machine) => {
+            Event::RunningTask {
+                request,
+                node: machine,
+            } if !self.fleet.contains_key(machine) => {
                 self.unplaced
                     .entry(*machine)
                     .or_default()
-                    .insert(request.request);
+                    .insert(request.id);
             }
-            Event::Standing { machine, .. } if self.bounded && !self.shown.contains(machine) => {
+            Event::RunningTask { node: machine, .. }
+                if self.bounded && !self.shown.contains(machine) =>
+            {
                 self.outside.insert(*machine);
             }
-            Event::Ended {
-                request, machine, ..
+            Event::AttemptEnded {
+                request,
+                node: machine,
+                ..
             } => {
                 if let Some(requests) = self.unplaced.get_mut(machine) {
                     requests.remove(request);
@@ -825,12 +827,12 @@
         for event in events {
             match event {
                 Event::Placed { request, .. }
-                | Event::Ended {
+                | Event::AttemptEnded {
                     request,
-                    over: true,
+                    is_final: true,
                     ..
                 }
-                | Event::Unwanted(request) => {
+                | Event::RequestCancelled(request) => {
                     self.open.remove(request);
                 }
                 Event::Place(ask) => {
@@ -839,16 +841,18 @@
                         waits: true,
                         rack: None,
                     };
-                    self.open.entry(ask.request).or_insert(open);
+                    self.open.entry(ask.id).or_insert(open);
                 }
-                Event::Ended { request, .. } => self.waits(*request, true),
+                Event::AttemptEnded { request, .. } => self.waits(*request, true),
                 _ => {}
             }
         }
         for action in actions {
             match action {
-                Action::Bind {
-                    request, machine, ..
+                Action::Dispatch {
+                    request,
+                    node: machine,
+                    ..
                 } => {
                     self.waits(*request, false);
                     let rack = self
@@ -859,7 +863,7 @@
                         open.rack = rack;
                     }
                 }
-                Action::Refuse { request, .. } | Action::Fail(request) => {
+                Action::Reject { request, .. } | Action::Fail(request) => {
                     self.open.remove(request);
                 }
                 _ => {}
@@ -881,7 +885,7 @@
         let news = |e: &Event| {
             matches!(
                 e,
-                Event::MachineList { .. } | Event::Standing { .. } | Event::Ended { .. }
+                Event::NodeList { .. } | Event::RunningTask { .. } | Event::AttemptEnded { .. }
             )
         };
         if !self.bounded && self.unsettled_until == 0 && !events.iter().any(news) {
--- a/crates/fleet/tests/cold.rs
+++ b/crates/fleet/tests/cold.rs
@@ -28,7 +28,7 @@
 impl Member {
     fn new(own: u32, born: Micros) -> Member {
         let settings = Settings {
-            cold_bears: BEARS,
+            slow_start_budget: BEARS,
             ..settings(SCHEDULERS, own)
         };
         let view = View::with_size(Told::default(), &settings, SIZE);
@@ -47,11 +47,11 @@
             self.lists.front().copied().filter(|(at, _, _)| *at <= now)
         {
             self.lists.pop_front();
-            events.push(list(ListScope::Full, version, lines(0..n)));
+            events.push(list(ListUpdateKind::Full, version, lines(0..n)));
         }
         self.view.decide(now, &events);
         let window = 5 * SECOND / 2;
-        let share = |m: u64| match self.view.module().cold_share(MachineId(m)) {
+        let share = |m: u64| match self.view.module().cold_share(NodeId(m)) {
             // Until it is a window old the module sends nothing to cold machines.
             _ if self.born > 0 && now < self.born + window => 0.0,
             None => BEARS / f64::from(SCHEDULERS),
@@ -145,11 +145,11 @@
 #[test]
 fn a_newcomer_that_no_other_knows_of_pushes_few_machines_over() {
     for (bears, most) in [(8_u64, 0), (28, 2), (100, 500)] {
-        let over = |machine: &MachineId| {
+        let over = |machine: &NodeId| {
             let all = bears + u64::from(cold_share(*machine, SCHEDULERS, SCHEDULERS + 1, bears));
             all as f64 > bears as f64 + 2.0 * (bears as f64).sqrt() + 2.0
         };
-        let over = (0..13_000).map(MachineId).filter(over).count();
+        let over = (0..13_000).map(NodeId).filter(over).count();
         println!("{over} of 13,000 machines that bear {bears}");
         assert!(
             over <= most,
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -14,45 +14,45 @@
 pub const ZONES: u64 = 3;
 
 /// Machine `m`: three zones, racks of eight within them, and every fourth machine of the second kind.
-pub fn line(m: u64) -> MachineLine {
-    MachineLine {
-        machine: MachineId(m),
-        state: MachineState::Ready,
+pub fn line(m: u64) -> NodeEntry {
+    NodeEntry {
+        node: NodeId(m),
+        state: NodeStatus::Ready,
         kind: u8::from(m % 4 == 3),
         zone: (m % ZONES) as u8,
         rack: (m / (ZONES * 8)) as u16,
-        ..MachineLine::default()
+        ..NodeEntry::default()
     }
 }
 
-pub fn lines(machines: impl IntoIterator<Item = u64>) -> Vec<MachineLine> {
+pub fn lines(machines: impl IntoIterator<Item = u64>) -> Vec<NodeEntry> {
     machines.into_iter().map(line).collect()
 }
 
-pub fn list(scope: ListScope, version: u64, lines: Vec<MachineLine>) -> Event {
-    Event::MachineList {
-        scope,
+pub fn list(scope: ListUpdateKind, version: u64, lines: Vec<NodeEntry>) -> Event {
+    Event::NodeList {
+        kind: scope,
         version,
-        lines,
+        entries: lines,
     }
 }
 
 pub fn settings(schedulers: u32, own_number: u32) -> Settings {
-    let kind = Kind {
+    let kind = NodeKind {
         cores: 16.0,
         memory: 32.0,
     };
     Settings {
         schedulers,
-        own_number,
-        kinds: vec![kind; 3],
+        own_index: own_number,
+        node_kinds: vec![kind; 3],
         ..Settings::sample()
     }
 }
 
-pub fn ask(request: u64, class: u16, service: u64) -> Request {
-    Request {
-        request: RequestId(request),
+pub fn ask(request: u64, class: u16, service: u64) -> PlacementRequest {
+    PlacementRequest {
+        id: RequestId(request),
         task: TaskKey(request),
         service: ServiceId(service),
         class,
@@ -60,28 +60,30 @@
         cores: 1.0,
         memory: 2.0,
         deadline_in: 5 * SECOND,
-        life_hint: None,
-        again: false,
+        expected_duration: None,
+        is_retry: false,
     }
 }
 
-pub fn ended(request: u64, attempt: u16, machine: MachineId, outcome: Outcome) -> Event {
-    let (request, why) = (RequestId(request), Why::Unknown);
-    Event::Ended {
+pub fn ended(request: u64, attempt: u16, machine: NodeId, outcome: AttemptOutcome) -> Event {
+    let (request, why) = (RequestId(request), EndReason::Unknown);
+    Event::AttemptEnded {
         request,
         attempt,
-        machine,
+        node: machine,
         outcome,
-        why,
-        over: false,
+        reason: why,
+        is_final: false,
         load: None,
     }
 }
 
-pub fn binds(actions: &[Action]) -> Vec<(u64, MachineId)> {
+pub fn binds(actions: &[Action]) -> Vec<(u64, NodeId)> {
     let bind = |a: &Action| match a {
-        Action::Bind {
-            request, machine, ..
+        Action::Dispatch {
+            request,
+            node: machine,
+            ..
         } => Some((request.0, *machine)),
         _ => None,
     };
@@ -91,7 +93,7 @@
 /// Keeps the lines that it is told as the module does, and answers with what a test put into `answer`.
 #[derive(Default)]
 pub struct Told {
-    pub lines: BTreeMap<MachineId, MachineLine>,
+    pub lines: BTreeMap<NodeId, NodeEntry>,
     pub version: u64,
     pub events: Vec<Event>,
     pub answer: Vec<Action>,
@@ -99,16 +101,16 @@
 
 impl Told {
     /// The module may send there.
-    pub fn open(&self, machine: MachineId) -> bool {
+    pub fn open(&self, machine: NodeId) -> bool {
         self.lines
             .get(&machine)
-            .is_some_and(|line| line.state == MachineState::Ready)
+            .is_some_and(|line| line.state == NodeStatus::Ready)
     }
 
     /// Offers that a cold machine may get in a window; `None` is the split among all schedulers.
-    pub fn cold_share(&self, machine: MachineId) -> Option<u32> {
+    pub fn cold_share(&self, machine: NodeId) -> Option<u32> {
         if self.open(machine) {
-            self.lines[&machine].cold_share
+            self.lines[&machine].slow_start_share
         } else {
             Some(0)
         }
@@ -118,26 +120,30 @@
 impl Decide for Told {
     fn decide(&mut self, _: Micros, events: &[Event]) -> Vec<Action> {
         for event in events {
-            let Event::MachineList {
-                scope,
+            let Event::NodeList {
+                kind: scope,
                 version,
-                lines,
+                entries: lines,
             } = event
             else {
                 continue;
             };
-            if *scope == ListScope::Failed || *version < self.version && *scope != ListScope::Cached
+            if *scope == ListUpdateKind::Failed
+                || *version < self.version && *scope != ListUpdateKind::Cached
             {
                 continue;
             }
             self.version = *version;
-            if !matches!(scope, ListScope::Delta | ListScope::View) {
+            if !matches!(
+                scope,
+                ListUpdateKind::Incremental | ListUpdateKind::SubsetChange
+            ) {
                 self.lines
                     .values_mut()
-                    .for_each(|line| line.state = MachineState::Gone);
+                    .for_each(|line| line.state = NodeStatus::Gone);
             }
             self.lines
-                .extend(lines.iter().map(|line| (line.machine, line.clone())));
+                .extend(lines.iter().map(|line| (line.node, line.clone())));
         }
         self.events = events.to_vec();
         std::mem::take(&mut self.answer)
@@ -185,7 +191,7 @@
         actions
     }
 
-    pub fn list(&mut self, scope: ListScope, lines: Vec<MachineLine>) -> Vec<Action> {
+    pub fn list(&mut self, scope: ListUpdateKind, lines: Vec<NodeEntry>) -> Vec<Action> {
         self.version += 1;
         self.tell(list(scope, self.version, lines))
     }
@@ -212,7 +218,7 @@
     }
 
     /// Places a task and returns where it goes, if it goes somewhere before `until`.
-    pub fn place(&mut self, ask: Request, until: Micros) -> Option<MachineId> {
+    pub fn place(&mut self, ask: PlacementRequest, until: Micros) -> Option<NodeId> {
         let mut actions = self.tell(Event::Place(ask));
         if binds(&actions).is_empty() {
             actions = self.wait(until);
--- a/crates/fleet/tests/common/site.rs
+++ b/crates/fleet/tests/common/site.rs
@@ -7,7 +7,7 @@
 pub const STEP: Micros = SECOND / 20;
 
 pub struct Try {
-    pub machine: MachineId,
+    pub machine: NodeId,
     rack: (u8, u16),
     sent_at: Micros,
     ends_at: Micros,
@@ -16,7 +16,7 @@
 }
 
 pub struct Case {
-    ask: Request,
+    ask: PlacementRequest,
     deadline: Micros,
     placed: bool,
     tries: Vec<Try>,
@@ -35,7 +35,7 @@
 pub struct Site<D> {
     pub settings: Settings,
     pub members: Vec<Member<D>>,
-    pub fleet: BTreeMap<MachineId, MachineLine>,
+    pub fleet: BTreeMap<NodeId, NodeEntry>,
     pub now: Micros,
     pub rng: Rng,
     pub binds: u64,
@@ -44,7 +44,7 @@
     version: u64,
     next: u64,
     /// Offers to each life of a machine: what an earlier one was sent went with it.
-    offers: BTreeMap<(MachineId, Micros), Vec<Micros>>,
+    offers: BTreeMap<(NodeId, Micros), Vec<Micros>>,
     make: fn(&Settings, u64) -> D,
 }
 
@@ -60,7 +60,7 @@
             members: Vec::new(),
             fleet: lines(0..machines)
                 .into_iter()
-                .map(|line| (line.machine, line))
+                .map(|line| (line.node, line))
                 .collect(),
             now: SECOND,
             rng: Rng::with_seed(seed),
@@ -84,7 +84,7 @@
 
     fn member(&mut self, own_number: u32) -> Member<D> {
         let settings = Settings {
-            own_number,
+            own_index: own_number,
             ..self.settings.clone()
         };
         let module = (self.make)(&settings, self.rng.u64(..));
@@ -102,7 +102,7 @@
 
     pub fn whole(&self) -> Event {
         list(
-            ListScope::Full,
+            ListUpdateKind::Full,
             self.version,
             self.fleet.values().cloned().collect(),
         )
@@ -110,15 +110,18 @@
 
     /// These lines are new; each scheduler is told up to so much later, as a change or with the whole list, some twice,
     /// some once more when it is old, and some after a call for the list that failed.
-    pub fn change(&mut self, changed: Vec<MachineLine>, late: Micros) {
+    pub fn change(&mut self, changed: Vec<NodeEntry>, late: Micros) {
         self.version += 1;
         for line in &changed {
             match line.state {
-                MachineState::Gone => drop(self.fleet.remove(&line.machine)),
-                _ => drop(self.fleet.insert(line.machine, line.clone())),
+                NodeStatus::Gone => drop(self.fleet.remove(&line.node)),
+                _ => drop(self.fleet.insert(line.node, line.clone())),
             }
         }
-        let (whole, delta) = (self.whole(), list(ListScope::Delta, self.version, changed));
+        let (whole, delta) = (
+            self.whole(),
+            list(ListUpdateKind::Incremental, self.version, changed),
+        );
         for member in &mut self.members {
             let after = member
                 .coming
@@ -138,7 +141,7 @@
                 1 => member.coming.push((at + late, event.clone())),
                 2 => member
                     .coming
-                    .push((at, list(ListScope::Failed, 0, Vec::new()))),
+                    .push((at, list(ListUpdateKind::Failed, 0, Vec::new()))),
                 _ => {}
             }
             member.coming.push((at, event.clone()));
@@ -173,7 +176,7 @@
             .told
             .lines
             .into_values()
-            .filter(|line| line.state != MachineState::Gone)
+            .filter(|line| line.state != NodeStatus::Gone)
             .collect();
         self.members[m].coming = old.coming;
         let standing = old.cases.into_values().filter(|case| case.placed);
@@ -183,7 +186,7 @@
         // Half before the list, half after it.
         let after = standing.split_off(standing.len() / 2);
         self.hand_over(m, standing);
-        self.tell(m, list(ListScope::Cached, old.told.version, seen));
+        self.tell(m, list(ListUpdateKind::Cached, old.told.version, seen));
         self.hand_over(m, after);
     }
 
@@ -191,8 +194,8 @@
         for case in cases {
             let request = RequestId(self.next);
             self.next += 1;
-            let ask = Request {
-                request,
+            let ask = PlacementRequest {
+                id: request,
                 ..case.ask
             };
             let tries: Vec<Try> = case.tries.into_iter().filter(|t| t.open).collect();
@@ -206,9 +209,9 @@
             self.members[m].cases.insert(request, case);
             self.tell(
                 m,
-                Event::Standing {
+                Event::RunningTask {
                     request: ask,
-                    machine,
+                    node: machine,
                 },
             );
         }
@@ -220,8 +223,8 @@
             .decide(self.now, std::slice::from_ref(&event));
         if matches!(
             event,
-            Event::MachineList {
-                scope: ListScope::Delta | ListScope::Full,
+            Event::NodeList {
+                kind: ListUpdateKind::Incremental | ListUpdateKind::Full,
                 ..
             }
         ) {
@@ -229,13 +232,13 @@
         }
         for action in self.members[m].module.decide(self.now, &[event]) {
             match action {
-                Action::Bind {
+                Action::Dispatch {
                     request,
-                    machine,
+                    node: machine,
                     timeout,
                 } => self.judge(m, request, machine, timeout),
                 Action::SetTimer { label, at } => self.members[m].timers.push((at, label)),
-                Action::Refuse { request, .. } | Action::Fail(request) => {
+                Action::Reject { request, .. } | Action::Fail(request) => {
                     let case = self.members[m]
                         .cases
                         .remove(&request)
@@ -250,7 +253,7 @@
         }
     }
 
-    fn judge(&mut self, m: usize, request: RequestId, machine: MachineId, timeout: Option<Micros>) {
+    fn judge(&mut self, m: usize, request: RequestId, machine: NodeId, timeout: Option<Micros>) {
         self.binds += 1;
         let (now, settings, member) = (self.now, &self.settings, &mut self.members[m]);
         let line = member
@@ -261,7 +264,7 @@
             .clone();
         assert_eq!(
             line.state,
-            MachineState::Ready,
+            NodeStatus::Ready,
             "{m} sends to {machine:?}, which drains or is gone"
         );
         let case = &member.cases[&request];
@@ -273,10 +276,10 @@
         assert!(case.tries.len() < settings.max_attempts as usize);
         let rack = (line.zone, line.rack);
         if let Some(first) = case.tries.iter().find(|t| t.may_have_run) {
-            match class.repeat {
-                Repeat::Safe => {}
-                Repeat::Unsafe => panic!("{m}: {request:?} must not run twice"),
-                Repeat::Keyed { window, .. } => {
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("{m}: {request:?} must not run twice"),
+                Idempotency::Keyed { window, .. } => {
                     assert!(
                         first.rack == rack && now < first.sent_at + window,
                         "{request:?} outside its group"
@@ -284,7 +287,7 @@
                 }
             }
         }
-        if class.spread == Spread::Rack {
+        if class.topology_spread == TopologySpread::Rack {
             let same = member
                 .cases
                 .values()
@@ -294,7 +297,7 @@
                 .filter(|t| t.open && t.rack == rack)
                 .count();
             assert!(
-                there < class.most as usize,
+                there < class.max_per_domain as usize,
                 "{m}: {:?} crowds {rack:?}",
                 case.ask.service
             );
@@ -303,15 +306,15 @@
         let started_at = self.fleet.get(&machine).map_or(0, |line| line.started_at);
         if started_at > 0
             && line.started_at == started_at
-            && now < started_at + settings.warm_within
+            && now < started_at + settings.slow_start_window
         {
-            let window = settings.fall_window;
+            let window = settings.overload_window;
             let offers = self.offers.entry((machine, started_at)).or_default();
             offers.retain(|at| at + window > now);
             offers.push(now);
             self.most_cold = self.most_cold.max(offers.len());
             assert!(
-                offers.len() as f64 <= settings.cold_bears,
+                offers.len() as f64 <= settings.slow_start_budget,
                 "{machine:?} is cold: {offers:?}"
             );
         }
@@ -355,12 +358,12 @@
             for ((request, attempt, machine, ends_at), placed) in out {
                 let dead = !self.fleet.contains_key(&machine);
                 let outcome = match (placed, self.rng.u8(0..100)) {
-                    (true, 0..2) => Outcome::Done,
-                    (true, _) if dead => Outcome::Lost,
-                    (false, _) if ends_at <= now => Outcome::TimedOut,
-                    (false, 0..10) if dead => Outcome::Unreachable,
-                    (false, 0..5) => Outcome::Refused,
-                    (false, 5..8) => Outcome::Lost,
+                    (true, 0..2) => AttemptOutcome::Completed,
+                    (true, _) if dead => AttemptOutcome::Lost,
+                    (false, _) if ends_at <= now => AttemptOutcome::TimedOut,
+                    (false, 0..10) if dead => AttemptOutcome::Unreachable,
+                    (false, 0..5) => AttemptOutcome::Rejected,
+                    (false, 5..8) => AttemptOutcome::Lost,
                     (false, 8..50) if !dead => {
                         self.members[m].cases.get_mut(&request).unwrap().placed = true;
                         self.tell(
@@ -368,7 +371,7 @@
                             Event::Placed {
                                 request,
                                 attempt,
-                                machine,
+                                node: machine,
                             },
                         );
                         continue;
@@ -380,7 +383,7 @@
         }
     }
 
-    fn end(&mut self, m: usize, request: RequestId, attempt: u16, outcome: Outcome) {
+    fn end(&mut self, m: usize, request: RequestId, attempt: u16, outcome: AttemptOutcome) {
         let Some(case) = self.members[m].cases.get_mut(&request) else {
             return;
         };
@@ -388,21 +391,24 @@
         let t = &mut case.tries[usize::from(attempt)];
         (t.open, t.may_have_run) = (
             false,
-            !matches!(outcome, Outcome::Refused | Outcome::Unreachable),
+            !matches!(
+                outcome,
+                AttemptOutcome::Rejected | AttemptOutcome::Unreachable
+            ),
         );
-        let (machine, over, why) = (t.machine, case.placed, Why::Unknown);
+        let (machine, over, why) = (t.machine, case.placed, EndReason::Unknown);
         if over {
             self.members[m].cases.remove(&request);
         }
         self.tell(
             m,
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
-                machine,
+                node: machine,
                 outcome,
-                why,
-                over,
+                reason: why,
+                is_final: over,
                 load: None,
             },
         );
@@ -412,25 +418,25 @@
     pub fn trouble(&mut self, most: u64, machines: u64) {
         let changed = (0..self.rng.u64(1..=most)).map(|_| {
             let machine = self.rng.u64(0..machines);
-            let restarted = MachineLine {
+            let restarted = NodeEntry {
                 started_at: self.now,
-                life: self.now,
+                incarnation: self.now,
                 ..line(machine)
             };
             match self.rng.u8(0..4) {
-                0 => MachineLine {
-                    state: MachineState::Draining,
+                0 => NodeEntry {
+                    state: NodeStatus::Draining,
                     ..restarted
                 },
-                1 => MachineLine {
-                    state: MachineState::Gone,
+                1 => NodeEntry {
+                    state: NodeStatus::Gone,
                     ..restarted
                 },
                 _ => restarted,
             }
         });
         // Lines of one list may name a machine twice; the last one stands.
-        let changed: Vec<MachineLine> = changed.collect();
+        let changed: Vec<NodeEntry> = changed.collect();
         self.change(changed, SECOND);
     }
 
--- a/crates/fleet/tests/homes.rs
+++ b/crates/fleet/tests/homes.rs
@@ -8,12 +8,12 @@
 use peppercove_fleet::View;
 
 /// The homes of a service, best first, from the whole list.
-fn homes(lines: &[MachineLine], service: u64, kind: Option<u8>) -> Vec<MachineId> {
+fn homes(lines: &[NodeEntry], service: u64, kind: Option<u8>) -> Vec<NodeId> {
     let usable = lines
         .iter()
-        .filter(|l| l.state == MachineState::Ready && kind.is_none_or(|k| k == l.kind));
-    let rank = |l: &MachineLine| home_rank(ServiceId(service), l.machine, 16.0);
-    let mut ranked: Vec<(f64, MachineId)> = usable.map(|l| (rank(l), l.machine)).collect();
+        .filter(|l| l.state == NodeStatus::Ready && kind.is_none_or(|k| k == l.kind));
+    let rank = |l: &NodeEntry| preferred_node_rank(ServiceId(service), l.node, 16.0);
+    let mut ranked: Vec<(f64, NodeId)> = usable.map(|l| (rank(l), l.node)).collect();
     ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
     ranked
         .into_iter()
@@ -25,7 +25,7 @@
 /// The second class runs on the second kind alone.
 fn of_kind(settings: Settings) -> Settings {
     let mut settings = settings;
-    settings.classes[1].kind = Some(1);
+    settings.classes[1].node_kind = Some(1);
     settings
 }
 
@@ -36,7 +36,7 @@
     let mut views: Vec<View<Told>> = (0..4).map(view).collect();
     let mut truth = lines(0..1_000);
     let mut now = SECOND;
-    let whole = list(ListScope::Full, 1, truth.clone());
+    let whole = list(ListUpdateKind::Full, 1, truth.clone());
     views
         .iter_mut()
         .for_each(|view| drop(view.decide(now, std::slice::from_ref(&whole))));
@@ -48,19 +48,15 @@
         let mut changed: Vec<usize> = (0..5).map(|_| rng.usize(0..truth.len())).collect();
         let service = services[rng.usize(0..services.len())];
         let best = homes(&truth, service, None)[rng.usize(0..8)];
-        changed.push(truth.iter().position(|line| line.machine == best).unwrap());
-        let states = [
-            MachineState::Ready,
-            MachineState::Draining,
-            MachineState::Gone,
-        ];
+        changed.push(truth.iter().position(|line| line.node == best).unwrap());
+        let states = [NodeStatus::Ready, NodeStatus::Draining, NodeStatus::Gone];
         changed
             .iter()
             .for_each(|i| truth[*i].state = states[rng.usize(0..3)]);
         let event = match round % 5 {
-            0 => list(ListScope::Full, round, truth.clone()),
+            0 => list(ListUpdateKind::Full, round, truth.clone()),
             _ => list(
-                ListScope::Delta,
+                ListUpdateKind::Incremental,
                 round,
                 changed.iter().map(|i| truth[*i].clone()).collect(),
             ),
@@ -73,7 +69,10 @@
                     now,
                     &[Event::Place(ask(round * 100 + service, class, *service))],
                 );
-                view.decide(now, &[Event::Unwanted(RequestId(round * 100 + service))]);
+                view.decide(
+                    now,
+                    &[Event::RequestCancelled(RequestId(round * 100 + service))],
+                );
             }
             // Once in view they follow the list, before the next task comes.
             for service in &services {
@@ -96,7 +95,7 @@
         let first_homes = homes(&all, service, None);
         for own in (0..100).step_by(9) {
             let mut driver = Driver::new(&settings(100, own), 64, u64::from(own));
-            driver.list(ListScope::Full, all.clone());
+            driver.list(ListUpdateKind::Full, all.clone());
             let machine = driver
                 .place(ask(1, 0, service), driver.now)
                 .expect("a machine");
@@ -111,7 +110,7 @@
 #[test]
 fn homes_that_are_not_used_leave_the_view_first() {
     let mut view = told(100, 0, 64);
-    view.decide(SECOND, &[list(ListScope::Full, 1, lines(0..2_000))]);
+    view.decide(SECOND, &[list(ListUpdateKind::Full, 1, lines(0..2_000))]);
     let own = view.len();
     let all = lines(0..2_000);
     for service in 0..150 {
@@ -119,7 +118,7 @@
         for (request, service) in [(service, service), (1_000 + service, 7_000)] {
             let come_and_gone = [
                 Event::Place(ask(request, 0, service)),
-                Event::Unwanted(RequestId(request)),
+                Event::RequestCancelled(RequestId(request)),
             ];
             view.decide(SECOND + request, &come_and_gone);
         }
@@ -132,8 +131,7 @@
         assert!(kept.into_iter().all(in_view), "after {service}");
         assert!(view.len() <= own + 64, "{} machines, {own} own", view.len());
         // The module is told of what comes and of what leaves.
-        let agree =
-            |line: &MachineLine| view.module().open(line.machine) == view.shows(line.machine);
+        let agree = |line: &NodeEntry| view.module().open(line.node) == view.shows(line.node);
         assert!(service % 20 > 0 || all.iter().all(agree), "after {service}");
     }
 }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -43,7 +43,7 @@
             .list
             .lines
             .values()
-            .filter(|line| line.state == MachineState::Ready)
+            .filter(|line| line.state == NodeStatus::Ready)
         {
             *ready.entry((line.zone, line.kind)).or_default() += 1;
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    fn shows(&self, line: &MachineLine) -> bool {
+    fn shows(&self, line: &NodeEntry) -> bool {
         let slots = self
             .slots
             .get(&(line.zone, line.kind))
@@ -71,22 +71,22 @@
             .unwrap_or(u32::MAX);
         !self.bounded
             || slots == u32::MAX
-            || (0..slots).any(|s| owner(line.machine, s, SCHEDULERS) == OWN)
+            || (0..slots).any(|s| owner(line.node, s, SCHEDULERS) == OWN)
     }
 }
 
 /// A machine's line with some life in it.
-fn some_line(rng: &mut fastrand::Rng, now: Micros) -> MachineLine {
+fn some_line(rng: &mut fastrand::Rng, now: Micros) -> NodeEntry {
     let state = [
-        MachineState::Ready,
-        MachineState::Ready,
-        MachineState::Draining,
-        MachineState::Gone,
+        NodeStatus::Ready,
+        NodeStatus::Ready,
+        NodeStatus::Draining,
+        NodeStatus::Gone,
     ];
     let line = line(rng.u64(0..MACHINES));
     let kind = if rng.u8(0..20) == 0 { 2 } else { line.kind };
     let started_at = if rng.bool() { now } else { 0 };
-    MachineLine {
+    NodeEntry {
         state: state[rng.usize(0..4)],
         kind,
         started_at,
@@ -100,39 +100,39 @@
     *version += 1;
     let zone = |z: u64, state| {
         lines(0..MACHINES).into_iter().filter_map(move |line| {
-            (u64::from(line.zone) == z).then_some(MachineLine { state, ..line })
+            (u64::from(line.zone) == z).then_some(NodeEntry { state, ..line })
         })
     };
     match rng.u8(0..20) {
         0 => list(
-            ListScope::Delta,
+            ListUpdateKind::Incremental,
             *version,
-            zone(rng.u64(0..3), MachineState::Gone).collect(),
+            zone(rng.u64(0..3), NodeStatus::Gone).collect(),
         ),
         1 | 2 => list(
-            ListScope::Delta,
+            ListUpdateKind::Incremental,
             *version,
-            zone(rng.u64(0..3), MachineState::Ready).collect(),
+            zone(rng.u64(0..3), NodeStatus::Ready).collect(),
         ),
         3 | 4 => {
             let least = rng.u64(0..MACHINES);
             list(
-                ListScope::Full,
+                ListUpdateKind::Full,
                 *version,
                 lines(rng.u64(0..=least)..MACHINES),
             )
         }
         5 => list(
-            ListScope::Cached,
+            ListUpdateKind::Cached,
             version.saturating_sub(rng.u64(0..5)),
             lines(0..rng.u64(0..MACHINES)),
         ),
-        6 => list(ListScope::Failed, 0, Vec::new()),
+        6 => list(ListUpdateKind::Failed, 0, Vec::new()),
         7..10 if !told.is_empty() => told[rng.usize(0..told.len())].clone(),
-        10 => list(ListScope::Full, *version, Vec::new()),
+        10 => list(ListUpdateKind::Full, *version, Vec::new()),
         _ => {
             let some = (0..rng.usize(0..30)).map(|_| some_line(rng, now));
-            list(ListScope::Delta, *version, some.collect())
+            list(ListUpdateKind::Incremental, *version, some.collect())
         }
     }
 }
@@ -158,7 +158,7 @@
             );
             bounded += usize::from(model.bounded);
             for line in model.list.lines.values() {
-                let (machine, ready) = (line.machine, line.state == MachineState::Ready);
+                let (machine, ready) = (line.node, line.state == NodeStatus::Ready);
                 let at = || {
                     format!(
                         "seed {seed}, step {step}: {line:?} after {:?}",
@@ -170,15 +170,15 @@
                 assert_eq!(view.module().open(machine), shown, "{}", at());
                 assert!(!ready || view.shows(machine) == shown, "{}", at());
                 if let Some(told) = view.module().lines.get(&machine).filter(|_| shown) {
-                    let as_listed = MachineLine {
-                        cold_share: None,
+                    let as_listed = NodeEntry {
+                        slow_start_share: None,
                         ..told.clone()
                     };
                     assert_eq!(as_listed, *line, "{}", at());
                 }
                 outside += usize::from(ready && !shown);
             }
-            let known = |machine: &MachineId| model.list.lines.contains_key(machine);
+            let known = |machine: &NodeId| model.list.lines.contains_key(machine);
             assert!(view.module().lines.keys().all(known));
         }
     }
--- a/crates/fleet/tests/referee.rs
+++ b/crates/fleet/tests/referee.rs
@@ -38,12 +38,12 @@
     let mut site = Site::new(&settings(24, 0), 400, 2, viewed_small);
     assert!(site.members.iter().all(|member| member.module.is_bounded()));
     site.now += 20 * SECOND;
-    let restarted = (0..400).map(|m| MachineLine {
+    let restarted = (0..400).map(|m| NodeEntry {
         started_at: site.now,
-        life: site.now,
+        incarnation: site.now,
         ..line(m)
     });
-    let restarted: Vec<MachineLine> = restarted.collect();
+    let restarted: Vec<NodeEntry> = restarted.collect();
     site.change(restarted, 0);
     for round in 0..20 {
         site.step();
