--- a/crates/fleet/tests/slots.rs
+++ b/crates/fleet/tests/slots.rs
@@ -11,7 +11,7 @@
 #[test]
 fn all_cold_shares_of_a_machine_are_what_it_bears() {
     for schedulers in [1, 2, 3, 7, 24, 100] {
-        for machine in (0..200).map(|m| MachineId(m * 7_919)) {
+        for machine in (0..200).map(|m| NodeId(m * 7_919)) {
             for bears in [0, 1, 7, 8, 28, 1_001] {
                 let shares = (0..schedulers).map(|own| cold_share(machine, own, schedulers, bears));
                 assert_eq!(
@@ -28,8 +28,7 @@
 fn one_scheduler_more_takes_slots_and_moves_no_other() {
     for schedulers in [1, 8, 24, 99] {
         let mut taken = 0;
-        for (machine, slot) in
-            (0..2_000).flat_map(|m| (0..COLD_SLOTS).map(move |s| (MachineId(m), s)))
+        for (machine, slot) in (0..2_000).flat_map(|m| (0..COLD_SLOTS).map(move |s| (NodeId(m), s)))
         {
             let (before, after) = (
                 owner(machine, slot, schedulers),
@@ -50,14 +49,14 @@
 }
 
 /// The views of all schedulers, as pairs of scheduler and machine.
-fn views(schedulers: u32, size: u64, lines: &[MachineLine]) -> BTreeSet<(u32, MachineId)> {
+fn views(schedulers: u32, size: u64, lines: &[NodeEntry]) -> BTreeSet<(u32, NodeId)> {
     let mut pairs = BTreeSet::new();
     for own in 0..schedulers {
         let mut view = told(schedulers, own, size);
-        view.decide(SECOND, &[list(ListScope::Full, 1, lines.to_vec())]);
+        view.decide(SECOND, &[list(ListUpdateKind::Full, 1, lines.to_vec())]);
         let shown = lines
             .iter()
-            .map(|line| line.machine)
+            .map(|line| line.node)
             .filter(|machine| view.shows(*machine));
         pairs.extend(shown.map(|machine| (own, machine)));
         assert!(view.is_bounded());
@@ -71,16 +70,16 @@
 fn little_moves_where_a_machine_or_a_scheduler_comes_or_goes() {
     let all = lines(0..2_000);
     let before = views(24, 256, &all);
-    let less: Vec<MachineLine> = all
+    let less: Vec<NodeEntry> = all
         .iter()
-        .filter(|line| line.machine.0 != 77)
+        .filter(|line| line.node.0 != 77)
         .cloned()
         .collect();
     let moved = before.symmetric_difference(&views(24, 256, &less)).count();
     let own = before.iter().filter(|(_, machine)| machine.0 == 77).count();
     assert_eq!(moved, own, "only the pairs of the machine that went");
     let after = views(25, 256, &all);
-    let old = |pairs: &BTreeSet<(u32, MachineId)>| -> BTreeSet<_> {
+    let old = |pairs: &BTreeSet<(u32, NodeId)>| -> BTreeSet<_> {
         pairs.iter().filter(|(own, _)| *own < 24).copied().collect()
     };
     let moved = old(&before).symmetric_difference(&old(&after)).count();
@@ -97,19 +96,19 @@
 
 #[test]
 fn each_view_has_all_zones_and_kinds_and_a_rare_kind_whole() {
-    let rare = |line: MachineLine| {
-        if line.machine.0.is_multiple_of(199) {
-            MachineLine { kind: 2, ..line }
+    let rare = |line: NodeEntry| {
+        if line.node.0.is_multiple_of(199) {
+            NodeEntry { kind: 2, ..line }
         } else {
             line
         }
     };
-    let all: Vec<MachineLine> = lines(0..2_000).into_iter().map(rare).collect();
+    let all: Vec<NodeEntry> = lines(0..2_000).into_iter().map(rare).collect();
     let pairs = views(24, 256, &all);
     for own in 0..24 {
-        let mine: Vec<&MachineLine> = all
+        let mine: Vec<&NodeEntry> = all
             .iter()
-            .filter(|l| pairs.contains(&(own, l.machine)))
+            .filter(|l| pairs.contains(&(own, l.node)))
             .collect();
         // Eight slots with 24 owners put 29% of the machines into each view, more than its size asks for.
         assert!(
@@ -141,7 +140,7 @@
     let machines = 13_000;
     for dead in [0..8, 8..16, 16..24] {
         let alone =
-            |m: &u64| (0..COLD_SLOTS).all(|slot| dead.contains(&owner(MachineId(*m), slot, 24)));
+            |m: &u64| (0..COLD_SLOTS).all(|slot| dead.contains(&owner(NodeId(*m), slot, 24)));
         let lost = (0..machines).filter(alone).count();
         println!("{lost} of {machines} machines in no living view");
         assert!(lost <= 8, "{lost} machines in nobody's view");
@@ -152,15 +151,15 @@
 /// where that asks for more.
 #[test]
 fn a_view_of_13_000_machines_has_about_its_size() {
-    let zoned = |line: MachineLine| MachineLine {
-        zone: (line.machine.0 % 44) as u8,
+    let zoned = |line: NodeEntry| NodeEntry {
+        zone: (line.node.0 % 44) as u8,
         ..line
     };
-    let kinded = |line: MachineLine| MachineLine {
-        kind: u8::from((line.machine.0 / 44).is_multiple_of(8)),
+    let kinded = |line: NodeEntry| NodeEntry {
+        kind: u8::from((line.node.0 / 44).is_multiple_of(8)),
         ..line
     };
-    let all: Vec<MachineLine> = lines(0..13_000)
+    let all: Vec<NodeEntry> = lines(0..13_000)
         .into_iter()
         .map(zoned)
         .map(kinded)
@@ -168,8 +167,8 @@
     let mut sizes = Vec::new();
     for (schedulers, own) in [(100, 7), (500, 0), (500, 499)] {
         let mut view = told(schedulers, own, peppercove_fleet::SIZE);
-        view.decide(SECOND, &[list(ListScope::Full, 1, all.clone())]);
-        let shown = |line: &&MachineLine| view.shows(line.machine);
+        view.decide(SECOND, &[list(ListUpdateKind::Full, 1, all.clone())]);
+        let shown = |line: &&NodeEntry| view.shows(line.node);
         let least = (0..44)
             .flat_map(|zone| [(zone, 0), (zone, 1)])
             .map(|place| {
--- a/crates/kernel/src/report.rs
+++ b/crates/kernel/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::owners::Tally;
 use crate::script::Script;
-use peppercove::{Group, Repeat, Spread};
+use peppercove::{DedupScope, Idempotency, TopologySpread};
 use peppercove_audit::{ClassFigures, Event, Figures, Place, Started, Verdict, judge};
 use peppercove_config::Config;
 use peppercove_core::Counters;
@@ -148,31 +148,31 @@
 /// The figures of the rules, by the settings.
 fn figures(config: &Config, stall: u64, travel: u64) -> Figures {
     let m = &config.module;
-    let place = |spread: Spread| match spread {
-        Spread::Off => Place::Off,
-        Spread::Machine => Place::Node,
-        Spread::Rack => Place::Rack,
-        Spread::Zone => Place::Zone,
+    let place = |spread: TopologySpread| match spread {
+        TopologySpread::Off => Place::Off,
+        TopologySpread::Node => Place::Node,
+        TopologySpread::Rack => Place::Rack,
+        TopologySpread::Zone => Place::Zone,
     };
-    let class = |c: &peppercove::Class| {
-        let (group, window) = match c.repeat {
-            Repeat::Keyed {
-                group: Group::Rack,
+    let class = |c: &peppercove::TaskClass| {
+        let (group, window) = match c.idempotency {
+            Idempotency::Keyed {
+                scope: DedupScope::Rack,
                 window,
             } => (Place::Rack, window),
-            Repeat::Keyed {
-                group: Group::Zone,
+            Idempotency::Keyed {
+                scope: DedupScope::Zone,
                 window,
             } => (Place::Zone, window),
-            Repeat::Keyed {
-                group: Group::All,
+            Idempotency::Keyed {
+                scope: DedupScope::All,
                 window,
             } => (Place::Off, window),
-            Repeat::Safe | Repeat::Unsafe => (Place::Off, u64::MAX / 4),
+            Idempotency::Idempotent | Idempotency::NonIdempotent => (Place::Off, u64::MAX / 4),
         };
         ClassFigures {
-            spread: place(c.spread),
-            most: c.most,
+            spread: place(c.topology_spread),
+            most: c.max_per_domain,
             group,
             window,
         }
@@ -180,9 +180,9 @@
     Figures {
         classes: m.classes.iter().map(class).collect(),
         drain_grace: m.drain_grace,
-        warm_within: m.warm_within,
-        cold_bears: m.cold_bears as u64,
-        fall_window: m.fall_window,
+        warm_within: m.slow_start_window,
+        cold_bears: m.slow_start_budget as u64,
+        fall_window: m.overload_window,
         stall,
         travel,
     }
--- a/crates/kernel/src/script.rs
+++ b/crates/kernel/src/script.rs
@@ -1,6 +1,6 @@
 //! A day as a file: the fleet, the load, and the faults over time.
 
-use peppercove::{Group, Repeat};
+use peppercove::{DedupScope, Idempotency};
 use peppercove_config::schema::{Attribute, Document, Element, Kind, Often, Problem};
 use peppercove_config::{Config, ConfigError, embedded_default};
 use peppercove_standins::model::{Evicts, Spec};
@@ -505,14 +505,16 @@
     let fleet = day.child("fleet");
     let module = &mut config.module;
     match fleet.text("confirms") {
-        Some("accepted") => module.confirms = peppercove::Confirms::Accepted,
-        Some(_) => module.confirms = peppercove::Confirms::Running,
+        Some("accepted") => module.placement_ack = peppercove::PlacementAck::Accepted,
+        Some(_) => module.placement_ack = peppercove::PlacementAck::Running,
         None => {}
     }
-    module.preempts = fleet
+    module.allows_preemption = fleet
         .text("preempts")
-        .map_or(module.preempts, |f| f == "true");
-    module.probes = fleet.text("probes").map_or(module.probes, |f| f == "true");
+        .map_or(module.allows_preemption, |f| f == "true");
+    module.can_probe = fleet
+        .text("probes")
+        .map_or(module.can_probe, |f| f == "true");
     let controllers = fleet.count("controllers") as usize;
     let class = |d: &Document, problems: &mut Vec<Problem>| {
         let name = d.word("class").to_owned();
@@ -619,11 +621,11 @@
         kind: kind as u8,
         rack: (group.count("first-rack") + i % group.count("racks")) as u16,
         zone: 0,
-        cores: module.kinds[kind].cores,
-        memory: module.kinds[kind].memory,
-        accepts_cores: module.accepts_cores,
-        accepts_memory: module.accepts_memory,
-        preempts: module.preempts,
+        cores: module.node_kinds[kind].cores,
+        memory: module.node_kinds[kind].memory,
+        accepts_cores: module.cores_overcommit,
+        accepts_memory: module.memory_overcommit,
+        preempts: module.allows_preemption,
         admit: group.micros("admit"),
         line: group.count("line") as usize,
         starts: group.count("starts") as usize,
@@ -632,12 +634,12 @@
         kept: group.count("kept") as usize,
         cold_from: group.number("cold-from"),
         cold_for: group.micros("cold-for"),
-        fall_multiple: module.fall_multiple,
-        fall_window: module.fall_window,
-        cold_bears: module.cold_bears,
+        fall_multiple: module.overload_multiple,
+        fall_window: module.overload_window,
+        cold_bears: module.slow_start_budget,
         report_every: group.micros("report-every"),
         report_delay: group.micros("report-late"),
-        counts_used: module.report_counts == peppercove::ReportCounts::Used,
+        counts_used: module.load_basis == peppercove::LoadBasis::Used,
         uses: (group.number("uses-least"), group.number("uses-most")),
         drain: match group.word("drain") {
             "none" => Evicts::None,
@@ -646,34 +648,34 @@
         },
         life: 2_000_000,
         key_group: match group_of(module) {
-            Some(Group::Rack) => (group.count("first-rack") + i % group.count("racks")) as u32,
-            Some(Group::Zone | Group::All) | None => 0,
+            Some(DedupScope::Rack) => (group.count("first-rack") + i % group.count("racks")) as u32,
+            Some(DedupScope::Zone | DedupScope::All) | None => 0,
         },
         key_window: module
             .classes
             .iter()
-            .map(|c| window_of(c.repeat))
+            .map(|c| window_of(c.idempotency))
             .max()
             .unwrap_or(0),
     }
 }
 
 /// The group that discards second copies; stand-ins know one for all classes, the smallest.
-fn group_of(module: &peppercove::Settings) -> Option<Group> {
-    let groups = module.classes.iter().filter_map(|c| match c.repeat {
-        Repeat::Keyed { group, .. } => Some(group),
-        Repeat::Safe | Repeat::Unsafe => None,
+fn group_of(module: &peppercove::Settings) -> Option<DedupScope> {
+    let groups = module.classes.iter().filter_map(|c| match c.idempotency {
+        Idempotency::Keyed { scope: group, .. } => Some(group),
+        Idempotency::Idempotent | Idempotency::NonIdempotent => None,
     });
     groups.max_by_key(|g| match g {
-        Group::All => 0,
-        Group::Zone => 1,
-        Group::Rack => 2,
+        DedupScope::All => 0,
+        DedupScope::Zone => 1,
+        DedupScope::Rack => 2,
     })
 }
 
-fn window_of(repeat: Repeat) -> u64 {
+fn window_of(repeat: Idempotency) -> u64 {
     match repeat {
-        Repeat::Keyed { window, .. } => window,
-        Repeat::Safe | Repeat::Unsafe => 0,
+        Idempotency::Keyed { window, .. } => window,
+        Idempotency::Idempotent | Idempotency::NonIdempotent => 0,
     }
 }
--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/world.rs
@@ -10,7 +10,7 @@
 use crate::script::{Arrival, Script};
 use clients::{Ask, Desk, Reply};
 use listing::Subscription;
-use peppercove::{MachineId, Micros, Scheduler, Settings};
+use peppercove::{Micros, NodeId, Scheduler, Settings};
 use peppercove_audit::{Event, Seen};
 use peppercove_config::Config;
 use peppercove_core::evidence::Entry;
@@ -40,7 +40,7 @@
     Dial {
         seat: usize,
         life: u64,
-        machine: MachineId,
+        machine: NodeId,
         try_: u64,
     },
     /// It waited long enough for the greeting.
@@ -98,7 +98,7 @@
 struct Process {
     core: Core<Box<dyn Decide>>,
     life: u64,
-    links: BTreeMap<MachineId, Link>,
+    links: BTreeMap<NodeId, Link>,
     armed: Option<Micros>,
     list: Subscription,
     list_retry: Retry,
@@ -128,7 +128,7 @@
     rng: fastrand::Rng,
     seats: Vec<Seat>,
     stations: Vec<Station>,
-    by_id: BTreeMap<MachineId, usize>,
+    by_id: BTreeMap<NodeId, usize>,
     wires: Vec<Wire>,
     roster: Roster,
     list_down: u32,
@@ -409,7 +409,7 @@
             list,
             list_retry,
         });
-        if !s.config.module.list_on_request {
+        if !s.config.module.is_list_polled {
             self.at(now, Happens::CallList { seat, life });
         }
         let controller = self.seats[seat].config.name.clone();
@@ -430,8 +430,8 @@
         if process.core.placed_tasks() > 0 {
             self.hazard("killed with placed tasks running");
         }
-        let open: Vec<MachineId> = process.core.in_doubt_at();
-        let lost = |m: &MachineId| {
+        let open: Vec<NodeId> = process.core.in_doubt_at();
+        let lost = |m: &NodeId| {
             let station = self.by_id.get(m).map(|i| &self.stations[*i]);
             station.is_some_and(|s| s.dead || s.cut > 0 || s.model.faults().hangs)
         };
@@ -568,7 +568,7 @@
     config.journal = script.journal.then(|| "journal".into());
     config.module = Settings {
         schedulers: script.controllers as u32,
-        own_number: i as u32,
+        own_index: i as u32,
         ..script.config.module.clone()
     };
     config
--- a/crates/kernel/src/world/clients.rs
+++ b/crates/kernel/src/world/clients.rs
@@ -3,7 +3,7 @@
 use super::{Happens, World};
 use crate::owners::{Next, after_answer, after_door, after_loss, may_try};
 use crate::script::Arrival;
-use peppercove::{Micros, Repeat, ServiceId, TaskKey};
+use peppercove::{Idempotency, Micros, ServiceId, TaskKey};
 use peppercove_audit::Seen;
 use peppercove_core::{Answer, Input, JobId, Program, Submission, TurnedAway};
 use peppercove_protocol::drmaa::Errno;
@@ -300,7 +300,7 @@
                     .position(|c| *c == ask.arrival.class)
                     .unwrap_or(0);
                 let class = &config.module.classes[class];
-                let (deadline, repeat) = (class.deadline, repeat_of(class.repeat));
+                let (deadline, repeat) = (class.deadline, repeat_of(class.idempotency));
                 self.see(Seen::Taken {
                     controller,
                     session,
@@ -349,7 +349,7 @@
     fn answered(&mut self, desk: usize, ask: Ask, outcome: Outcome) {
         self.tally
             .answered(ask.task, &ask.arrival.class, outcome, self.now - ask.since);
-        let settle = Duration::from_micros(self.script.config.module.settle);
+        let settle = Duration::from_micros(self.script.config.module.ambiguous_retry_delay);
         let safe = self.is_safe(&ask);
         let next = after_answer(outcome, safe, settle, &mut self.desks[desk].rng);
         self.go_on(desk, ask, next);
@@ -362,7 +362,7 @@
             .iter()
             .position(|c| *c == ask.arrival.class)
             .unwrap_or(0);
-        config.module.classes[class].repeat == Repeat::Safe
+        config.module.classes[class].idempotency == Idempotency::Idempotent
     }
 
     fn go_on(&mut self, desk: usize, ask: Ask, next: Next) {
@@ -414,7 +414,7 @@
         d.early.clear();
         d.connected = life;
         let queued = std::mem::take(&mut d.queue);
-        let settle = Duration::from_micros(self.script.config.module.settle);
+        let settle = Duration::from_micros(self.script.config.module.ambiguous_retry_delay);
         for ask in lost {
             let (safe, others) = (self.is_safe(&ask), self.desks.len() > 1);
             let next = after_loss(
@@ -436,10 +436,10 @@
     xxh3_64(key.as_bytes())
 }
 
-fn repeat_of(repeat: Repeat) -> node::Repeat {
+fn repeat_of(repeat: Idempotency) -> node::Repeat {
     match repeat {
-        Repeat::Safe => node::Repeat::Safe,
-        Repeat::Keyed { .. } => node::Repeat::Keyed,
-        Repeat::Unsafe => node::Repeat::Unsafe,
+        Idempotency::Idempotent => node::Repeat::Safe,
+        Idempotency::Keyed { .. } => node::Repeat::Keyed,
+        Idempotency::NonIdempotent => node::Repeat::Unsafe,
     }
 }
--- a/crates/kernel/src/world/listing.rs
+++ b/crates/kernel/src/world/listing.rs
@@ -96,7 +96,7 @@
         let Some(news) = news else {
             process.list.stands = false;
             self.input(seat, Input::ListFailed);
-            if !self.seats[seat].config.module.list_on_request {
+            if !self.seats[seat].config.module.is_list_polled {
                 let scatter = self.rng.f64();
                 let Some(process) = self.process(seat, life) else {
                     return;
--- a/crates/kernel/src/world/wire.rs
+++ b/crates/kernel/src/world/wire.rs
@@ -2,7 +2,7 @@
 //! ends that learn of it at different times.
 
 use super::{Happens, Station, World};
-use peppercove::{MachineId, Micros};
+use peppercove::{Micros, NodeId};
 use peppercove_audit::Seen;
 use peppercove_core::{Input, Output};
 use peppercove_exchange::{Greeting, Heard, Retry, Step, frame, heard};
@@ -15,7 +15,7 @@
     seat: usize,
     life: u64,
     node: usize,
-    machine: MachineId,
+    machine: NodeId,
     /// Life of the node's process that was dialled.
     node_life: u64,
     /// Which ends still hold it: controller, node.
@@ -50,7 +50,7 @@
         &mut self,
         seat: usize,
         life: u64,
-        machine: MachineId,
+        machine: NodeId,
         address: SocketAddrV4,
         name: String,
     ) {
@@ -87,7 +87,7 @@
         );
     }
 
-    pub(super) fn disconnect(&mut self, seat: usize, machine: MachineId) {
+    pub(super) fn disconnect(&mut self, seat: usize, machine: NodeId) {
         let link = self.seats[seat]
             .process
             .as_mut()
@@ -97,7 +97,7 @@
         }
     }
 
-    pub(super) fn dial(&mut self, seat: usize, life: u64, machine: MachineId, try_: u64) {
+    pub(super) fn dial(&mut self, seat: usize, life: u64, machine: NodeId, try_: u64) {
         let Some(process) = self.process(seat, life) else {
             return;
         };
@@ -144,7 +144,7 @@
         self.after(late, Happens::GreetLate { wire });
     }
 
-    fn dial_again(&mut self, seat: usize, life: u64, machine: MachineId) {
+    fn dial_again(&mut self, seat: usize, life: u64, machine: NodeId) {
         let scatter = self.rng.f64();
         let Some(link) = self
             .process(seat, life)
@@ -234,7 +234,7 @@
         self.send(seat, machine, message)
     }
 
-    fn send(&mut self, seat: usize, machine: MachineId, message: ToNode) -> bool {
+    fn send(&mut self, seat: usize, machine: NodeId, message: ToNode) -> bool {
         let link = self.seats[seat]
             .process
             .as_ref()
@@ -373,7 +373,7 @@
         self.input(seat, up);
     }
 
-    fn take(&mut self, seat: usize, machine: MachineId, message: Heard) {
+    fn take(&mut self, seat: usize, machine: NodeId, message: Heard) {
         if let Some(input) = message.input {
             self.input(seat, input);
         }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a controller, as the platform writes it.
 
 use crate::feed::{self, Entry};
-use peppercove::wire::{Shape, WireError, read_settings};
+use peppercove::wire::{ProtocolError, RecordSchema, read_settings};
 use peppercove::{Micros, Settings};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     Json(#[from] serde_json::Error),
     /// The settings in it cannot be used.
     #[error("configuration: {0}")]
-    Settings(#[from] WireError),
+    Settings(#[from] ProtocolError),
     /// A value that makes no sense.
     #[error("configuration: {key}: {problem}")]
     Value {
@@ -87,7 +87,7 @@
     /// The decision module's settings.
     pub settings: Settings,
     /// The names and shapes around them.
-    pub shape: Shape,
+    pub shape: RecordSchema,
 }
 
 /// Fewest descriptors with which a controller can serve: its listener, the journal, logs, and a few connections.
@@ -136,9 +136,9 @@
             ));
         }
         let [first, most] = feed::ask_again(settings.drain_grace, dial_timeout(&shape));
-        settings.ask_again = [
-            settings.ask_again[0].min(first),
-            settings.ask_again[1].min(most),
+        settings.poll_backoff = [
+            settings.poll_backoff[0].min(first),
+            settings.poll_backoff[1].min(most),
         ];
         let File {
             name,
@@ -167,7 +167,7 @@
 }
 
 /// The settings may leave it out; a link of the data centre is up within far less.
-fn dial_timeout(shape: &Shape) -> Micros {
+fn dial_timeout(shape: &RecordSchema) -> Micros {
     if shape.dial_timeout > 0 {
         shape.dial_timeout
     } else {
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -17,9 +17,10 @@
 use hosts::Hosts;
 use late::Late;
 use line::Line;
-use peppercove::wire::Shape;
+use peppercove::wire::RecordSchema;
 use peppercove::{
-    Action, Event, ListScope, Load, MachineId, Micros, Outcome, RequestId, Settings, TaskKey, Why,
+    Action, AttemptOutcome, EndReason, Event, ListUpdateKind, LoadReport, Micros, NodeId,
+    RequestId, Settings, TaskKey,
 };
 use peppercove_core::life::Life;
 use peppercove_core::{Alarms, Decide};
@@ -226,7 +227,7 @@
 /// One attempt.
 #[derive(Debug)]
 struct Try {
-    machine: MachineId,
+    machine: NodeId,
     link: LinkId,
     stage: Stage,
     expires: Micros,
@@ -273,7 +274,7 @@
 /// The cut of a standing task. Until its host has read it, or is gone, the task may go on there, and counts.
 #[derive(Clone, Copy, Debug)]
 struct Cut {
-    outcome: Outcome,
+    outcome: AttemptOutcome,
     cause: u8,
 }
 
@@ -299,9 +300,9 @@
     Try(RequestId, u16),
     Deadline(RequestId),
     Doubt(RequestId, LinkId, u64),
-    Watch(MachineId),
-    Redial(MachineId),
-    Forget(MachineId),
+    Watch(NodeId),
+    Redial(NodeId),
+    Forget(NodeId),
 }
 
 /// One controller on the platform, around a decision module.
@@ -309,7 +310,7 @@
 pub struct Desk<D> {
     module: D,
     settings: Settings,
-    shape: Shape,
+    shape: RecordSchema,
     bounds: Bounds,
     now: Micros,
     consulted: Option<Micros>,
@@ -333,7 +334,13 @@
 
 impl<D: Decide> Desk<D> {
     /// A desk that has just started.
-    pub fn new(module: D, settings: Settings, shape: Shape, bounds: Bounds, seed: u64) -> Desk<D> {
+    pub fn new(
+        module: D,
+        settings: Settings,
+        shape: RecordSchema,
+        bounds: Bounds,
+        seed: u64,
+    ) -> Desk<D> {
         let longest = settings
             .classes
             .iter()
@@ -371,11 +378,11 @@
             Input::Begin(entries) => self.begin(entries),
             Input::List(entries) => self.on_list(entries),
             Input::ListFailed => {
-                let (scope, version, lines) = (ListScope::Failed, 0, Vec::new());
-                self.events.push(Event::MachineList {
-                    scope,
+                let (scope, version, lines) = (ListUpdateKind::Failed, 0, Vec::new());
+                self.events.push(Event::NodeList {
+                    kind: scope,
                     version,
-                    lines,
+                    entries: lines,
                 });
             }
             Input::Owner(owner, message) => self.on_owner(owner, message),
@@ -482,13 +489,13 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Watch => self.out.push(Output::Watch),
-            Action::Bind {
+            Action::WatchNodes => self.out.push(Output::Watch),
+            Action::Dispatch {
                 request,
-                machine,
+                node: machine,
                 timeout,
             } => self.bind(request, machine, timeout),
-            Action::Withdraw { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 // The one that placed the task cannot be withdrawn any more.
                 let open = |a: &Ask| {
                     a.tries
@@ -496,10 +503,10 @@
                         .is_some_and(|t| t.stage.is_open())
                 };
                 if self.asks.get(&request).is_some_and(open) {
-                    self.give_up(request, attempt, Outcome::Withdrawn, false);
+                    self.give_up(request, attempt, AttemptOutcome::Cancelled, false);
                 }
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 if self.answer(request, Message::release(0, cause::TURNED_AWAY)) {
                     self.counters.refused += 1;
                 }
@@ -509,13 +516,13 @@
                     self.counters.failed += 1;
                 }
             }
-            Action::Move(request) => self.move_on(request),
+            Action::Migrate(request) => self.move_on(request),
             Action::SetTimer { label, at } => {
                 self.alarms.set(at.max(self.now + 1), Alarm::Module(label))
             }
             Action::Log(line) => self.out.push(Output::Log(line)),
             // Hosts here have no load to be asked for, and controllers no way to each other.
-            Action::Probe(_) | Action::Tell(_) => {}
+            Action::Probe(_) | Action::Broadcast(_) => {}
         }
     }
 
@@ -529,7 +536,7 @@
                         .is_some_and(|t| t.stage.is_open())
                 };
                 if self.asks.get(&request).is_some_and(open) {
-                    self.give_up(request, attempt, Outcome::TimedOut, false);
+                    self.give_up(request, attempt, AttemptOutcome::TimedOut, false);
                 }
             }
             Alarm::Deadline(request) => {
@@ -557,10 +564,10 @@
             self.hosts.learn(&hosts, &self.shape);
         }
         let lines = self.hosts.lines();
-        self.events.push(Event::MachineList {
-            scope: ListScope::Cached,
+        self.events.push(Event::NodeList {
+            kind: ListUpdateKind::Cached,
             version,
-            lines,
+            entries: lines,
         });
     }
 
@@ -568,11 +575,11 @@
         if entries.is_empty() {
             // A call that brings nothing new is answered all the same.
             let version = self.hosts.version;
-            let (scope, lines) = (ListScope::Delta, Vec::new());
-            self.events.push(Event::MachineList {
-                scope,
+            let (scope, lines) = (ListUpdateKind::Incremental, Vec::new());
+            self.events.push(Event::NodeList {
+                kind: scope,
                 version,
-                lines,
+                entries: lines,
             });
         }
         for entry in entries {
@@ -580,21 +587,21 @@
             self.hosts.version = version;
             let Some(hosts) = entry.hosts else { continue };
             let scope = if hosts.full {
-                ListScope::Full
+                ListUpdateKind::Full
             } else {
-                ListScope::Delta
+                ListUpdateKind::Incremental
             };
             let news = self.hosts.learn(&hosts, &self.shape);
-            let named: Vec<MachineId> = news.lines.iter().map(|l| l.machine).collect();
-            self.events.push(Event::MachineList {
-                scope,
+            let named: Vec<NodeId> = news.lines.iter().map(|l| l.node).collect();
+            self.events.push(Event::NodeList {
+                kind: scope,
                 version,
-                lines: news.lines,
+                entries: news.lines,
             });
             for machine in named.iter().chain(&news.gone) {
                 // Danger: a connection that comes up late would bring there what was bound before this was told.
                 for (request, attempt) in self.hosts.unsent_to_leaving(*machine) {
-                    self.give_up(request, attempt, Outcome::Unreachable, false);
+                    self.give_up(request, attempt, AttemptOutcome::Unreachable, false);
                 }
             }
             for machine in named {
@@ -664,7 +671,7 @@
                 return;
             }
         };
-        request.request = RequestId(self.next_request);
+        request.id = RequestId(self.next_request);
         let held = self.wires.get(&message.id).and_then(|r| self.asks.get(r));
         if let Some(host) = at {
             let machine = self.hosts.named(&host);
@@ -694,7 +701,7 @@
             return;
         }
         let owner = self.owners.entry(from).or_default();
-        owner.open.insert(request.request);
+        owner.open.insert(request.id);
         owner.usual = true;
         self.next_request += 1;
         self.open += 1;
@@ -705,9 +712,9 @@
         // The owner gives up by itself; this is for one that is cut off.
         self.alarms.set(
             deadline.saturating_add(self.settings.answer_slack + self.bounds.test_every),
-            Alarm::Deadline(request.request),
+            Alarm::Deadline(request.id),
         );
-        self.wires.insert(message.id, request.request);
+        self.wires.insert(message.id, request.id);
         let ask = Ask {
             wire: message.id,
             former: None,
@@ -722,7 +729,7 @@
             doubtful: None,
             cut: None,
         };
-        self.asks.insert(request.request, ask);
+        self.asks.insert(request.id, ask);
         self.events.push(Event::Place(request));
         self.tell_untold(from);
     }
@@ -738,10 +745,10 @@
         &mut self,
         from: OwnerId,
         wire: u64,
-        request: peppercove::Request,
-        machine: MachineId,
+        request: peppercove::PlacementRequest,
+        machine: NodeId,
     ) {
-        let id = request.request;
+        let id = request.id;
         self.next_request += 1;
         self.owners.entry(from).or_default().usual = true;
         let (task, link) = (request.task, LinkId(0));
@@ -767,7 +774,10 @@
         };
         self.wires.insert(wire, id);
         self.asks.insert(id, ask);
-        self.events.push(Event::Standing { request, machine });
+        self.events.push(Event::RunningTask {
+            request,
+            node: machine,
+        });
         self.stands_at(machine, id, task);
     }
 
@@ -809,7 +819,7 @@
             Life::Placed(_) => {
                 self.cut(
                     request,
-                    Outcome::Withdrawn,
+                    AttemptOutcome::Cancelled,
                     message.cause().unwrap_or(cause::ORDINARY),
                 );
             }
@@ -836,7 +846,7 @@
     /// The owner waits no more: no answer is owed.
     fn abandon(&mut self, request: RequestId) {
         self.counters.abandoned += 1;
-        self.events.push(Event::Unwanted(request));
+        self.events.push(Event::RequestCancelled(request));
         self.close(request);
     }
 
@@ -862,7 +872,7 @@
         }
         self.over.push(request);
         if let Some(attempt) = out {
-            self.give_up(request, attempt, Outcome::Withdrawn, true);
+            self.give_up(request, attempt, AttemptOutcome::Cancelled, true);
         }
     }
 
@@ -879,7 +889,7 @@
 
     // ---- Attempts ----
 
-    fn bind(&mut self, request: RequestId, machine: MachineId, timeout: Option<Micros>) {
+    fn bind(&mut self, request: RequestId, machine: NodeId, timeout: Option<Micros>) {
         let Some(ask) = self.asks.get(&request) else {
             return;
         };
@@ -904,8 +914,8 @@
                 request,
                 attempt,
                 machine,
-                Outcome::NotSent,
-                Why::Unknown,
+                AttemptOutcome::NotSent,
+                EndReason::Unknown,
                 over,
                 None,
             );
@@ -920,8 +930,8 @@
                 request,
                 attempt,
                 machine,
-                Outcome::Unreachable,
-                Why::Unknown,
+                AttemptOutcome::Unreachable,
+                EndReason::Unknown,
                 false,
                 None,
             );
@@ -976,7 +986,7 @@
     }
 
     /// Stops waiting for an attempt that is out, and tells its host.
-    fn give_up(&mut self, request: RequestId, attempt: u16, outcome: Outcome, over: bool) {
+    fn give_up(&mut self, request: RequestId, attempt: u16, outcome: AttemptOutcome, over: bool) {
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
         };
@@ -994,13 +1004,21 @@
         }
         let stage = if sent { Stage::Loose } else { Stage::Settled };
         // What never left its queue is known not to have run, whatever ended the wait.
-        let outcome = if sent || outcome == Outcome::Withdrawn {
+        let outcome = if sent || outcome == AttemptOutcome::Cancelled {
             outcome
         } else {
-            Outcome::Unreachable
+            AttemptOutcome::Unreachable
         };
         self.end_try(request, attempt, stage, over);
-        self.ended(request, attempt, machine, outcome, Why::Unknown, over, None);
+        self.ended(
+            request,
+            attempt,
+            machine,
+            outcome,
+            EndReason::Unknown,
+            over,
+            None,
+        );
     }
 
     /// Tells a host to give an attempt up, where its connection is up.
@@ -1033,19 +1051,19 @@
         &mut self,
         request: RequestId,
         attempt: u16,
-        machine: MachineId,
-        outcome: Outcome,
-        why: Why,
+        machine: NodeId,
+        outcome: AttemptOutcome,
+        why: EndReason,
         over: bool,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) {
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             request,
             attempt,
-            machine,
+            node: machine,
             outcome,
-            why,
-            over,
+            reason: why,
+            is_final: over,
             load,
         });
     }
@@ -1057,9 +1075,9 @@
         &mut self,
         request: RequestId,
         attempt: u16,
-        outcome: Outcome,
-        why: Why,
-        load: Option<Load>,
+        outcome: AttemptOutcome,
+        why: EndReason,
+        load: Option<LoadReport>,
     ) {
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
@@ -1127,7 +1145,7 @@
 
     /// Cuts a standing task at its host. Danger: a host that is out of reach goes on with it, and room or spread given
     /// away before it has read that would be given away twice; so the module is told of the end only then.
-    fn cut(&mut self, request: RequestId, outcome: Outcome, cause: u8) {
+    fn cut(&mut self, request: RequestId, outcome: AttemptOutcome, cause: u8) {
         let Some(ask) = self.asks.get_mut(&request).filter(|a| a.cut.is_none()) else {
             return;
         };
@@ -1180,7 +1198,7 @@
             return;
         };
         if let (Some(Cut { outcome, .. }), Life::Placed(attempt)) = (ask.cut, ask.life) {
-            self.finish(request, attempt, outcome, Why::Unknown, None);
+            self.finish(request, attempt, outcome, EndReason::Unknown, None);
         }
     }
 
@@ -1194,17 +1212,17 @@
             owner,
             Message::new(Kind::Move, wire).encode(),
         ));
-        self.cut(request, Outcome::Withdrawn, cause::CALLED_OFF);
+        self.cut(request, AttemptOutcome::Cancelled, cause::CALLED_OFF);
     }
 
-    fn stands_at(&mut self, machine: MachineId, request: RequestId, task: TaskKey) {
+    fn stands_at(&mut self, machine: NodeId, request: RequestId, task: TaskKey) {
         self.hosts.stands(machine, request, task);
         self.look_after(machine);
         self.redial(machine);
     }
 
     /// Connections of this machine are watched from now on, while anything of ours is there.
-    fn look_after(&mut self, machine: MachineId) {
+    fn look_after(&mut self, machine: NodeId) {
         if self.hosts.look_after(machine, self.now) {
             self.alarms
                 .set(self.now + self.bounds.test_every, Alarm::Watch(machine));
@@ -1212,7 +1230,7 @@
     }
 
     /// Tasks that stood on a machine before `since` are lost with its process.
-    fn lose(&mut self, machine: MachineId, since: Micros) {
+    fn lose(&mut self, machine: NodeId, since: Micros) {
         for request in self.hosts.standing_at(machine) {
             let Some(ask) = self.asks.get(&request) else {
                 continue;
@@ -1225,13 +1243,19 @@
             } else if ask.placed_at < since {
                 self.counters.lost += 1;
                 self.tell_end(request, cause::CUT);
-                self.finish(request, attempt, Outcome::Lost, Why::Unknown, None);
+                self.finish(
+                    request,
+                    attempt,
+                    AttemptOutcome::Lost,
+                    EndReason::Unknown,
+                    None,
+                );
             }
         }
     }
 
     /// A machine is silent for so long that the owners of its tasks must be told. Whether they go on is not known.
-    fn lose_sight(&mut self, machine: MachineId) {
+    fn lose_sight(&mut self, machine: NodeId) {
         if !self.hosts.is_known(machine) {
             // Nobody has ever heard of it, and there is no way to it.
             return self.lose(machine, Micros::MAX);
@@ -1240,7 +1264,7 @@
             if self.asks.get(&request).is_some_and(|a| a.cut.is_none()) {
                 self.counters.lost += 1;
                 self.tell_end(request, cause::CUT);
-                self.cut(request, Outcome::Lost, cause::ORDINARY);
+                self.cut(request, AttemptOutcome::Lost, cause::ORDINARY);
             }
         }
     }
@@ -1270,7 +1294,7 @@
     }
 
     /// Cuts that wait for a connection go over any that is up.
-    fn send_owed(&mut self, machine: MachineId) {
+    fn send_owed(&mut self, machine: NodeId) {
         if let Some(link) = self.hosts.any_up(machine) {
             for request in self.hosts.take_owed(machine) {
                 self.send_cut(link, request);
@@ -1290,15 +1314,15 @@
                 continue;
             };
             let outcome = match (t.stage, how) {
-                (Stage::Queued, _) => Outcome::Unreachable,
+                (Stage::Queued, _) => AttemptOutcome::Unreachable,
                 // Not one byte of it had left.
                 (Stage::Out(at), Down::Broke { written, .. }) if written <= at => {
-                    Outcome::Unreachable
+                    AttemptOutcome::Unreachable
                 }
-                (Stage::Out(_), _) => Outcome::Lost,
+                (Stage::Out(_), _) => AttemptOutcome::Lost,
                 (Stage::Settled | Stage::Loose, _) => continue,
             };
-            let stage = if outcome == Outcome::Lost {
+            let stage = if outcome == AttemptOutcome::Lost {
                 Stage::Loose
             } else {
                 Stage::Settled
@@ -1309,7 +1333,7 @@
                 attempt,
                 down.machine,
                 outcome,
-                Why::Unknown,
+                EndReason::Unknown,
                 false,
                 None,
             );
@@ -1330,12 +1354,12 @@
     }
 
     /// Where tasks stand a connection is kept over which their ends can come, and where some are to be cut, one for that.
-    fn redial(&mut self, machine: MachineId) {
+    fn redial(&mut self, machine: NodeId) {
         self.hosts.keep_link(machine, self.bounds, &mut self.out);
     }
 
     /// Tests silent connections of a machine on which tasks stand.
-    fn watch(&mut self, machine: MachineId) {
+    fn watch(&mut self, machine: NodeId) {
         let Some(watched) = self.hosts.watch(machine, self.now, self.bounds) else {
             // Danger: a set-up may name any host; one that no list has named is forgotten with its last task.
             return self.hosts.forget(machine);
@@ -1354,7 +1378,7 @@
     }
 
     /// A machine that left keeps nothing.
-    fn forget(&mut self, machine: MachineId) {
+    fn forget(&mut self, machine: NodeId) {
         if !self.hosts.is_gone(machine) {
             return;
         }
@@ -1398,7 +1422,7 @@
         doubt.is_some_and(|d| d.asked == Some((link, test)))
     }
 
-    fn on_word(&mut self, link: LinkId, machine: MachineId, message: &Message) {
+    fn on_word(&mut self, link: LinkId, machine: NodeId, message: &Message) {
         let ask = self
             .wires
             .get(&message.id)
@@ -1412,17 +1436,17 @@
     }
 
     /// A word of a host on the attempt that is out or that placed its task.
-    fn word(&mut self, request: RequestId, attempt: u16, machine: MachineId, message: &Message) {
+    fn word(&mut self, request: RequestId, attempt: u16, machine: NodeId, message: &Message) {
         match message.kind {
             Kind::Answer => self.on_answer(request, attempt, machine, message),
             Kind::Release => self.on_release(request, attempt, machine, message),
             _ => {
                 if let Some(note) = read::note(message) {
-                    self.events.push(Event::Noted {
+                    self.events.push(Event::TaskUpdated {
                         request,
                         attempt,
-                        machine,
-                        note,
+                        node: machine,
+                        update: note,
                     });
                 }
             }
@@ -1492,13 +1516,7 @@
         self.word(request, attempt, machine, &word);
     }
 
-    fn on_answer(
-        &mut self,
-        request: RequestId,
-        attempt: u16,
-        machine: MachineId,
-        message: &Message,
-    ) {
+    fn on_answer(&mut self, request: RequestId, attempt: u16, machine: NodeId, message: &Message) {
         let Some(ask) = self.asks.get(&request) else {
             return;
         };
@@ -1513,8 +1531,8 @@
                 request,
                 attempt,
                 machine,
-                Outcome::Lost,
-                Why::Unknown,
+                AttemptOutcome::Lost,
+                EndReason::Unknown,
                 false,
                 None,
             );
@@ -1531,7 +1549,7 @@
     }
 
     /// The attempt that is out stands from now on, and its owner has the final answer.
-    fn place(&mut self, request: RequestId, attempt: u16, machine: MachineId) {
+    fn place(&mut self, request: RequestId, attempt: u16, machine: NodeId) {
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
         };
@@ -1549,7 +1567,7 @@
         self.events.push(Event::Placed {
             request,
             attempt,
-            machine,
+            node: machine,
         });
         self.stands_at(machine, request, task);
     }
@@ -1561,8 +1579,8 @@
         &mut self,
         request: RequestId,
         attempt: u16,
-        machine: MachineId,
-        outcome: Outcome,
+        machine: NodeId,
+        outcome: AttemptOutcome,
         message: &Message,
     ) {
         let Some(ask) = self.asks.get(&request) else {
@@ -1581,13 +1599,7 @@
         );
     }
 
-    fn on_release(
-        &mut self,
-        request: RequestId,
-        attempt: u16,
-        machine: MachineId,
-        message: &Message,
-    ) {
+    fn on_release(&mut self, request: RequestId, attempt: u16, machine: NodeId, message: &Message) {
         let Some(ask) = self.asks.get(&request) else {
             return;
         };
@@ -1601,15 +1613,15 @@
             // end. Its key is known from now on, so that each further try would be discarded.
             self.on_answer(request, attempt, machine, message);
             self.tell_end(request, cause::ORDINARY);
-            self.finish(request, attempt, Outcome::Done, why, load);
+            self.finish(request, attempt, AttemptOutcome::Completed, why, load);
             return;
         }
         if ask.life.is_open() {
             let outcome = match cause {
-                Some(cause::FULL) => Outcome::Refused,
-                Some(cause::ERROR) => Outcome::Error,
-                Some(cause::MOOT) => Outcome::NotSent,
-                _ => Outcome::Lost,
+                Some(cause::FULL) => AttemptOutcome::Rejected,
+                Some(cause::ERROR) => AttemptOutcome::Error,
+                Some(cause::MOOT) => AttemptOutcome::NotSent,
+                _ => AttemptOutcome::Lost,
             };
             let (link, wire) = (ask.tries[usize::from(attempt)].link, ask.wire);
             let rival = words::has_rival(ask, attempt);
@@ -1617,7 +1629,7 @@
                 return self.over_unanswered(request, attempt, machine, outcome, message);
             }
             let mut stage = Stage::Settled;
-            if outcome == Outcome::Lost && rival {
+            if outcome == AttemptOutcome::Lost && rival {
                 // The cut may be that of an earlier attempt at the same host, and this one may go on there.
                 stage = Stage::Loose;
                 self.release(link, wire);
@@ -1627,9 +1639,9 @@
             return;
         }
         let outcome = match cause {
-            Some(cause::ORDINARY) => Outcome::Done,
-            Some(cause::CALLED_OFF) => Outcome::Withdrawn,
-            _ => Outcome::Lost,
+            Some(cause::ORDINARY) => AttemptOutcome::Completed,
+            Some(cause::CALLED_OFF) => AttemptOutcome::Cancelled,
+            _ => AttemptOutcome::Lost,
         };
         let rival = words::has_rival(ask, attempt);
         if ask.cut.is_some() {
--- a/crates/platform/src/desk/hosts.rs
+++ b/crates/platform/src/desk/hosts.rs
@@ -2,8 +2,8 @@
 
 use super::{Bounds, LinkId, Output};
 use crate::feed;
-use peppercove::wire::Shape;
-use peppercove::{MachineId, MachineLine, MachineState, Micros, RequestId, TaskKey};
+use peppercove::wire::RecordSchema;
+use peppercove::{Micros, NodeEntry, NodeId, NodeStatus, RequestId, TaskKey};
 use peppercove_core::Retry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 struct Host {
     name: String,
     address: Option<SocketAddr>,
-    line: MachineLine,
+    line: NodeEntry,
     links: Vec<LinkId>,
     standing: BTreeMap<RequestId, TaskKey>,
     heard_at: Micros,
@@ -32,7 +32,7 @@
 
 #[derive(Debug)]
 struct Link {
-    machine: MachineId,
+    machine: NodeId,
     up: bool,
     queued: Vec<(RequestId, u16)>,
     out: BTreeSet<(RequestId, u16)>,
@@ -50,15 +50,15 @@
 /// What the list brought.
 #[derive(Debug, Default)]
 pub(super) struct News {
-    pub(super) lines: Vec<MachineLine>,
-    pub(super) restarted: Vec<(MachineId, Micros)>,
-    pub(super) gone: Vec<MachineId>,
+    pub(super) lines: Vec<NodeEntry>,
+    pub(super) restarted: Vec<(NodeId, Micros)>,
+    pub(super) gone: Vec<NodeId>,
 }
 
 /// A connection that is no more.
 #[derive(Debug)]
 pub(super) struct Fallen {
-    pub(super) machine: MachineId,
+    pub(super) machine: NodeId,
     pub(super) tries: Vec<(RequestId, u16)>,
 }
 
@@ -72,7 +72,7 @@
 
 #[derive(Debug)]
 pub(super) struct Hosts {
-    hosts: BTreeMap<MachineId, Host>,
+    hosts: BTreeMap<NodeId, Host>,
     links: BTreeMap<LinkId, Link>,
     pub(super) version: u64,
     standing: usize,
@@ -94,18 +94,18 @@
     }
 
     /// The machine of an id: the same number at every controller, since the module ranks homes by it.
-    pub(super) fn named(&mut self, name: &str) -> MachineId {
-        let mut id = MachineId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
+    pub(super) fn named(&mut self, name: &str) -> NodeId {
+        let mut id = NodeId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
         while self.hosts.get(&id).is_some_and(|h| h.name != name) {
             // Two ids of one hash: the later one moves on.
-            id = MachineId(id.0.wrapping_add(1));
+            id = NodeId(id.0.wrapping_add(1));
         }
         self.hosts.entry(id).or_insert_with(|| Host {
             name: name.to_owned(),
             address: None,
-            line: MachineLine {
-                machine: id,
-                ..MachineLine::default()
+            line: NodeEntry {
+                node: id,
+                ..NodeEntry::default()
             },
             links: Vec::new(),
             standing: BTreeMap::new(),
@@ -119,7 +119,7 @@
     }
 
     /// Takes an event of the list in.
-    pub(super) fn learn(&mut self, told: &feed::Hosts, shape: &Shape) -> News {
+    pub(super) fn learn(&mut self, told: &feed::Hosts, shape: &RecordSchema) -> News {
         let mut news = News::default();
         let mut named = BTreeSet::new();
         for host in &told.servers {
@@ -144,14 +144,14 @@
                     news.restarted.push((id, started_at));
                 }
                 line.started_at = started_at;
-                line.life = started_at;
+                line.incarnation = started_at;
             }
             if let Some([cores, memory]) = host.room {
-                let seen = |x: f64| Some(x).filter(|x| shape.view && x.is_finite());
+                let seen = |x: f64| Some(x).filter(|x| shape.has_free_capacity && x.is_finite());
                 (line.free_cores, line.free_memory) = (seen(cores), seen(memory));
             }
-            line.state = host.state.map_or(line.state, MachineState::from);
-            if line.state == MachineState::Gone {
+            line.state = host.state.map_or(line.state, NodeStatus::from);
+            if line.state == NodeStatus::Gone {
                 news.gone.push(id);
             }
             news.lines.push(line.clone());
@@ -159,7 +159,7 @@
         if told.full {
             for (id, host) in &mut self.hosts {
                 if !named.contains(id) {
-                    host.line.state = MachineState::Gone;
+                    host.line.state = NodeStatus::Gone;
                     news.gone.push(*id);
                 }
             }
@@ -168,8 +168,8 @@
     }
 
     /// All hosts that the list names.
-    pub(super) fn lines(&self) -> Vec<MachineLine> {
-        let listed = |h: &&Host| h.line.state != MachineState::Gone;
+    pub(super) fn lines(&self) -> Vec<NodeEntry> {
+        let listed = |h: &&Host| h.line.state != NodeStatus::Gone;
         self.hosts
             .values()
             .filter(listed)
@@ -177,20 +177,20 @@
             .collect()
     }
 
-    pub(super) fn is_gone(&self, machine: MachineId) -> bool {
+    pub(super) fn is_gone(&self, machine: NodeId) -> bool {
         self.hosts
             .get(&machine)
-            .is_none_or(|h| h.line.state == MachineState::Gone)
+            .is_none_or(|h| h.line.state == NodeStatus::Gone)
     }
 
     /// A list told its address.
-    pub(super) fn is_known(&self, machine: MachineId) -> bool {
+    pub(super) fn is_known(&self, machine: NodeId) -> bool {
         self.hosts
             .get(&machine)
             .is_some_and(|h| h.address.is_some())
     }
 
-    pub(super) fn forget(&mut self, machine: MachineId) {
+    pub(super) fn forget(&mut self, machine: NodeId) {
         let unused = |h: &Host| h.links.is_empty() && h.standing.is_empty();
         if self.is_gone(machine) && self.hosts.get(&machine).is_some_and(unused) {
             self.hosts.remove(&machine);
@@ -207,7 +207,7 @@
         self.standing
     }
 
-    pub(super) fn standing_at(&self, machine: MachineId) -> Vec<RequestId> {
+    pub(super) fn standing_at(&self, machine: NodeId) -> Vec<RequestId> {
         self.hosts
             .get(&machine)
             .map(|h| h.standing.keys().copied().collect())
@@ -215,7 +215,7 @@
     }
 
     /// The standing task of this name there.
-    pub(super) fn holding(&self, machine: MachineId, task: TaskKey) -> Option<RequestId> {
+    pub(super) fn holding(&self, machine: NodeId, task: TaskKey) -> Option<RequestId> {
         self.hosts
             .get(&machine)?
             .standing
@@ -225,7 +225,7 @@
     }
 
     /// A task stands there from now on.
-    pub(super) fn stands(&mut self, machine: MachineId, request: RequestId, task: TaskKey) {
+    pub(super) fn stands(&mut self, machine: NodeId, request: RequestId, task: TaskKey) {
         let Some(host) = self.hosts.get_mut(&machine) else {
             return;
         };
@@ -235,7 +235,7 @@
     }
 
     /// Something of ours is there; true where nobody watched the host before.
-    pub(super) fn look_after(&mut self, machine: MachineId, now: Micros) -> bool {
+    pub(super) fn look_after(&mut self, machine: NodeId, now: Micros) -> bool {
         let Some(host) = self.hosts.get_mut(&machine).filter(|h| !h.watched) else {
             return false;
         };
@@ -243,7 +243,7 @@
         true
     }
 
-    pub(super) fn stands_no_more(&mut self, machine: MachineId, request: RequestId) {
+    pub(super) fn stands_no_more(&mut self, machine: NodeId, request: RequestId) {
         let Some(host) = self.hosts.get_mut(&machine) else {
             return;
         };
@@ -256,7 +256,7 @@
     /// Looks at the connections of a host with tasks; `None` ends the watch.
     pub(super) fn watch(
         &mut self,
-        machine: MachineId,
+        machine: NodeId,
         now: Micros,
         bounds: Bounds,
     ) -> Option<Watched> {
@@ -297,7 +297,7 @@
     /// one. `None` where the host has no address.
     pub(super) fn link_for(
         &mut self,
-        machine: MachineId,
+        machine: NodeId,
         carried: &[LinkId],
         now: Micros,
         bounds: Bounds,
@@ -353,12 +353,7 @@
         Some(())
     }
 
-    fn dial(
-        &mut self,
-        machine: MachineId,
-        bounds: Bounds,
-        out: &mut Vec<Output>,
-    ) -> Option<LinkId> {
+    fn dial(&mut self, machine: NodeId, bounds: Bounds, out: &mut Vec<Output>) -> Option<LinkId> {
         let address = self.hosts.get(&machine)?.address?;
         if self.links.len() >= bounds.all_links {
             self.spare(out)?;
@@ -385,14 +380,14 @@
     }
 
     /// A connection broke, perhaps with words on it that were not read.
-    pub(super) fn missed(&mut self, machine: MachineId) {
+    pub(super) fn missed(&mut self, machine: NodeId) {
         if let Some(host) = self.hosts.get_mut(&machine) {
             host.missed = Some(LinkId(self.next_link));
         }
     }
 
     /// Dials a host with tasks where it has no connection left or may have said what was not heard.
-    pub(super) fn keep_link(&mut self, machine: MachineId, bounds: Bounds, out: &mut Vec<Output>) {
+    pub(super) fn keep_link(&mut self, machine: NodeId, bounds: Bounds, out: &mut Vec<Output>) {
         let Some(host) = self.hosts.get(&machine) else {
             return;
         };
@@ -401,13 +396,13 @@
             .links
             .iter()
             .all(|id| hung(id) || host.missed.is_some_and(|first| *id < first));
-        if none && host.line.state != MachineState::Gone && !host.standing.is_empty() {
+        if none && host.line.state != NodeStatus::Gone && !host.standing.is_empty() {
             self.dial(machine, bounds, out);
         }
     }
 
     /// How long to wait before that, where it is needed.
-    pub(super) fn wait_to_redial(&mut self, machine: MachineId) -> Option<Micros> {
+    pub(super) fn wait_to_redial(&mut self, machine: NodeId) -> Option<Micros> {
         let host = self.hosts.get_mut(&machine)?;
         if host.standing.is_empty() || !(host.missed.is_some() || host.links.is_empty()) {
             return None;
@@ -416,7 +411,7 @@
         Some(u64::try_from(wait.as_micros()).unwrap_or(0))
     }
 
-    pub(super) fn links_of(&self, machine: MachineId) -> Vec<LinkId> {
+    pub(super) fn links_of(&self, machine: NodeId) -> Vec<LinkId> {
         self.hosts
             .get(&machine)
             .map(|h| h.links.clone())
@@ -427,13 +422,13 @@
         self.links.get(&link).is_some_and(|l| l.up && !l.hung)
     }
 
-    pub(super) fn any_up(&self, machine: MachineId) -> Option<LinkId> {
+    pub(super) fn any_up(&self, machine: NodeId) -> Option<LinkId> {
         let host = self.hosts.get(&machine)?;
         host.links.iter().copied().find(|l| self.is_up(*l))
     }
 
     /// A connection came up: whose it is.
-    pub(super) fn up(&mut self, link: LinkId, now: Micros) -> Option<MachineId> {
+    pub(super) fn up(&mut self, link: LinkId, now: Micros) -> Option<NodeId> {
         let l = self.links.get_mut(&link)?;
         (l.up, l.heard_at) = (true, now);
         let host = self.hosts.get_mut(&l.machine)?;
@@ -444,7 +439,7 @@
     }
 
     /// The tasks whose cut waits for a connection.
-    pub(super) fn take_owed(&mut self, machine: MachineId) -> BTreeSet<RequestId> {
+    pub(super) fn take_owed(&mut self, machine: NodeId) -> BTreeSet<RequestId> {
         self.hosts
             .get_mut(&machine)
             .map(|h| std::mem::take(&mut h.owed))
@@ -452,7 +447,7 @@
     }
 
     /// Something came over a connection: whose it is.
-    pub(super) fn heard(&mut self, link: LinkId, now: Micros) -> Option<MachineId> {
+    pub(super) fn heard(&mut self, link: LinkId, now: Micros) -> Option<NodeId> {
         let l = self.links.get_mut(&link)?;
         (l.tested_at, l.heard_at) = (None, now);
         if let Some(host) = self.hosts.get_mut(&l.machine) {
@@ -477,7 +472,7 @@
     }
 
     /// No connection can take the cut of a task now.
-    pub(super) fn owe(&mut self, machine: MachineId, request: RequestId) {
+    pub(super) fn owe(&mut self, machine: NodeId, request: RequestId) {
         if let Some(host) = self.hosts.get_mut(&machine) {
             host.owed.insert(request);
         }
@@ -512,11 +507,11 @@
     }
 
     /// Attempts that wait for a connection to a host that takes nothing new.
-    pub(super) fn unsent_to_leaving(&self, machine: MachineId) -> Vec<(RequestId, u16)> {
+    pub(super) fn unsent_to_leaving(&self, machine: NodeId) -> Vec<(RequestId, u16)> {
         let leaving = self
             .hosts
             .get(&machine)
-            .filter(|h| h.line.state != MachineState::Ready);
+            .filter(|h| h.line.state != NodeStatus::Ready);
         let links = leaving
             .into_iter()
             .flat_map(|h| &h.links)
--- a/crates/platform/src/desk/read.rs
+++ b/crates/platform/src/desk/read.rs
@@ -2,9 +2,10 @@
 
 use super::Body;
 use crate::wire::{Message, cause, code};
-use peppercove::wire::{Shape, report_value};
+use peppercove::wire::{RecordSchema, set_load_value};
 use peppercove::{
-    Load, Micros, Note, Outcome, Repeat, Request, RequestId, ServiceId, Settings, TaskKey, Why,
+    AttemptOutcome, EndReason, Idempotency, LoadReport, Micros, PlacementRequest, RequestId,
+    ServiceId, Settings, TaskKey, TaskUpdate,
 };
 
 /// Why a set-up cannot be used.
@@ -76,8 +77,8 @@
 pub(super) fn set_up(
     message: &Message,
     settings: &Settings,
-    shape: &Shape,
-) -> Result<(Request, Option<String>, Body), Unusable> {
+    shape: &RecordSchema,
+) -> Result<(PlacementRequest, Option<String>, Body), Unusable> {
     // Danger: a host closes the connection on a set-up without an id, with all that is open on it.
     if message.id == 0 {
         return Err(Unusable::Id);
@@ -94,19 +95,22 @@
         .filter(|t| !t.is_empty())
         .ok_or(Unusable::Task)?;
     let key = message.get(code::KEY);
-    if matches!(class.repeat, Repeat::Keyed { .. }) && key.is_none_or(<[u8]>::is_empty) {
+    if matches!(class.idempotency, Idempotency::Keyed { .. }) && key.is_none_or(<[u8]>::is_empty) {
         return Err(Unusable::Key);
     }
     let figures = figures(message).ok_or(Unusable::Figures)?;
     // No machine of any kind accepts more: it is no figure of a task of this cluster.
-    let most = |of: fn(&peppercove::Kind) -> f64, accepts: f64| {
-        settings.kinds.iter().map(of).fold(0.0, f64::max) * accepts.max(1.0)
+    let most = |of: fn(&peppercove::NodeKind) -> f64, accepts: f64| {
+        settings.node_kinds.iter().map(of).fold(0.0, f64::max) * accepts.max(1.0)
     };
     let within = |x: Option<f64>, most: f64| x.filter(|x| x.is_finite() && *x > 0.0 && *x <= most);
-    let cores = within(figures.cores, most(|k| k.cores, settings.accepts_cores))
-        .ok_or(Unusable::Figures)?;
-    let memory = within(figures.memory, most(|k| k.memory, settings.accepts_memory))
+    let cores = within(figures.cores, most(|k| k.cores, settings.cores_overcommit))
         .ok_or(Unusable::Figures)?;
+    let memory = within(
+        figures.memory,
+        most(|k| k.memory, settings.memory_overcommit),
+    )
+    .ok_or(Unusable::Figures)?;
     // Names of hosts are kept while tasks stand there.
     if figures
         .at
@@ -127,8 +131,8 @@
     if figures.at.is_none() && (wait == 0 || wait > class.deadline.saturating_mul(2)) {
         return Err(Unusable::Wait);
     }
-    let request = Request {
-        request: RequestId(0),
+    let request = PlacementRequest {
+        id: RequestId(0),
         task: TaskKey(number(task)),
         service: ServiceId(number(service)),
         class: index as u16,
@@ -136,8 +140,8 @@
         cores,
         memory,
         deadline_in: wait,
-        life_hint: None,
-        again: message.text(code::RETRY) == Some("1"),
+        expected_duration: None,
+        is_retry: message.text(code::RETRY) == Some("1"),
     };
     let body = Body {
         class: name.as_bytes().into(),
@@ -149,43 +153,45 @@
 }
 
 /// Why a host refused or gave a task up.
-pub(super) fn why(message: &Message) -> Why {
+pub(super) fn why(message: &Message) -> EndReason {
     match message.text(code::NOTE) {
-        Some("no_cores") => Why::NoCores,
-        Some("no_memory") => Why::NoMemory,
-        Some("queue_full") => Why::Busy,
-        Some("not_here") => Why::NotHere,
-        Some("evicted") => Why::Evicted,
-        Some("pushed_out") => Why::PushedOut,
-        Some("sent_away") => Why::SentAway,
-        _ => Why::Unknown,
+        Some("no_cores") => EndReason::InsufficientCores,
+        Some("no_memory") => EndReason::InsufficientMemory,
+        Some("queue_full") => EndReason::QueueFull,
+        Some("not_here") => EndReason::Ineligible,
+        Some("evicted") => EndReason::Evicted,
+        Some("pushed_out") => EndReason::Preempted,
+        Some("sent_away") => EndReason::Drained,
+        _ => EndReason::Unknown,
     }
 }
 
 /// How a task ended that had stood, where its host's release says so by itself. What never started is refused with the
 /// same reasons, or broke on its way without any.
-pub(super) fn end_of_what_stood(message: &Message) -> Option<Outcome> {
+pub(super) fn end_of_what_stood(message: &Message) -> Option<AttemptOutcome> {
     match (message.cause()?, why(message)) {
-        (cause::ORDINARY, _) => Some(Outcome::Done),
-        (cause::CUT, Why::Evicted | Why::PushedOut | Why::SentAway) => Some(Outcome::Lost),
+        (cause::ORDINARY, _) => Some(AttemptOutcome::Completed),
+        (cause::CUT, EndReason::Evicted | EndReason::Preempted | EndReason::Drained) => {
+            Some(AttemptOutcome::Lost)
+        }
         _ => None,
     }
 }
 
 /// The load report that came along.
-pub(super) fn load(message: &Message, shape: &Shape) -> Option<Load> {
-    let mut load = Load::default();
+pub(super) fn load(message: &Message, shape: &RecordSchema) -> Option<LoadReport> {
+    let mut load = LoadReport::default();
     for pair in message.text(code::REPORT)?.split(';') {
         let (name, value) = pair.split_once(':')?;
-        if shape.fields.iter().any(|f| f == name) || matches!(name, "util" | "queue") {
-            report_value(&mut load, name, value.parse().ok()?);
+        if shape.load_fields.iter().any(|f| f == name) || matches!(name, "util" | "queue") {
+            set_load_value(&mut load, name, value.parse().ok()?);
         }
     }
     Some(load)
 }
 
 /// A note on a task that stands.
-pub(super) fn note(message: &Message) -> Option<Note> {
+pub(super) fn note(message: &Message) -> Option<TaskUpdate> {
     let figure = || {
         message
             .text(code::FIGURE)?
@@ -194,11 +200,11 @@
             .filter(|x: &f64| x.is_finite())
     };
     Some(match message.text(code::NOTE)? {
-        "runs" => Note::Runs,
-        "cores" => Note::CoresUsed(figure()?),
-        "memory" => Note::MemoryUsed(figure()?),
-        "served" => Note::Served(figure()?),
-        "pressure" => Note::MachineMemory(figure()?),
+        "runs" => TaskUpdate::Running,
+        "cores" => TaskUpdate::CoresUsed(figure()?),
+        "memory" => TaskUpdate::MemoryUsed(figure()?),
+        "served" => TaskUpdate::ServedShare(figure()?),
+        "pressure" => TaskUpdate::NodeMemoryShare(figure()?),
         _ => return None,
     })
 }
--- a/crates/platform/src/desk/words.rs
+++ b/crates/platform/src/desk/words.rs
@@ -5,7 +5,7 @@
 
 use super::{Ask, LinkId, Stage};
 use crate::wire::{Kind, Message, cause, code};
-use peppercove::MachineId;
+use peppercove::NodeId;
 use peppercove_core::life::Life;
 
 /// Whom a word is about.
@@ -32,7 +32,7 @@
 }
 
 /// The attempt that a word on a connection of a host is about.
-pub(super) fn meant(ask: &Ask, link: LinkId, machine: MachineId, word: &Message) -> Meant {
+pub(super) fn meant(ask: &Ask, link: LinkId, machine: NodeId, word: &Message) -> Meant {
     let cause = word.cause().filter(|_| word.kind == Kind::Release);
     let (Life::Offered(n) | Life::Placed(n)) = ask.life else {
         return Meant::Nobodys;
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -1,7 +1,7 @@
 //! Lines of the journal service, and the list events in them.
 
 use bytes::BytesMut;
-use peppercove::{MachineState, Micros};
+use peppercove::{Micros, NodeStatus};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -108,12 +108,12 @@
     Left,
 }
 
-impl From<State> for MachineState {
-    fn from(state: State) -> MachineState {
+impl From<State> for NodeStatus {
+    fn from(state: State) -> NodeStatus {
         match state {
-            State::Active => MachineState::Ready,
-            State::Leaving => MachineState::Draining,
-            State::Left => MachineState::Gone,
+            State::Active => NodeStatus::Ready,
+            State::Leaving => NodeStatus::Draining,
+            State::Left => NodeStatus::Gone,
         }
     }
 }
--- a/crates/platform/tests/answers.rs
+++ b/crates/platform/tests/answers.rs
@@ -27,7 +27,7 @@
 impl World {
     fn new(seed: u64) -> World {
         let settings = Settings {
-            list_on_request: false,
+            is_list_polled: false,
             ..Settings::sample()
         };
         let desk = Desk::new(
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use bytes::{Bytes, BytesMut};
 use peppercove::Micros;
-use peppercove::wire::Shape;
+use peppercove::wire::RecordSchema;
 use peppercove_platform::Bounds;
 use peppercove_platform::feed::{Entry, Line, Lines};
 use peppercove_platform::wire::{Kind, Message, code, decode};
@@ -31,11 +31,11 @@
     }
 }
 
-pub fn shape() -> Shape {
+pub fn shape() -> RecordSchema {
     let names = |n: &[&str]| n.iter().map(|x| (*x).to_owned()).collect();
-    Shape {
-        fields: names(&["x0", "x1", "cpu", "waiting"]),
-        view: true,
+    RecordSchema {
+        load_fields: names(&["x0", "x1", "cpu", "waiting"]),
+        has_free_capacity: true,
         classes: names(&["plain", "keyed", "once"]),
         kinds: names(&["std"]),
         zones: names(&["east"]),
--- a/crates/platform/tests/desk.rs
+++ b/crates/platform/tests/desk.rs
@@ -5,8 +5,8 @@
 
 use common::{MS, S, WAIT, bounds, event, host, read, set_up, shape};
 use peppercove::{
-    Action, Event, ListScope, Load, MachineId, MachineState, Micros, Outcome, RequestId, Settings,
-    Why,
+    Action, AttemptOutcome, EndReason, Event, ListUpdateKind, LoadReport, Micros, NodeId,
+    NodeStatus, RequestId, Settings,
 };
 use peppercove_core::Decide;
 use peppercove_platform::wire::{Kind, Message, cause, code};
@@ -81,8 +81,8 @@
         out
     }
 
-    fn machine(&self, name: &str) -> MachineId {
-        MachineId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
+    fn machine(&self, name: &str) -> NodeId {
+        NodeId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
 
     /// The next batch makes the module do this.
@@ -94,9 +94,9 @@
 
     fn bind(&mut self, request: u64, name: &str, timeout: Option<Micros>) -> Vec<Output> {
         let machine = self.machine(name);
-        self.act(Action::Bind {
+        self.act(Action::Dispatch {
             request: RequestId(request),
-            machine,
+            node: machine,
             timeout,
         })
     }
@@ -116,19 +116,19 @@
     fn told(&mut self) -> Vec<Event> {
         let told = std::mem::take(&mut *self.told.borrow_mut());
         told.into_iter()
-            .filter(|e| !matches!(e, Event::MachineList { .. }))
+            .filter(|e| !matches!(e, Event::NodeList { .. }))
             .collect()
     }
 
     /// How attempts ended, as the module was told.
-    fn ends(&mut self) -> Vec<(u64, u16, Outcome, bool)> {
+    fn ends(&mut self) -> Vec<(u64, u16, AttemptOutcome, bool)> {
         self.pass(2 * MS);
         let ended = |e: Event| match e {
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 outcome,
-                over,
+                is_final: over,
                 ..
             } => Some((request.0, attempt, outcome, over)),
             _ => None,
@@ -224,29 +224,34 @@
     bench.put(Input::Host(LinkId(1), full));
     bench.pass(2 * MS);
     let ended = bench.told().into_iter().find_map(|e| match e {
-        Event::Ended {
+        Event::AttemptEnded {
             outcome,
-            why,
-            over,
+            reason: why,
+            is_final: over,
             load,
             ..
         } => Some((outcome, why, over, load)),
         _ => None,
     });
-    let load = Load {
+    let load = LoadReport {
         free_cores: Some(1.5),
         free_memory: Some(-2.0),
-        busy: Some(0.25),
-        waiting: Some(3.0),
+        cpu_utilization: Some(0.25),
+        queue_depth: Some(3.0),
     };
     assert_eq!(
         ended,
-        Some((Outcome::Refused, Why::NoMemory, false, Some(load)))
+        Some((
+            AttemptOutcome::Rejected,
+            EndReason::InsufficientMemory,
+            false,
+            Some(load)
+        ))
     );
     for (attempt, (cause, outcome)) in [
-        (47, Outcome::Error),
-        (41, Outcome::Lost),
-        (102, Outcome::NotSent),
+        (47, AttemptOutcome::Error),
+        (41, AttemptOutcome::Lost),
+        (102, AttemptOutcome::NotSent),
     ]
     .into_iter()
     .enumerate()
@@ -276,24 +281,27 @@
         [(1, answer), (1, Message::release(5, cause::ORDINARY))]
     );
     // Tries after it would be discarded: taken for a break, it cost the task its attempts and its owner a failure.
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Done, true)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Completed, true)]);
     assert_eq!((bench.desk.open(), bench.desk.standing()), (0, 0));
     // Without one there is nothing to answer with, but it ran to its end all the same.
     bench.put(Input::Owner(OwnerId(1), set_up(6, "keyed")));
     bench.bind(2, "a", None);
     let out = replies(&bench.put(Input::Host(LinkId(1), Message::release(6, cause::ORDINARY))));
     assert_eq!(out, [(1, Message::release(6, cause::CUT))]);
-    assert_eq!(bench.ends(), [(2, 0, Outcome::Done, true)]);
+    assert_eq!(bench.ends(), [(2, 0, AttemptOutcome::Completed, true)]);
 }
 
 #[test]
 fn an_end_that_comes_before_its_answer_is_its_owners_final_answer() {
     let note = |cause, note: &[u8]| Message::release(5, cause).with(code::NOTE, note);
     let stood = [
-        (note(cause::CUT, b"sent_away"), Outcome::Lost),
-        (note(cause::CUT, b"evicted"), Outcome::Lost),
-        (note(cause::CUT, b"pushed_out"), Outcome::Lost),
-        (Message::release(5, cause::ORDINARY), Outcome::Done),
+        (note(cause::CUT, b"sent_away"), AttemptOutcome::Lost),
+        (note(cause::CUT, b"evicted"), AttemptOutcome::Lost),
+        (note(cause::CUT, b"pushed_out"), AttemptOutcome::Lost),
+        (
+            Message::release(5, cause::ORDINARY),
+            AttemptOutcome::Completed,
+        ),
     ];
     for (word, outcome) in stood {
         let mut bench = Bench::new();
@@ -311,7 +319,7 @@
             .iter()
             .position(|e| matches!(e, Event::Placed { attempt: 0, .. }));
         let ended = told.iter().position(
-            |e| matches!(e, Event::Ended { outcome: how, over: true, .. } if *how == outcome),
+            |e| matches!(e, Event::AttemptEnded { outcome: how, is_final: true, .. } if *how == outcome),
         );
         assert!(placed.is_some() && placed < ended, "{word:?}: {told:?}");
         // A further attempt of the module goes nowhere, and the answer that was late is nobody's.
@@ -322,8 +330,8 @@
     }
     // What never started was refused with the same reason, and what broke on its way has none.
     for (word, outcome) in [
-        (note(cause::FULL, b"sent_away"), Outcome::Refused),
-        (Message::release(5, cause::CUT), Outcome::Lost),
+        (note(cause::FULL, b"sent_away"), AttemptOutcome::Rejected),
+        (Message::release(5, cause::CUT), AttemptOutcome::Lost),
     ] {
         let mut bench = Bench::new();
         bench.offered(5, "plain", None);
@@ -342,7 +350,7 @@
         [(1, Message::release(5, cause::ORDINARY))],
         "given up at its time-out"
     );
-    assert_eq!(bench.ends(), [(1, 0, Outcome::TimedOut, false)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::TimedOut, false)]);
     // The second attempt goes over a connection of its own, so that words can be told apart.
     let out = bench.bind(1, "a", None);
     assert!(matches!(out[..], [Output::Dial(LinkId(2), _)]), "{out:?}");
@@ -366,7 +374,7 @@
 
 #[test]
 fn a_broken_connection_tells_what_left_from_what_never_did() {
-    for (written, outcome) in [(0, Outcome::Unreachable), (1, Outcome::Lost)] {
+    for (written, outcome) in [(0, AttemptOutcome::Unreachable), (1, AttemptOutcome::Lost)] {
         let mut bench = Bench::new();
         bench.offered(5, "once", None);
         bench.put(Input::LinkDown(
@@ -389,7 +397,7 @@
         bench.put(Input::LinkDown(LinkId(1), how));
         assert_eq!(
             bench.ends(),
-            [(1, 0, Outcome::Unreachable, false)],
+            [(1, 0, AttemptOutcome::Unreachable, false)],
             "{how:?}"
         );
     }
@@ -401,7 +409,7 @@
     bench.put(Input::Owner(OwnerId(1), set_up(5, "once")));
     bench.bind(1, "a", Some(50 * MS));
     assert!(sends(&bench.pass(100 * MS)).is_empty());
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Unreachable, false)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Unreachable, false)]);
     assert!(
         sends(&bench.put(Input::LinkUp(LinkId(1)))).is_empty(),
         "nothing is sent for it any more"
@@ -415,7 +423,7 @@
     bench.pass(WAIT - 100 * MS);
     assert_eq!(bench.ends(), []);
     bench.pass(100 * MS);
-    assert_eq!(bench.ends(), [(1, 0, Outcome::TimedOut, false)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::TimedOut, false)]);
     // The module answers at once, and the answer leaves in the same call.
     let out = bench.act(Action::Fail(RequestId(1)));
     assert_eq!(replies(&out), [(1, Message::release(5, cause::CUT))]);
@@ -433,7 +441,7 @@
     bench.bind(1, "b", None);
     assert_eq!(
         bench.ends(),
-        [(1, 1, Outcome::NotSent, false)],
+        [(1, 1, AttemptOutcome::NotSent, false)],
         "two are never in flight"
     );
     // The owner gives up while the module binds anew in the same batch.
@@ -441,9 +449,9 @@
     bench.pass(2 * MS);
     bench.told();
     bench.now += 10 * MS;
-    bench.wanted.borrow_mut().push(Action::Bind {
+    bench.wanted.borrow_mut().push(Action::Dispatch {
         request: RequestId(1),
-        machine: bench.machine("a"),
+        node: bench.machine("a"),
         timeout: None,
     });
     let out = bench.put(Input::Owner(
@@ -454,7 +462,7 @@
         sends(&out).is_empty() && !out.iter().any(|o| matches!(o, Output::Dial(..))),
         "{out:?}"
     );
-    assert_eq!(bench.ends(), [(1, 2, Outcome::NotSent, true)]);
+    assert_eq!(bench.ends(), [(1, 2, AttemptOutcome::NotSent, true)]);
 }
 
 #[test]
@@ -467,13 +475,13 @@
     assert_eq!(sends(&out), [(1, Message::release(5, cause::ORDINARY))]);
     bench.pass(2 * MS);
     let told = bench.told();
-    assert_eq!(told[0], Event::Unwanted(RequestId(1)));
+    assert_eq!(told[0], Event::RequestCancelled(RequestId(1)));
     assert!(
         matches!(
             told[1],
-            Event::Ended {
-                outcome: Outcome::Withdrawn,
-                over: true,
+            Event::AttemptEnded {
+                outcome: AttemptOutcome::Cancelled,
+                is_final: true,
                 ..
             }
         ),
@@ -510,7 +518,7 @@
         replies(&bench.put(Input::Host(LinkId(2), end))).is_empty(),
         "hosts say it twice"
     );
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Done, true)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Completed, true)]);
 }
 
 #[test]
@@ -621,7 +629,7 @@
     bench.ends();
     let out = bench.put(Input::Host(LinkId(2), Message::release(5, cause::CUT)));
     assert_eq!(sends(&out), [(2, Message::release(5, cause::ORDINARY))]);
-    assert_eq!(bench.ends(), [(1, 1, Outcome::Lost, false)]);
+    assert_eq!(bench.ends(), [(1, 1, AttemptOutcome::Lost, false)]);
 }
 
 #[test]
@@ -639,7 +647,7 @@
     bench.pass(S);
     let out = bench.put(Input::LinkDown(LinkId(2), Down::Refused));
     assert_eq!(replies(&out), [(1, Message::release(5, cause::CUT))]);
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Lost, true)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Lost, true)]);
     // Started anew, as the list tells.
     let mut bench = Bench::new();
     bench.placed(5);
@@ -726,7 +734,7 @@
             whole: true,
         },
     ));
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Lost, false)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Lost, false)]);
     // One that is merely slow to start its task answers its test and is kept.
     let mut bench = Bench::new();
     bench.offered(5, "keyed", None);
@@ -790,7 +798,7 @@
     bench.pass(2 * MS);
     let told = bench.told();
     assert!(matches!(told[..], [Event::Place(_)]), "{told:?}");
-    let out = bench.act(Action::Refuse {
+    let out = bench.act(Action::Reject {
         request: RequestId(1),
         retry_after: None,
     });
@@ -882,7 +890,7 @@
     let told = bench.told();
     let b = bench.machine("b");
     assert!(
-        matches!(told[..], [Event::Standing { machine, .. }] if machine == b),
+        matches!(told[..], [Event::RunningTask { node: machine, .. }] if machine == b),
         "{told:?}"
     );
     bench.put(Input::LinkUp(LinkId(1)));
@@ -891,7 +899,7 @@
         replies(&bench.put(Input::Host(LinkId(1), end))),
         [(1, Message::release(5, cause::CUT))]
     );
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Lost, true)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Lost, true)]);
 }
 
 /// Danger: an owner that never learned where its task stands finds it at its host and hands it over under a new id, by
@@ -927,7 +935,7 @@
         );
         assert_eq!(
             (bench.ends(), bench.desk.standing()),
-            (vec![(1, 0, Outcome::Done, true)], 0)
+            (vec![(1, 0, AttemptOutcome::Completed, true)], 0)
         );
     }
     // Its owner was told, or said, that it is over, and its host has not read that yet.
@@ -945,7 +953,7 @@
     bench.put(Input::Host(LinkId(1), Message::new(Kind::Tested, test.id)));
     assert_eq!(
         (bench.ends(), bench.desk.standing()),
-        (vec![(1, 0, Outcome::Withdrawn, true)], 0)
+        (vec![(1, 0, AttemptOutcome::Cancelled, true)], 0)
     );
 }
 
@@ -968,7 +976,7 @@
     );
     bench.put(Input::LinkUp(LinkId(1)));
     bench.put(Input::Host(LinkId(1), Message::release(5, cause::ORDINARY)));
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Done, true)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Completed, true)]);
     // One that is never listed ends with the time that a silent host is given, and nothing of it stays.
     bench.put(Input::Owner(OwnerId(1), on(6, "made-up")));
     assert_eq!(
@@ -1013,7 +1021,7 @@
         )))
         .is_empty()
     );
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Withdrawn, true)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Cancelled, true)]);
 }
 
 /// Danger: a host that cannot be reached goes on with a task that its owner has ended. Counted as over, its room and its
@@ -1070,7 +1078,11 @@
             "time is no knowledge"
         );
         known(&mut bench);
-        assert_eq!(bench.ends(), [(1, 0, Outcome::Withdrawn, true)], "case {n}");
+        assert_eq!(
+            bench.ends(),
+            [(1, 0, AttemptOutcome::Cancelled, true)],
+            "case {n}"
+        );
         assert_eq!(bench.desk.standing(), 0);
     }
 }
@@ -1106,7 +1118,7 @@
         replies(&bench.put(Input::Host(LinkId(2), passed))).is_empty(),
         "nothing after the end"
     );
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Lost, true)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Lost, true)]);
 }
 
 #[test]
@@ -1248,16 +1260,16 @@
 fn a_move_ends_both_sides() {
     let mut bench = Bench::new();
     bench.placed(5);
-    let out = bench.act(Action::Move(RequestId(1)));
+    let out = bench.act(Action::Migrate(RequestId(1)));
     assert_eq!(replies(&out), [(1, Message::new(Kind::Move, 5))]);
     let [(1, cut), (1, test)] = &sends(&out)[..] else {
         panic!("{out:?}")
     };
     assert_eq!(*cut, Message::release(5, cause::CALLED_OFF));
-    assert!(bench.act(Action::Move(RequestId(1))).is_empty(), "once");
+    assert!(bench.act(Action::Migrate(RequestId(1))).is_empty(), "once");
     let passed = Message::new(Kind::Tested, test.id).with(code::CAUSE, &[1]);
     bench.put(Input::Host(LinkId(1), passed));
-    assert_eq!(bench.ends(), [(1, 0, Outcome::Withdrawn, true)]);
+    assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Cancelled, true)]);
 }
 
 #[test]
@@ -1271,10 +1283,10 @@
     bench.pass(2 * MS);
     let told: Vec<Event> = std::mem::take(&mut *bench.told.borrow_mut());
     let lists = told.iter().filter_map(|e| match e {
-        Event::MachineList {
-            scope,
+        Event::NodeList {
+            kind: scope,
             version,
-            lines,
+            entries: lines,
         } => Some((
             *scope,
             *version,
@@ -1288,9 +1300,13 @@
     assert_eq!(
         lists.collect::<Vec<_>>(),
         [
-            (ListScope::Delta, 2, vec![(MachineState::Draining, 0)]),
-            (ListScope::Full, 3, vec![(MachineState::Ready, 4000)]),
-            (ListScope::Failed, 0, vec![]),
+            (
+                ListUpdateKind::Incremental,
+                2,
+                vec![(NodeStatus::Draining, 0)]
+            ),
+            (ListUpdateKind::Full, 3, vec![(NodeStatus::Ready, 4000)]),
+            (ListUpdateKind::Failed, 0, vec![]),
         ]
     );
 }
@@ -1466,7 +1482,7 @@
     bench.desk.handle(bench.now, Input::Turn);
     bench.pass(WAIT - MS);
     assert_eq!(bench.told().len(), 1, "no turn came");
-    bench.wanted.borrow_mut().push(Action::Refuse {
+    bench.wanted.borrow_mut().push(Action::Reject {
         request: RequestId(2),
         retry_after: None,
     });
@@ -1507,7 +1523,7 @@
         bench.pass(20 * MS);
         assert_eq!(
             bench.ends(),
-            [(1, 0, Outcome::TimedOut, false)],
+            [(1, 0, AttemptOutcome::TimedOut, false)],
             "{late} us late"
         );
     }
@@ -1526,7 +1542,7 @@
         )]));
         assert_eq!(
             bench.ends(),
-            [(1, 0, Outcome::Unreachable, false)],
+            [(1, 0, AttemptOutcome::Unreachable, false)],
             "{state}: it has left nothing"
         );
         let out = bench.put(Input::LinkUp(LinkId(1)));
@@ -1543,7 +1559,7 @@
     requests: BTreeSet<RequestId>,
     binds: BTreeMap<RequestId, u16>,
     log: Rc<RefCell<Log>>,
-    machines: Vec<MachineId>,
+    machines: Vec<NodeId>,
 }
 
 #[derive(Default)]
@@ -1560,12 +1576,12 @@
         for event in events {
             match event {
                 Event::Place(r) => {
-                    self.requests.insert(r.request);
+                    self.requests.insert(r.id);
                 }
-                Event::Ended {
+                Event::AttemptEnded {
                     request,
                     attempt,
-                    over,
+                    is_final: over,
                     ..
                 } => {
                     log.ended.push((*request, *attempt));
@@ -1574,7 +1590,7 @@
                         self.requests.remove(request);
                     }
                 }
-                Event::Unwanted(request) => {
+                Event::RequestCancelled(request) => {
                     log.unwanted.insert(*request);
                     self.requests.remove(request);
                 }
@@ -1590,14 +1606,14 @@
                     *attempt += 1;
                     let machine = self.machines[self.rng.usize(0..self.machines.len())];
                     let timeout = self.rng.bool().then(|| self.rng.u64(0..S));
-                    out.push(Action::Bind {
+                    out.push(Action::Dispatch {
                         request,
-                        machine,
+                        node: machine,
                         timeout,
                     });
                 }
                 5 => {
-                    out.push(Action::Refuse {
+                    out.push(Action::Reject {
                         request,
                         retry_after: None,
                     });
@@ -1607,11 +1623,11 @@
                     out.push(Action::Fail(request));
                     self.requests.remove(&request);
                 }
-                7 => out.push(Action::Withdraw {
+                7 => out.push(Action::CancelAttempt {
                     request,
                     attempt: self.rng.u16(0..3),
                 }),
-                8 => out.push(Action::Move(request)),
+                8 => out.push(Action::Migrate(request)),
                 _ => {}
             }
         }
@@ -1626,8 +1642,8 @@
     fn one_end_a_bind_one_answer_a_set_up_and_no_two_in_flight(seed: u64, steps in 20usize..300) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let log = Rc::new(RefCell::new(Log::default()));
-        let machines: Vec<MachineId> =
-            ["a", "b", "gone"].iter().map(|n| MachineId(xxhash_rust::xxh3::xxh3_64(n.as_bytes()))).collect();
+        let machines: Vec<NodeId> =
+            ["a", "b", "gone"].iter().map(|n| NodeId(xxhash_rust::xxh3::xxh3_64(n.as_bytes()))).collect();
         let module = Wild {
             rng: fastrand::Rng::with_seed(seed ^ 1),
             requests: BTreeSet::new(),
--- a/crates/platform/tests/words.rs
+++ b/crates/platform/tests/words.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{MS, S, bounds, event, host, read, set_up, shape};
-use peppercove::{Action, Event, MachineId, Micros, RequestId, Settings, TaskKey};
+use peppercove::{Action, Event, Micros, NodeId, RequestId, Settings, TaskKey};
 use peppercove_core::Decide;
 use peppercove_platform::wire::{Kind, Message, cause, code};
 use peppercove_platform::{Desk, Down, Input, LinkId, Output, OwnerId};
@@ -23,7 +23,7 @@
 /// A module that tries the one host again and again.
 struct Stubborn {
     rng: fastrand::Rng,
-    machine: MachineId,
+    machine: NodeId,
     tries: BTreeMap<RequestId, u32>,
     tasks: BTreeMap<RequestId, TaskKey>,
     /// Tasks that are over for it.
@@ -34,20 +34,20 @@
     fn decide(&mut self, _: Micros, events: &[Event]) -> Vec<Action> {
         for event in events {
             match event {
-                Event::Place(r) => drop(self.tasks.insert(r.request, r.task)),
-                Event::Ended {
+                Event::Place(r) => drop(self.tasks.insert(r.id, r.task)),
+                Event::AttemptEnded {
                     request,
-                    over: true,
+                    is_final: true,
                     ..
                 } => self.over.borrow_mut().extend(self.tasks.get(request)),
                 _ => {}
             }
         }
         let waits = |e: &Event| match e {
-            Event::Place(r) => Some(r.request),
-            Event::Ended {
+            Event::Place(r) => Some(r.id),
+            Event::AttemptEnded {
                 request,
-                over: false,
+                is_final: false,
                 ..
             } => Some(*request),
             _ => None,
@@ -59,9 +59,9 @@
                 return Action::Fail(request);
             }
             let timeout = Some(self.rng.u64(20 * MS..400 * MS));
-            Action::Bind {
+            Action::Dispatch {
                 request,
-                machine: self.machine,
+                node: self.machine,
                 timeout,
             }
         };
@@ -128,7 +128,7 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let machine = MachineId(xxhash_rust::xxh3::xxh3_64(b"a"));
+        let machine = NodeId(xxhash_rust::xxh3::xxh3_64(b"a"));
         let over = Rc::new(RefCell::new(Vec::new()));
         let (tries, tasks) = (BTreeMap::new(), BTreeMap::new());
         let module = Stubborn {
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -7,8 +7,8 @@
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
 use peppercove::{
-    Class, Group, Kind, Load, MachineId, MachineLine, MachineState, Micros, Repeat, Request,
-    RequestId, ServiceId, Settings, Spread, TaskKey, Tenant,
+    DedupScope, Idempotency, LoadReport, Micros, NodeEntry, NodeId, NodeKind, NodeStatus,
+    PlacementRequest, RequestId, ServiceId, Settings, TaskClass, TaskKey, Tenant, TopologySpread,
 };
 use std::collections::{BTreeMap, HashSet};
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
     holders: u64,
     rng: fastrand::Rng,
     /// Machines that hold the program of a service.
-    warm: HashSet<(MachineId, ServiceId)>,
+    warm: HashSet<(NodeId, ServiceId)>,
 }
 
 impl Cluster {
@@ -72,39 +72,39 @@
     /// price, so that empty machines are kept closed.
     pub fn settings(&self) -> Settings {
         let sample = Settings::sample();
-        let plain = Class {
+        let plain = TaskClass {
             start_seconds: 20.0,
             ..sample.classes[0].clone()
         };
-        let keyed = Repeat::Keyed {
-            group: Group::Rack,
+        let keyed = Idempotency::Keyed {
+            scope: DedupScope::Rack,
             window: 4 * SECOND,
         };
         let sorts = [
             plain.clone(),
-            Class {
-                repeat: keyed,
+            TaskClass {
+                idempotency: keyed,
                 priority: 1,
                 ..plain.clone()
             },
-            Class {
-                repeat: Repeat::Unsafe,
+            TaskClass {
+                idempotency: Idempotency::NonIdempotent,
                 priority: 2,
                 ..plain.clone()
             },
-            Class {
-                spread: Spread::Zone,
-                most: 4,
+            TaskClass {
+                topology_spread: TopologySpread::Zone,
+                max_per_domain: 4,
                 ..plain
             },
         ];
         Settings {
             schedulers: self.at.schedulers as u32,
-            own_number: 0,
+            own_index: 0,
             classes: (0..self.at.classes as usize)
                 .map(|i| sorts[i % sorts.len()].clone())
                 .collect(),
-            kinds: vec![Kind {
+            node_kinds: vec![NodeKind {
                 cores: SIZE[0],
                 memory: SIZE[1],
             }],
@@ -116,8 +116,8 @@
             mean_cores: self.asks[0],
             mean_memory: self.asks[1],
             fleet_price: 0.1,
-            move_price: 0.01,
-            refusal_price: 0.01,
+            migration_price: 0.01,
+            rejection_price: 0.01,
             ..sample
         }
     }
@@ -167,43 +167,43 @@
     }
 
     /// Line of machine `i` under this id.
-    pub fn line(&mut self, i: u64, machine: MachineId) -> MachineLine {
+    pub fn line(&mut self, i: u64, machine: NodeId) -> NodeEntry {
         let (rack, zone) = Cluster::place(i);
         let [cores, memory] = self.free(i);
         let (free_cores, free_memory) = (Some(cores), Some(memory));
-        let (state, kind, started_at, life, cold_share) = (MachineState::Ready, 0, 0, 0, None);
-        MachineLine {
-            machine,
+        let (state, kind, started_at, life, cold_share) = (NodeStatus::Ready, 0, 0, 0, None);
+        NodeEntry {
+            node: machine,
             state,
             kind,
             rack,
             zone,
             started_at,
-            life,
+            incarnation: life,
             free_cores,
             free_memory,
-            cold_share,
+            slow_start_share: cold_share,
         }
     }
 
     /// The load report of machine `i`.
-    pub fn load(&mut self, i: u64) -> Load {
+    pub fn load(&mut self, i: u64) -> LoadReport {
         let [cores, memory] = self.free(i);
-        Load {
+        LoadReport {
             free_cores: Some(cores),
             free_memory: Some(memory),
-            busy: Some(0.5),
-            waiting: Some(0.0),
+            cpu_utilization: Some(0.5),
+            queue_depth: Some(0.0),
         }
     }
 
     /// The ask of the standing task `n`.
-    pub fn standing(&self, n: u64) -> Request {
+    pub fn standing(&self, n: u64) -> PlacementRequest {
         self.request(n, n / OF_ONE_SERVICE % self.services)
     }
 
     /// The ask of a task that comes: one in fifty, and all while `fresh`, of a service that was not there before.
-    pub fn start(&mut self, n: u64, fresh: bool) -> Request {
+    pub fn start(&mut self, n: u64, fresh: bool) -> PlacementRequest {
         let new = fresh || self.rng.u8(0..50) == 0;
         self.fresh += u64::from(new);
         let service = if new {
@@ -214,9 +214,9 @@
         self.request(n, service)
     }
 
-    fn request(&self, n: u64, service: u64) -> Request {
-        Request {
-            request: RequestId(n),
+    fn request(&self, n: u64, service: u64) -> PlacementRequest {
+        PlacementRequest {
+            id: RequestId(n),
             task: TaskKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
             service: ServiceId(service + 1),
             class: (service % self.at.classes) as u16,
@@ -224,8 +224,8 @@
             cores: self.asks[0],
             memory: self.asks[1],
             deadline_in: 5 * SECOND,
-            life_hint: None,
-            again: false,
+            expected_duration: None,
+            is_retry: false,
         }
     }
 
@@ -248,7 +248,7 @@
     /// What a machine makes of an offer, and after how long in microseconds. It takes 150 ms where the program is there
     /// and 700 ms where it is not, which is in time as well: homes then grow as far as they may, the most that the draw
     /// has to go through. Two in a hundred are refused and one errs.
-    pub fn answer(&mut self, machine: MachineId, service: ServiceId) -> (Micros, Word) {
+    pub fn answer(&mut self, machine: NodeId, service: ServiceId) -> (Micros, Word) {
         let [took, word] = match self.rng.u8(0..100) {
             0 | 1 => return (5_000, Word::Refused),
             2 => return (5_000, Word::Error),
--- a/crates/scale/src/roles/controller/rig.rs
+++ b/crates/scale/src/roles/controller/rig.rs
@@ -5,7 +5,7 @@
 use crate::row::{At, Basis, Measure};
 use anyhow::{Context, Result};
 use bytes::{Bytes, BytesMut};
-use peppercove::{MachineId, Micros, Scheduler};
+use peppercove::{Micros, NodeId, Scheduler};
 use peppercove_config::Config;
 use peppercove_core::nodes::id_of;
 use peppercove_core::{Alarms, Core, Input, Output};
@@ -143,7 +143,7 @@
             };
             Ok(Some((node, encoded(&message, NODE_FRAME)?, message)))
         });
-        let sent: Result<Option<(MachineId, BytesMut, ToNode)>> = sent;
+        let sent: Result<Option<(NodeId, BytesMut, ToNode)>> = sent;
         let Some((node, bytes, message)) = sent? else {
             return Ok(());
         };
@@ -158,7 +158,7 @@
             ToNode::Offer { attempt, work, .. } => {
                 let attempt = *attempt;
                 let service = peppercove::ServiceId(work.service);
-                let (took, word) = self.cluster.answer(MachineId(node), service);
+                let (took, word) = self.cluster.answer(NodeId(node), service);
                 let load = Some(self.report(node));
                 let news = match word {
                     Word::Runs => {
--- a/crates/scale/src/roles/controller/words.rs
+++ b/crates/scale/src/roles/controller/words.rs
@@ -3,7 +3,7 @@
 use crate::load::Cluster;
 use anyhow::Result;
 use bytes::BytesMut;
-use peppercove::{MachineId, Request};
+use peppercove::{NodeId, PlacementRequest};
 use peppercove_config::{Config, embedded_default};
 use peppercove_core::{Program, Submission};
 use peppercove_protocol::codec::Messages;
@@ -33,7 +33,7 @@
 }
 
 /// The number of a node.
-pub fn host_of(node: MachineId) -> u64 {
+pub fn host_of(node: NodeId) -> u64 {
     (node.0 >> 16) & 0x00ff_ffff
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// A job whose task asks for this, and that is the `n`-th of its client.
-pub fn submission(cluster: &Cluster, n: u64, ask: &Request) -> Submission {
+pub fn submission(cluster: &Cluster, n: u64, ask: &PlacementRequest) -> Submission {
     Submission {
         session: format!("session-{:06}", n % cluster.at.connections.max(1)),
         key: format!("{n:016x}"),
--- a/crates/scale/src/roles/module.rs
+++ b/crates/scale/src/roles/module.rs
@@ -10,8 +10,8 @@
 use crate::row::{At, Axis, Measure};
 use anyhow::Result;
 use peppercove::{
-    Action, Event, ListScope, MachineId, MachineLine, Micros, Outcome, Request, RequestId,
-    Scheduler, ServiceId, Why,
+    Action, AttemptOutcome, EndReason, Event, ListUpdateKind, Micros, NodeEntry, NodeId,
+    PlacementRequest, RequestId, Scheduler, ServiceId,
 };
 use peppercove_core::Alarms;
 use std::collections::{BTreeMap, VecDeque};
@@ -43,11 +43,11 @@
     Start,
     Change,
     Timer(u64),
-    Answer(RequestId, u16, MachineId, Word),
+    Answer(RequestId, u16, NodeId, Word),
 }
 
 /// One attempt: its request, its number and its machine.
-type Attempt = (RequestId, u16, MachineId);
+type Attempt = (RequestId, u16, NodeId);
 
 /// A scheduler and the machines that it is told of.
 pub struct Rig {
@@ -70,8 +70,8 @@
     compared: u64,
 }
 
-fn id(i: u64) -> MachineId {
-    MachineId(i + 1)
+fn id(i: u64) -> NodeId {
+    NodeId(i + 1)
 }
 
 impl Rig {
@@ -101,7 +101,7 @@
             self.scheduler
                 .handle(self.now, std::slice::from_ref(&event))
         });
-        let bound = |a: &Action| matches!(a, Action::Bind { .. });
+        let bound = |a: &Action| matches!(a, Action::Dispatch { .. });
         self.timings.note(
             if kind == "place" && actions.iter().any(bound) {
                 "bind"
@@ -120,8 +120,10 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Bind {
-                request, machine, ..
+            Action::Dispatch {
+                request,
+                node: machine,
+                ..
             } => {
                 let Some((service, attempts)) = self.asked.get_mut(&request) else {
                     return;
@@ -134,7 +136,7 @@
                 *attempts += 1;
             }
             Action::SetTimer { label, at } => self.agenda.set(at, Happens::Timer(label)),
-            Action::Refuse { request, .. } | Action::Fail(request) => {
+            Action::Reject { request, .. } | Action::Fail(request) => {
                 self.asked.remove(&request);
                 self.turned_away += 1;
             }
@@ -144,21 +146,21 @@
     }
 
     /// The lines of the whole list.
-    pub fn lines(&mut self) -> Vec<MachineLine> {
+    pub fn lines(&mut self) -> Vec<NodeEntry> {
         (0..self.cluster.at.machines)
             .map(|i| self.cluster.line(i, id(i)))
             .collect()
     }
 
     /// The whole list comes.
-    pub fn list(&mut self, lines: Vec<MachineLine>) {
+    pub fn list(&mut self, lines: Vec<NodeEntry>) {
         self.version += 1;
         self.handle(
             "whole_list",
-            Event::MachineList {
-                scope: ListScope::Full,
+            Event::NodeList {
+                kind: ListUpdateKind::Full,
                 version: self.version,
-                lines,
+                entries: lines,
             },
         );
     }
@@ -167,12 +169,18 @@
     pub fn hand_over(&mut self) {
         for n in 0..self.cluster.at.standing {
             let machine = id(self.cluster.machine_of(n));
-            let request = Request {
-                request: self.new_request(),
+            let request = PlacementRequest {
+                id: self.new_request(),
                 ..self.cluster.standing(n)
             };
-            self.standing.push_back((request.request, 0, machine));
-            self.handle("standing", Event::Standing { request, machine });
+            self.standing.push_back((request.id, 0, machine));
+            self.handle(
+                "standing",
+                Event::RunningTask {
+                    request,
+                    node: machine,
+                },
+            );
         }
     }
 
@@ -188,18 +196,18 @@
         self.version += 1;
         self.handle(
             "list_change",
-            Event::MachineList {
-                scope: ListScope::Delta,
+            Event::NodeList {
+                kind: ListUpdateKind::Incremental,
                 version: self.version,
-                lines,
+                entries: lines,
             },
         );
     }
 
     fn start(&mut self) {
         let number = self.new_request();
-        let request = Request {
-            request: number,
+        let request = PlacementRequest {
+            id: number,
             ..self.cluster.start(number.0, self.fresh)
         };
         self.asked.insert(number, (request.service, 0));
@@ -210,7 +218,12 @@
             let Some((request, attempt, machine)) = self.standing.pop_front() else {
                 break;
             };
-            self.ended("end", (request, attempt, machine), Outcome::Done, true);
+            self.ended(
+                "end",
+                (request, attempt, machine),
+                AttemptOutcome::Completed,
+                true,
+            );
         }
     }
 
@@ -218,24 +231,24 @@
         &mut self,
         kind: &'static str,
         (request, attempt, machine): Attempt,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         over: bool,
     ) {
-        let why = if outcome == Outcome::Refused {
-            Why::NoCores
+        let why = if outcome == AttemptOutcome::Rejected {
+            EndReason::InsufficientCores
         } else {
-            Why::Unknown
+            EndReason::Unknown
         };
         let load = Some(self.cluster.load(machine.0 - 1));
         self.handle(
             kind,
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
-                machine,
+                node: machine,
                 outcome,
-                why,
-                over,
+                reason: why,
+                is_final: over,
                 load,
             },
         );
@@ -265,19 +278,22 @@
                         Event::Placed {
                             request,
                             attempt,
-                            machine,
+                            node: machine,
                         },
                     );
                 }
                 Word::Refused => self.ended(
                     "refused",
                     (request, attempt, machine),
-                    Outcome::Refused,
+                    AttemptOutcome::Rejected,
+                    false,
+                ),
+                Word::Error => self.ended(
+                    "error",
+                    (request, attempt, machine),
+                    AttemptOutcome::Error,
                     false,
                 ),
-                Word::Error => {
-                    self.ended("error", (request, attempt, machine), Outcome::Error, false)
-                }
             },
         }
     }
@@ -306,7 +322,7 @@
         self.fresh = false;
         self.counts.clear();
         self.turned_away = 0;
-        self.compared = self.scheduler.compared();
+        self.compared = self.scheduler.comparisons();
     }
 
     /// Actions for each event of a kind, the part of the requests that was not placed, and the machines that binds looked
@@ -327,7 +343,7 @@
             samples: asked,
             ..Measure::counted("turned_away", "share", part)
         });
-        let compared = (self.scheduler.compared() - self.compared) as f64 / asked.max(1) as f64;
+        let compared = (self.scheduler.comparisons() - self.compared) as f64 / asked.max(1) as f64;
         measures.push(Measure {
             samples: asked,
             ..Measure::counted("compared_for_start", "count", compared)
@@ -340,7 +356,7 @@
     let play = Play::of(at, quick);
     let mut rig = Rig::new(at)?;
     let (first, second) = (rig.lines(), rig.lines());
-    let line_bytes = size_of::<MachineLine>() as f64;
+    let line_bytes = size_of::<NodeEntry>() as f64;
     let mut measures = vec![
         Measure::counted("whole_list_lines", "count", first.len() as f64),
         Measure::counted("whole_list_bytes", "bytes", first.len() as f64 * line_bytes),
--- a/crates/scale/src/roles/serve/rig.rs
+++ b/crates/scale/src/roles/serve/rig.rs
@@ -165,7 +165,7 @@
             ),
             Kind::SetUp => {
                 let service = self.services.get(&message.id).copied().unwrap_or_default();
-                let (took, word) = self.cluster.answer(peppercove::MachineId(host), service);
+                let (took, word) = self.cluster.answer(peppercove::NodeId(host), service);
                 (took, self.word(host, message.id, word))
             }
             _ => return,
--- a/crates/scale/src/roles/serve/words.rs
+++ b/crates/scale/src/roles/serve/words.rs
@@ -2,8 +2,8 @@
 
 use crate::load::{Cluster, SECOND};
 use crate::row::At;
-use peppercove::Request;
-use peppercove::wire::Shape;
+use peppercove::PlacementRequest;
+use peppercove::wire::RecordSchema;
 use peppercove_platform::config::{Config, Known, Limits};
 use peppercove_platform::wire::{Kind, Message, code};
 use std::fmt::Write;
@@ -12,11 +12,11 @@
 /// Bytes of a description, which nobody on the way reads.
 pub const DESCRIPTION: [u8; 256] = [b'd'; 256];
 
-fn shape(at: &At) -> Shape {
+fn shape(at: &At) -> RecordSchema {
     let names = |letter: char, n: u64| (0..n).map(|i| format!("{letter}{i}")).collect();
-    Shape {
-        fields: ["x0", "x1", "cpu", "waiting"].map(str::to_owned).to_vec(),
-        view: true,
+    RecordSchema {
+        load_fields: ["x0", "x1", "cpu", "waiting"].map(str::to_owned).to_vec(),
+        has_free_capacity: true,
         classes: names('c', at.classes),
         kinds: names('k', 1),
         zones: names('z', 44),
@@ -99,8 +99,8 @@
 }
 
 /// A set-up, or the word that its task stands at a host already.
-pub fn set_up(id: u64, ask: &Request, at: Option<u64>) -> Message {
-    let Request {
+pub fn set_up(id: u64, ask: &PlacementRequest, at: Option<u64>) -> Message {
+    let PlacementRequest {
         class,
         service,
         cores,
--- a/crates/serve/src/shell.rs
+++ b/crates/serve/src/shell.rs
@@ -65,7 +65,7 @@
         let bounds = Bounds::of(&config);
         let dial_timeout = Duration::from_micros(config.dial_timeout());
         let slice = Duration::from_micros(config.settings.tick.max(1));
-        let pushed = !config.settings.list_on_request;
+        let pushed = !config.settings.is_list_polled;
         let module = Scheduler::new(config.settings.clone(), config.seed);
         let module = View::new(module, &config.settings);
         let desk = Desk::new(module, config.settings, config.shape, bounds, config.seed);
--- a/src/bin/peppercove-adapter.rs
+++ b/src/bin/peppercove-adapter.rs
@@ -1,7 +1,7 @@
 //! Plays the decision module on the controllers' wire: standard input to standard output, many instances.
 #![forbid(unsafe_code)]
 
-use peppercove::wire::{Decoder, Incoming, Reply, WireError};
+use peppercove::wire::{Decoder, Incoming, ProtocolError, Reply};
 use peppercove::{Event, Scheduler};
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -29,7 +29,7 @@
             Ok(0) if filled == 0 => return Ok(false),
             Ok(0) => {
                 let text = format!("{what} ends after {filled} of {} bytes", buffer.len());
-                return Err(WireError(text).into());
+                return Err(ProtocolError(text).into());
             }
             Ok(n) => filled += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -55,17 +55,17 @@
         clock.copy_from_slice(&header[8..]);
         // The length counts what follows the length field's own header.
         if length > LONGEST_FRAME {
-            return Err(WireError(format!("frame {frame}: a length of {length} bytes")).into());
+            return Err(ProtocolError(format!("frame {frame}: a length of {length} bytes")).into());
         }
         let mut body = vec![0; length as usize];
         if length > 0 && !fill(&mut input, &mut body, &format!("frame {frame}: body"))? {
             return Err(
-                WireError(format!("frame {frame}: body of {length} bytes is missing")).into(),
+                ProtocolError(format!("frame {frame}: body of {length} bytes is missing")).into(),
             );
         }
         let batch = decoder
             .batch(u64::from_le_bytes(clock), count, &body)
-            .map_err(|e| WireError(format!("frame {frame}: {e}")))?;
+            .map_err(|e| ProtocolError(format!("frame {frame}: {e}")))?;
         let reply = answer(&mut instances, batch.now, batch.records);
         output.write_all(&reply.finish())?;
         output.flush()?;
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -7,8 +7,8 @@
 
 use crate::interface::*;
 use crate::state::{
-    Attempt, Counts, Homes, Machine, Mean, Part, Stage, Task, first, home_rank, narrow, release,
-    scatter,
+    Attempt, Counts, Homes, Machine, Mean, Part, Stage, Task, first, narrow, preferred_node_rank,
+    release, scatter,
 };
 use std::{cell::Cell, collections::BTreeSet};
 
@@ -46,7 +46,7 @@
     rng: fastrand::Rng,
     now: Micros,
     born: Option<Micros>,
-    machines: Table<MachineId, Machine>,
+    machines: Table<NodeId, Machine>,
     version: u64,
     watch_at: Option<Micros>,
     watch_failures: u32,
@@ -54,9 +54,9 @@
     /// Tasks without an offer, by when each has to be answered.
     held: BTreeSet<(Micros, RequestId)>,
     others: Mean,
-    services: Table<ServiceId, Table<MachineId, u32>>,
+    services: Table<ServiceId, Table<NodeId, u32>>,
     /// Machines that owe a word on an offer, and some that did.
-    awaited: BTreeSet<MachineId>,
+    awaited: BTreeSet<NodeId>,
     use_ratio: [f64; 2],
     start_times: Vec<[f64; 2]>,
     homes: Vec<f64>,
@@ -72,15 +72,17 @@
     /// A scheduler that has just started and knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Scheduler {
         // Before any start is seen: one without the program misses the aim, one with it takes a part of it.
-        let start_times = settings
-            .classes
-            .iter()
-            .map(|c| [c.aim as f64 * 0.25, c.aim as f64 * 2.0]);
+        let start_times = settings.classes.iter().map(|c| {
+            [
+                c.latency_objective as f64 * 0.25,
+                c.latency_objective as f64 * 2.0,
+            ]
+        });
         Scheduler {
             // Before any use is seen: a machine full by asks is taken to be full by use.
             use_ratio: [
-                1.0 / settings.accepts_cores.max(1.0),
-                1.0 / settings.accepts_memory.max(1.0),
+                1.0 / settings.cores_overcommit.max(1.0),
+                1.0 / settings.memory_overcommit.max(1.0),
             ],
             start_times: start_times.collect(),
             homes: vec![HOMES; settings.classes.len()],
@@ -111,7 +113,7 @@
         self.now = self.now.max(now.min(Micros::MAX / 4));
         if self.born.is_none() {
             self.born = Some(self.now);
-            self.watch_at = self.settings.list_on_request.then_some(self.now);
+            self.watch_at = self.settings.is_list_polled.then_some(self.now);
         }
         for event in events {
             self.take_in(event);
@@ -124,39 +126,42 @@
     }
 
     /// Machines that binds have looked at, and held against each other: for tests of what a bind costs.
-    pub fn compared(&self) -> u64 {
+    pub fn comparisons(&self) -> u64 {
         self.compared.get()
     }
 
     fn take_in(&mut self, event: &Event) {
         match event {
-            Event::MachineList {
-                scope,
+            Event::NodeList {
+                kind: scope,
                 version,
-                lines,
+                entries: lines,
             } => self.on_list(*scope, *version, lines),
             Event::Place(ask) => self.on_place(ask),
-            Event::Standing { request, machine } => self.on_standing(request, *machine),
+            Event::RunningTask {
+                request,
+                node: machine,
+            } => self.on_standing(request, *machine),
             Event::Placed {
                 request,
                 attempt,
-                machine,
+                node: machine,
             } => self.on_placed(*request, *attempt, *machine),
-            Event::Noted {
+            Event::TaskUpdated {
                 request,
                 attempt,
-                machine,
-                note,
+                node: machine,
+                update: note,
             } => {
                 self.on_note(*request, *attempt, *machine, *note);
             }
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
-                machine,
+                node: machine,
                 outcome,
-                why,
-                over,
+                reason: why,
+                is_final: over,
                 load,
             } => {
                 self.on_ended(*request, *attempt, *machine, *outcome, *why, *over);
@@ -164,10 +169,10 @@
                     self.on_load(*machine, load);
                 }
             }
-            Event::Unwanted(request) => self.close(*request),
+            Event::RequestCancelled(request) => self.close(*request),
             Event::Timer(_) => (self.wake, self.room_news) = (Micros::MAX, true),
             Event::Probed {
-                machine,
+                node: machine,
                 answered,
                 load,
             } => {
@@ -184,29 +189,32 @@
 
     // ---- The machine list ----
 
-    fn on_list(&mut self, scope: ListScope, version: u64, lines: &[MachineLine]) {
-        if scope == ListScope::Failed {
+    fn on_list(&mut self, scope: ListUpdateKind, version: u64, lines: &[NodeEntry]) {
+        if scope == ListUpdateKind::Failed {
             // Danger: all schedulers lose the list at once and ask again in step; waits grow and scatter.
-            let [first, most] = self.settings.ask_again;
+            let [first, most] = self.settings.poll_backoff;
             let wait = (first << self.watch_failures).min(most);
             self.watch_failures = (self.watch_failures + 1).min(4);
             self.watch_at = Some(self.now + wait / 2 + self.rng.u64(0..=wait / 2));
             return;
         }
-        if !matches!(scope, ListScope::Cached | ListScope::View) {
+        if !matches!(scope, ListUpdateKind::Cached | ListUpdateKind::SubsetChange) {
             (self.watch_failures, self.watch_at) = (0, None);
         }
         // Danger: a list older than the one held would bring drained machines back.
-        if version < self.version && scope != ListScope::Cached {
+        if version < self.version && scope != ListUpdateKind::Cached {
             return;
         }
         self.version = version;
         self.room_news = true;
-        if !matches!(scope, ListScope::Delta | ListScope::View) {
-            let named: BTreeSet<MachineId> = lines.iter().map(|line| line.machine).collect();
+        if !matches!(
+            scope,
+            ListUpdateKind::Incremental | ListUpdateKind::SubsetChange
+        ) {
+            let named: BTreeSet<NodeId> = lines.iter().map(|line| line.node).collect();
             for machine in self.machines.values_mut() {
-                if !named.contains(&machine.line.machine) {
-                    machine.line.state = MachineState::Gone;
+                if !named.contains(&machine.line.node) {
+                    machine.line.state = NodeStatus::Gone;
                 }
             }
         }
@@ -218,23 +226,23 @@
         let since = self.now.saturating_sub(self.cold_window());
         self.machines.retain(|_, m| {
             let offered = m.offers.back().is_some_and(|at| *at > since);
-            m.line.state != MachineState::Gone || offered || m.programs.values().any(|p| p.0 > 0)
+            m.line.state != NodeStatus::Gone || offered || m.programs.values().any(|p| p.0 > 0)
         });
         self.others = Mean::of(self.machines.values().filter_map(|m| m.others));
     }
 
-    fn on_line(&mut self, line: &MachineLine) {
+    fn on_line(&mut self, line: &NodeEntry) {
         // Times near the end of their type would overflow in sums.
-        let line = &MachineLine {
+        let line = &NodeEntry {
             started_at: line.started_at.min(self.now),
             ..line.clone()
         };
-        let kind = self.settings.kinds.get(usize::from(line.kind));
-        let then = self.now.saturating_sub(self.settings.ask_every / 4); // A guess of the list's lateness.
+        let kind = self.settings.node_kinds.get(usize::from(line.kind));
+        let then = self.now.saturating_sub(self.settings.poll_interval / 4); // A guess of the list's lateness.
         let machine = self
             .machines
-            .entry(line.machine)
-            .or_insert_with(|| Machine::new(line.machine));
+            .entry(line.node)
+            .or_insert_with(|| Machine::new(line.node));
         let (cores, memory) = kind.map_or((0.0, 0.0), |k| (k.cores, k.memory));
         (machine.cores, machine.memory, machine.listed) = (cores, memory, true);
         if line.started_at != machine.line.started_at {
@@ -280,33 +288,33 @@
     fn ask_for_list(&mut self) {
         if self.watch_at.is_some_and(|at| at <= self.now) {
             self.watch_at = None;
-            self.out.push(Action::Watch);
+            self.out.push(Action::WatchNodes);
         }
     }
 
     // ---- A task comes ----
 
-    fn on_place(&mut self, ask: &Request) {
+    fn on_place(&mut self, ask: &PlacementRequest) {
         if !ask.makes_sense(&self.settings) {
-            self.out.push(Action::Refuse {
-                request: ask.request,
+            self.out.push(Action::Reject {
+                request: ask.id,
                 retry_after: None,
             });
             return;
         }
-        if self.tasks.contains_key(&ask.request) {
+        if self.tasks.contains_key(&ask.id) {
             return;
         }
         let deadline = self.now.saturating_add(ask.deadline_in);
         let task = Task::new(ask, self.now, deadline, Stage::Held);
-        self.tasks.insert(ask.request, task);
-        if !self.try_place(ask.request, None) {
-            self.hold(ask.request);
+        self.tasks.insert(ask.id, task);
+        if !self.try_place(ask.id, None) {
+            self.hold(ask.id);
         }
     }
 
-    fn on_standing(&mut self, ask: &Request, machine: MachineId) {
-        if !ask.makes_sense(&self.settings) || self.tasks.contains_key(&ask.request) {
+    fn on_standing(&mut self, ask: &PlacementRequest, machine: NodeId) {
+        if !ask.makes_sense(&self.settings) || self.tasks.contains_key(&ask.id) {
             return;
         }
         let mut task = Task::new(ask, self.now, self.now, Stage::Placed);
@@ -319,7 +327,7 @@
             self.others.change(before, m.others);
         }
         task.attempts.push(attempt);
-        self.tasks.insert(ask.request, task);
+        self.tasks.insert(ask.id, task);
     }
 
     fn hold(&mut self, request: RequestId) {
@@ -338,8 +346,8 @@
     fn ends_at(&self, task: &Task) -> Micros {
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let first = task.attempts.iter().find(|a| a.may_have_run);
-        let window = match (class.repeat, first) {
-            (Repeat::Keyed { window, .. }, Some(first)) => {
+        let window = match (class.idempotency, first) {
+            (Idempotency::Keyed { window, .. }, Some(first)) => {
                 (first.sent_at + window).saturating_sub(self.settings.tick)
             }
             _ => Micros::MAX,
@@ -377,25 +385,25 @@
     }
 
     /// Machines that could take the least of these tasks. Nothing opens while they are gone through.
-    fn open_to(&self, waiting: &[(f64, RequestId)]) -> Vec<MachineId> {
+    fn open_to(&self, waiting: &[(f64, RequestId)]) -> Vec<NodeId> {
         let asks = || {
             waiting
                 .iter()
                 .filter_map(|(_, r)| self.tasks.get(r))
                 .map(|t| &t.ask)
         };
-        let least = |of: fn(&Request) -> f64| asks().map(of).fold(f64::INFINITY, f64::min);
+        let least = |of: fn(&PlacementRequest) -> f64| asks().map(of).fold(f64::INFINITY, f64::min);
         let least = [least(|a| a.cores), least(|a| a.memory)];
         let mean = self.others.get();
         let open = |m: &&Machine| {
-            m.line.state == MachineState::Ready
+            m.line.state == NodeStatus::Ready
                 && self.has_room(m, least, 1.0, mean)
                 && self.cold_allows(m)
         };
         self.machines
             .values()
             .filter(open)
-            .map(|m| m.line.machine)
+            .map(|m| m.line.node)
             .collect()
     }
 
@@ -406,18 +414,18 @@
         };
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let timely = self.is_timely(task);
-        class.worth
+        class.weight
             * class.start_seconds.max(1.0)
-            * (2.0 + if timely { 1.0 } else { class.late_worth })
+            * (2.0 + if timely { 1.0 } else { class.late_weight })
     }
 
     fn shortest_aim(&self) -> Micros {
         self.settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .min()
-            .unwrap_or(self.settings.ask_every)
+            .unwrap_or(self.settings.poll_interval)
     }
 
     /// Time to spare before a deadline: answers count for a little longer, batches come a tick apart.
@@ -428,7 +436,7 @@
     // ---- The filter and the draw ----
 
     /// Draws a machine and offers the task; false leaves it held.
-    fn try_place(&mut self, request: RequestId, among: Option<&[MachineId]>) -> bool {
+    fn try_place(&mut self, request: RequestId, among: Option<&[NodeId]>) -> bool {
         let Some(task) = self.tasks.get(&request) else {
             return true;
         };
@@ -455,9 +463,9 @@
             self.keeps_memory_free(m, &task.ask, mean_others)
         });
         self.keep_timely(&mut set, task);
-        let set: Vec<(MachineId, f64, f64)> = set
+        let set: Vec<(NodeId, f64, f64)> = set
             .iter()
-            .map(|m| (m.line.machine, m.cores, self.entry(m, mean_others)))
+            .map(|m| (m.line.node, m.cores, self.entry(m, mean_others)))
             .collect();
         let Some(machine) = self.draw(set) else {
             return false;
@@ -468,8 +476,8 @@
 
     fn may_take(&self, m: &Machine, task: &Task, mean_others: [f64; 2], counts: &Counts) -> bool {
         let class = &self.settings.classes[usize::from(task.ask.class)];
-        m.line.state == MachineState::Ready
-            && class.kind.is_none_or(|k| k == m.line.kind)
+        m.line.state == NodeStatus::Ready
+            && class.node_kind.is_none_or(|k| k == m.line.kind)
             && self.fits(m, &task.ask, mean_others)
             && self.is_rested(m, &task.ask, class)
             && self.group_allows(m, task, class)
@@ -477,7 +485,7 @@
             && self.cold_allows(m)
     }
 
-    fn fits(&self, m: &Machine, ask: &Request, mean_others: [f64; 2]) -> bool {
+    fn fits(&self, m: &Machine, ask: &PlacementRequest, mean_others: [f64; 2]) -> bool {
         let open = 1.0 - self.headroom[usize::from(ask.class)];
         let refused = m.refused.filter(|_| self.now < m.refused_until);
         let refused = refused.is_some_and(|r| ask.cores >= r[0] && ask.memory >= r[1]);
@@ -486,56 +494,59 @@
 
     fn has_room(&self, m: &Machine, asks: [f64; 2], open: f64, mean_others: [f64; 2]) -> bool {
         let asked = m.asked(mean_others);
-        asked[0] + asks[0] <= open * self.settings.accepts_cores * m.cores
-            && asked[1] + asks[1] <= open * self.settings.accepts_memory * m.memory
+        asked[0] + asks[0] <= open * self.settings.cores_overcommit * m.cores
+            && asked[1] + asks[1] <= open * self.settings.memory_overcommit * m.memory
     }
 
     /// Danger: a machine that answers nothing, or fails one tenant's tasks of one class, keeps an inviting
     /// entry and swallows task after task. What failed rests; a silent machine is tried with a task that may
     /// run twice.
-    fn is_rested(&self, m: &Machine, ask: &Request, class: &Class) -> bool {
+    fn is_rested(&self, m: &Machine, ask: &PlacementRequest, class: &TaskClass) -> bool {
         let allows = |part: Part, may: bool| {
             m.rests
                 .get(&part)
                 .is_none_or(|r| may && self.now >= r.until)
         };
-        allows(Part::Silent, class.repeat == Repeat::Safe)
+        allows(Part::Silent, class.idempotency == Idempotency::Idempotent)
             && [Part::Line, Part::of(ask)]
                 .into_iter()
                 .all(|part| allows(part, true))
     }
 
     /// Danger: a keyed task that may have run starts a second time on machines that do not know its key.
-    fn group_allows(&self, m: &Machine, task: &Task, class: &Class) -> bool {
+    fn group_allows(&self, m: &Machine, task: &Task, class: &TaskClass) -> bool {
         let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else {
             return true;
         };
         let same_zone = m.line.zone == first.zone;
         self.may_send_again(task)
-            && match class.repeat {
-                Repeat::Keyed {
-                    group: Group::Zone, ..
+            && match class.idempotency {
+                Idempotency::Keyed {
+                    scope: DedupScope::Zone,
+                    ..
                 } => same_zone,
-                Repeat::Keyed {
-                    group: Group::Rack, ..
+                Idempotency::Keyed {
+                    scope: DedupScope::Rack,
+                    ..
                 } => same_zone && m.line.rack == first.rack,
                 _ => true,
             }
     }
 
     /// Danger: a bind that crowds a service into one place; everything without an end counts.
-    fn spread_allows(&self, m: &Machine, class: &Class, counts: &Counts) -> bool {
-        class.spread == Spread::Off || counts.at(m.place(class.spread)) < class.most
+    fn spread_allows(&self, m: &Machine, class: &TaskClass, counts: &Counts) -> bool {
+        class.topology_spread == TopologySpread::Off
+            || counts.at(m.place(class.topology_spread)) < class.max_per_domain
     }
 
     /// The tasks of a task's service by place. One handed over on a machine that no list names may stand
     /// anywhere, so it counts everywhere.
     fn counts(&self, task: &Task) -> Counts {
-        let spread = self.settings.classes[usize::from(task.ask.class)].spread;
+        let spread = self.settings.classes[usize::from(task.ask.class)].topology_spread;
         let held = self
             .services
             .get(&task.ask.service)
-            .filter(|_| spread != Spread::Off);
+            .filter(|_| spread != TopologySpread::Off);
         let held = held
             .into_iter()
             .flatten()
@@ -556,11 +567,11 @@
             return false;
         }
         let all = u64::from(self.settings.schedulers.max(1));
-        let bears = self.settings.cold_bears.max(0.0) as u64;
-        let first = scatter(m.line.machine.0 ^ scatter(m.line.life)) % all;
-        let place = (u64::from(self.settings.own_number) + all - first) % all;
+        let bears = self.settings.slow_start_budget.max(0.0) as u64;
+        let first = scatter(m.line.node.0 ^ scatter(m.line.incarnation)) % all;
+        let place = (u64::from(self.settings.own_index) + all - first) % all;
         let share = bears / all + u64::from(place < bears % all);
-        let share = m.line.cold_share.map_or(share, u64::from);
+        let share = m.line.slow_start_share.map_or(share, u64::from);
         let recent = m
             .offers
             .iter()
@@ -570,17 +581,24 @@
     }
 
     fn cold_window(&self) -> Micros {
-        self.settings.fall_window + self.settings.fall_window / 4
+        self.settings.overload_window + self.settings.overload_window / 4
     }
 
     fn is_cold(&self, m: &Machine) -> bool {
-        let warm_at = m.line.started_at + self.settings.warm_within + self.settings.warm_within / 8;
+        let warm_at = m.line.started_at
+            + self.settings.slow_start_window
+            + self.settings.slow_start_window / 8;
         m.line.started_at > 0 && self.now < warm_at
     }
 
     /// Danger: memory in use at its end evicts tasks, and the asks do not show it. Machines that would keep
     /// a part of their memory free are preferred.
-    fn keeps_memory_free(&self, m: &Machine, ask: &Request, mean_others: [f64; 2]) -> bool {
+    fn keeps_memory_free(
+        &self,
+        m: &Machine,
+        ask: &PlacementRequest,
+        mean_others: [f64; 2],
+    ) -> bool {
         let memory =
             m.expected_use(mean_others, self.use_ratio)[1] + ask.memory * self.use_ratio[1];
         memory <= MEMORY_FILL * m.memory
@@ -600,7 +618,7 @@
         let draining = || {
             self.machines
                 .values()
-                .any(|m| m.line.state == MachineState::Draining)
+                .any(|m| m.line.state == NodeStatus::Draining)
         };
         if self.settings.fleet_price > 0.0 && spare && !draining() {
             narrow(set, opened);
@@ -611,7 +629,8 @@
     /// seconds of service; so does a start behind many others. Machines expected to make it are preferred.
     fn keep_timely(&self, set: &mut Vec<&Machine>, task: &Task) {
         let class = &self.settings.classes[usize::from(task.ask.class)];
-        let left = (task.arrived + class.aim).saturating_sub(self.now) as f64 * AIM_SHARE;
+        let left =
+            (task.arrived + class.latency_objective).saturating_sub(self.now) as f64 * AIM_SHARE;
         let soonest = set
             .iter()
             .map(|m| self.start_estimate(m, &task.ask))
@@ -623,26 +642,25 @@
     /// Danger: with many schedulers nobody sees where the others left a program, and its tasks start
     /// on ever new machines. The draw keeps to known holders and a few homes, ranked by service and id,
     /// larger machines ahead in proportion: all schedulers come to the same ones without a word.
-    fn keep_home(&self, set: &mut Vec<&Machine>, ask: &Request, mean_others: [f64; 2]) {
-        let rank = |m: &Machine| home_rank(ask.service, m.line.machine, m.cores);
+    fn keep_home(&self, set: &mut Vec<&Machine>, ask: &PlacementRequest, mean_others: [f64; 2]) {
+        let rank = |m: &Machine| preferred_node_rank(ask.service, m.line.node, m.cores);
         let mut ranked: Vec<(f64, &Machine)> = set.iter().map(|m| (rank(m), *m)).collect();
         // As many again stand in for homes that run short of memory.
         let homes = self.homes[usize::from(ask.class)].round() as usize;
         first(&mut ranked, homes * 2, |a, b| {
-            b.0.total_cmp(&a.0)
-                .then(a.1.line.machine.cmp(&b.1.line.machine))
+            b.0.total_cmp(&a.0).then(a.1.line.node.cmp(&b.1.line.node))
         });
         let mut ranked: Vec<&Machine> = ranked.into_iter().map(|(_, m)| m).collect();
         narrow(&mut ranked, |m| self.keeps_memory_free(m, ask, mean_others));
         // Danger: homes may be learned to grow with the machines; each held against each is their square.
         let homes = Homes::of(
-            ranked.into_iter().take(homes).map(|m| m.line.machine),
+            ranked.into_iter().take(homes).map(|m| m.line.node),
             &self.compared,
         );
-        set.retain(|m| m.holds_program(ask.service) || homes.hold(m.line.machine));
+        set.retain(|m| m.holds_program(ask.service) || homes.hold(m.line.node));
     }
 
-    fn start_estimate(&self, m: &Machine, ask: &Request) -> f64 {
+    fn start_estimate(&self, m: &Machine, ask: &PlacementRequest) -> f64 {
         let cold = usize::from(!m.holds_program(ask.service));
         let own = self.start_times[usize::from(ask.class)][cold];
         let left =
@@ -652,11 +670,12 @@
         // A fresh machine warms up from the least share it promises.
         let up = self.now.saturating_sub(m.line.started_at) as f64;
         let part = if self.is_cold(m) {
-            up / self.settings.warm_within.max(1) as f64
+            up / self.settings.slow_start_window.max(1) as f64
         } else {
             1.0
         };
-        let warmth = self.settings.cold_from + (1.0 - self.settings.cold_from) * part.min(1.0);
+        let warmth = self.settings.slow_start_min_share
+            + (1.0 - self.settings.slow_start_min_share) * part.min(1.0);
         (own + before) / warmth.max(f64::MIN_POSITIVE)
     }
 
@@ -664,13 +683,13 @@
     fn entry(&self, m: &Machine, mean_others: [f64; 2]) -> f64 {
         let asked = m.asked(mean_others);
         let used = m.expected_use(mean_others, self.use_ratio);
-        let cores = (asked[0] / self.settings.accepts_cores).max(used[0]) / m.cores.max(1e-9);
-        let memory = (asked[1] / self.settings.accepts_memory).max(used[1]) / m.memory.max(1e-9);
+        let cores = (asked[0] / self.settings.cores_overcommit).max(used[0]) / m.cores.max(1e-9);
+        let memory = (asked[1] / self.settings.memory_overcommit).max(used[1]) / m.memory.max(1e-9);
         cores.max(memory)
     }
 
     /// L-JBA: among those at or below the mean entry, with chance by cores.
-    fn draw(&mut self, mut set: Vec<(MachineId, f64, f64)>) -> Option<MachineId> {
+    fn draw(&mut self, mut set: Vec<(NodeId, f64, f64)>) -> Option<NodeId> {
         let mean = set.iter().map(|(_, _, entry)| entry).sum::<f64>() / set.len().max(1) as f64;
         set.retain(|(_, _, entry)| *entry <= mean + 1e-9);
         let total: f64 = set.iter().map(|(_, cores, _)| cores).sum();
@@ -684,7 +703,7 @@
 
     // ---- The offer ----
 
-    fn offer(&mut self, request: RequestId, machine: MachineId) {
+    fn offer(&mut self, request: RequestId, machine: NodeId) {
         let Some(mut task) = self.tasks.remove(&request) else {
             return;
         };
@@ -699,7 +718,7 @@
         task.stage = Stage::Offered;
         self.tasks.insert(request, task);
         if let Some(m) = self.machines.get_mut(&machine) {
-            let window = self.settings.fall_window * 2;
+            let window = self.settings.overload_window * 2;
             m.offers.retain(|at| at + window > self.now);
             m.offers.push_back(self.now);
             let tried = [Part::Silent, Part::Line, part]
@@ -709,9 +728,9 @@
                 self.rest(machine, part);
             }
         }
-        self.out.push(Action::Bind {
+        self.out.push(Action::Dispatch {
             request,
-            machine,
+            node: machine,
             timeout,
         });
         self.probe_some();
@@ -720,8 +739,8 @@
     /// Adds the task to its entry at once.
     fn open_attempt(
         &mut self,
-        ask: &Request,
-        machine: MachineId,
+        ask: &PlacementRequest,
+        machine: NodeId,
         estimate: f64,
         warm: bool,
         starting: bool,
@@ -732,12 +751,12 @@
             .machines
             .entry(machine)
             .or_insert_with(|| Machine::new(machine));
-        m.add_own(now, ask, 1.0, self.settings.ask_every);
+        m.add_own(now, ask, 1.0, self.settings.poll_interval);
         let program = m.programs.entry(ask.service).or_insert((0, now));
         *program = (program.0 + 1, now);
         if starting {
-            m.starting.insert(ask.request, (now, estimate));
-            m.unanswered.insert(ask.request, now);
+            m.starting.insert(ask.id, (now, estimate));
+            m.unanswered.insert(ask.id, now);
             self.awaited.insert(machine);
         }
         *self
@@ -768,28 +787,33 @@
         let left = task.deadline.saturating_sub(self.now) as f64;
         // A further try of a task confined to a rack or zone seldom finds the program there.
         let confined = matches!(
-            class.repeat,
-            Repeat::Keyed {
-                group: Group::Rack | Group::Zone,
+            class.idempotency,
+            Idempotency::Keyed {
+                scope: DedupScope::Rack | DedupScope::Zone,
                 ..
             }
         );
-        let wait = match self.settings.confirms {
-            Confirms::Accepted => class.aim as f64,
+        let wait = match self.settings.placement_ack {
+            PlacementAck::Accepted => class.latency_objective as f64,
             // A start that is cut off is lost work, so half of what is left is waited at least.
-            Confirms::Running => (estimate * OVERDUE).max(left * if confined { 0.75 } else { 0.5 }),
+            PlacementAck::Running => {
+                (estimate * OVERDUE).max(left * if confined { 0.75 } else { 0.5 })
+            }
         };
-        let retry = self.start_times[usize::from(task.ask.class)][0].max(class.aim as f64 * 0.5);
+        let retry = self.start_times[usize::from(task.ask.class)][0]
+            .max(class.latency_objective as f64 * 0.5);
         let last = task.attempts.len() + 1 >= self.settings.max_attempts as usize;
-        let keeps = match class.repeat {
-            Repeat::Safe | Repeat::Keyed { .. } => last || wait + retry > left,
-            Repeat::Unsafe => self.settings.confirms == Confirms::Running || wait * OVERDUE > left,
+        let keeps = match class.idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { .. } => last || wait + retry > left,
+            Idempotency::NonIdempotent => {
+                self.settings.placement_ack == PlacementAck::Running || wait * OVERDUE > left
+            }
         };
         (!keeps).then_some(wait as Micros)
     }
 
     fn probe_some(&mut self) {
-        if self.settings.probes && self.rng.f64() < PROBE_CHANCE {
+        if self.settings.can_probe && self.rng.f64() < PROBE_CHANCE {
             let ready = self.ready(|_| true);
             if !ready.is_empty() {
                 self.out
@@ -798,18 +822,18 @@
         }
     }
 
-    fn ready(&self, passes: impl Fn(&Machine) -> bool) -> Vec<MachineId> {
-        let ready = |m: &&Machine| m.line.state == MachineState::Ready && passes(m);
+    fn ready(&self, passes: impl Fn(&Machine) -> bool) -> Vec<NodeId> {
+        let ready = |m: &&Machine| m.line.state == NodeStatus::Ready && passes(m);
         self.machines
             .values()
             .filter(ready)
-            .map(|m| m.line.machine)
+            .map(|m| m.line.node)
             .collect()
     }
 
     // ---- What machines answer ----
 
-    fn on_heard(&mut self, machine: MachineId) {
+    fn on_heard(&mut self, machine: NodeId) {
         let Some(m) = self.machines.get_mut(&machine) else {
             return;
         };
@@ -823,12 +847,12 @@
         }
     }
 
-    fn on_placed(&mut self, request: RequestId, attempt: u16, machine: MachineId) {
+    fn on_placed(&mut self, request: RequestId, attempt: u16, machine: NodeId) {
         self.on_heard(machine);
         if let Some(m) = self.machines.get_mut(&machine) {
             m.unanswered.remove(&request);
         }
-        if self.settings.confirms == Confirms::Running {
+        if self.settings.placement_ack == PlacementAck::Running {
             self.on_runs(request, attempt);
         }
         let Some(task) = self
@@ -869,7 +893,7 @@
         a.starting = false;
         let took = (self.now - a.sent_at) as f64;
         let class = usize::from(task.ask.class);
-        let aim = self.settings.classes[class].aim as f64;
+        let aim = self.settings.classes[class].latency_objective as f64;
         if !a.warm && self.start_times[class][0] < aim {
             // How many tasks a service has is not told: homes that are often late are too many for it.
             let timely = if took <= aim { 1.0 } else { 0.0 };
@@ -883,17 +907,17 @@
         }
     }
 
-    fn on_note(&mut self, request: RequestId, attempt: u16, machine: MachineId, note: Note) {
+    fn on_note(&mut self, request: RequestId, attempt: u16, machine: NodeId, note: TaskUpdate) {
         self.on_heard(machine);
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
         let ask = [task.ask.cores, task.ask.memory];
         match note {
-            Note::Runs => self.on_runs(request, attempt),
-            Note::CoresUsed(x) => self.learn_use(0, x, ask[0]),
-            Note::MemoryUsed(x) => self.learn_use(1, x, ask[1]),
-            Note::Served(_) | Note::MachineMemory(_) => {}
+            TaskUpdate::Running => self.on_runs(request, attempt),
+            TaskUpdate::CoresUsed(x) => self.learn_use(0, x, ask[0]),
+            TaskUpdate::MemoryUsed(x) => self.learn_use(1, x, ask[1]),
+            TaskUpdate::ServedShare(_) | TaskUpdate::NodeMemoryShare(_) => {}
         }
     }
 
@@ -905,7 +929,7 @@
     }
 
     /// What a machine uses beyond what its asks explain: neighbours, hungry services.
-    fn learn_excess(&mut self, machine: MachineId, busy: [Option<f64>; 2]) {
+    fn learn_excess(&mut self, machine: NodeId, busy: [Option<f64>; 2]) {
         let (mean, ratio) = (self.others.get(), self.use_ratio);
         let Some(m) = self.machines.get_mut(&machine) else {
             return;
@@ -918,7 +942,7 @@
         }
     }
 
-    fn on_load(&mut self, machine: MachineId, load: &Load) {
+    fn on_load(&mut self, machine: NodeId, load: &LoadReport) {
         self.room_news = true;
         let mean = self.others.get();
         let then = self.now.saturating_sub(self.shortest_aim() / 2);
@@ -927,9 +951,9 @@
         };
         let (size, asked) = ([m.cores, m.memory], m.asked(mean));
         let free = [load.free_cores, load.free_memory];
-        let mut busy = [load.busy, None];
-        match self.settings.report_counts {
-            ReportCounts::Asked => {
+        let mut busy = [load.cpu_utilization, None];
+        match self.settings.load_basis {
+            LoadBasis::Requested => {
                 if let [Some(cores), Some(memory)] = free {
                     let asked = [size[0] - cores, size[1] - memory];
                     let before = m.others;
@@ -938,7 +962,7 @@
                     m.told_at = then;
                 }
             }
-            ReportCounts::Used => {
+            LoadBasis::Used => {
                 for i in 0..2 {
                     busy[i] = free[i].map(|f| 1.0 - f / size[i].max(1e-9)).or(busy[i]);
                 }
@@ -959,16 +983,16 @@
         &mut self,
         request: RequestId,
         attempt: u16,
-        machine: MachineId,
-        outcome: Outcome,
-        why: Why,
+        machine: NodeId,
+        outcome: AttemptOutcome,
+        why: EndReason,
         over: bool,
     ) {
         let silent = matches!(
             outcome,
-            Outcome::TimedOut | Outcome::Unreachable | Outcome::NotSent
+            AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
         );
-        if !silent && outcome != Outcome::Withdrawn {
+        if !silent && outcome != AttemptOutcome::Cancelled {
             self.on_heard(machine);
         }
         let Some(mut task) = self.tasks.remove(&request) else {
@@ -983,28 +1007,28 @@
             return;
         };
         let sent_at = a.sent_at;
-        (a.open, a.starting, a.erred) = (false, false, outcome == Outcome::Error);
+        (a.open, a.starting, a.erred) = (false, false, outcome == AttemptOutcome::Error);
         a.may_have_run = !matches!(
             outcome,
-            Outcome::Refused | Outcome::Unreachable | Outcome::NotSent
+            AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
         );
         let at = a.machine;
         self.close_attempt(&task.ask, at);
         let unheard = self.machines.get(&at).is_none_or(|m| m.heard_at <= sent_at);
-        if outcome == Outcome::Done || why == Why::PushedOut {
-            self.learn_headroom(task.ask.class, why == Why::PushedOut);
+        if outcome == AttemptOutcome::Completed || why == EndReason::Preempted {
+            self.learn_headroom(task.ask.class, why == EndReason::Preempted);
         }
         match outcome {
-            Outcome::Refused => self.on_refused(at, &task.ask, why),
-            Outcome::TimedOut | Outcome::Unreachable if unheard => self.on_silent(at),
-            Outcome::Error if task.stage == Stage::Offered => self.on_error(at, &task),
+            AttemptOutcome::Rejected => self.on_refused(at, &task.ask, why),
+            AttemptOutcome::TimedOut | AttemptOutcome::Unreachable if unheard => self.on_silent(at),
+            AttemptOutcome::Error if task.stage == Stage::Offered => self.on_error(at, &task),
             // It answers others: the danger lies in what was asked.
-            Outcome::TimedOut | Outcome::Lost if task.stage == Stage::Offered => {
+            AttemptOutcome::TimedOut | AttemptOutcome::Lost if task.stage == Stage::Offered => {
                 self.rest(at, Part::of(&task.ask));
             }
             _ => {}
         }
-        if outcome == Outcome::Refused {
+        if outcome == AttemptOutcome::Rejected {
             task.rests_until = self.rest_after_refusal(&task);
         }
         let goes_on = !over && task.stage == Stage::Offered;
@@ -1017,7 +1041,7 @@
             return;
         }
         let spent = task.attempts.len() >= self.settings.max_attempts as usize;
-        let hopeless = spent || outcome == Outcome::NotSent || !self.may_send_again(&task);
+        let hopeless = spent || outcome == AttemptOutcome::NotSent || !self.may_send_again(&task);
         self.tasks.insert(request, task);
         if goes_on && hopeless {
             self.answer_no(request);
@@ -1036,24 +1060,24 @@
     }
 
     /// Own tasks that end or are lost leave the entry; the program stays a while.
-    fn close_attempt(&mut self, ask: &Request, machine: MachineId) {
+    fn close_attempt(&mut self, ask: &PlacementRequest, machine: NodeId) {
         self.room_news = true;
         let now = self.now;
         release(&mut self.services, ask.service, machine);
         let Some(m) = self.machines.get_mut(&machine) else {
             return;
         };
-        m.add_own(now, ask, -1.0, self.settings.ask_every);
+        m.add_own(now, ask, -1.0, self.settings.poll_interval);
         m.refused = None;
-        m.starting.remove(&ask.request);
-        m.unanswered.remove(&ask.request);
+        m.starting.remove(&ask.id);
+        m.unanswered.remove(&ask.id);
         m.end_program(ask.service, now, PROGRAMS);
     }
 
     /// An error rests the like of it on its machine. Danger: a task that no machine can use errs wherever it
     /// is offered, and a few of them would close a whole cluster to their class. What errs on a second
     /// machine speaks against itself: neither rests unless another error came there before a placing.
-    fn on_error(&mut self, machine: MachineId, task: &Task) {
+    fn on_error(&mut self, machine: NodeId, task: &Task) {
         let part = Part::of(&task.ask);
         if let Some(m) = self.machines.get_mut(&machine) {
             *m.errors.entry(part).or_insert(0) += 1;
@@ -1063,7 +1087,7 @@
             .attempts
             .iter()
             .filter(|a| a.erred && a.machine != machine);
-        let elsewhere: Vec<MachineId> = elsewhere.map(|a| a.machine).collect();
+        let elsewhere: Vec<NodeId> = elsewhere.map(|a| a.machine).collect();
         for other in &elsewhere {
             if let Some(m) = self.machines.get_mut(other).filter(|m| alone(m)) {
                 m.rests.remove(&part);
@@ -1076,18 +1100,21 @@
 
     /// A refusal marks the entry full. Danger: a table that is wrong about one machine sends it everything
     /// that is held, and each offer is turned away at once.
-    fn on_refused(&mut self, machine: MachineId, ask: &Request, why: Why) {
+    fn on_refused(&mut self, machine: NodeId, ask: &PlacementRequest, why: EndReason) {
         let pause = self.shortest_aim();
-        let accepts = [self.settings.accepts_cores, self.settings.accepts_memory];
+        let accepts = [
+            self.settings.cores_overcommit,
+            self.settings.memory_overcommit,
+        ];
         let Some(m) = self.machines.get_mut(&machine) else {
             return;
         };
         let (size, asks) = ([m.cores, m.memory], [ask.cores, ask.memory]);
         let short = match why {
-            Why::NoCores => 0,
-            Why::NoMemory => 1,
+            EndReason::InsufficientCores => 0,
+            EndReason::InsufficientMemory => 1,
             // It looks at offers too slowly, or drains before the list says so.
-            Why::Busy | Why::NotHere => return self.rest(machine, Part::Line),
+            EndReason::QueueFull | EndReason::Ineligible => return self.rest(machine, Part::Line),
             // Turned away for no reason that the table could show: only the like of it rests.
             _ => return self.rest(machine, Part::of(ask)),
         };
@@ -1118,7 +1145,7 @@
     /// A start now would still earn its full worth; a task that came again has lost it.
     fn is_timely(&self, task: &Task) -> bool {
         let class = &self.settings.classes[usize::from(task.ask.class)];
-        !task.ask.again && self.now < task.arrived + class.aim
+        !task.ask.is_retry && self.now < task.arrived + class.latency_objective
     }
 
     fn may_send_again(&self, task: &Task) -> bool {
@@ -1126,10 +1153,12 @@
         let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else {
             return true;
         };
-        match class.repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => false,
-            Repeat::Keyed { window, .. } => self.now + self.settings.tick < first.sent_at + window,
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { window, .. } => {
+                self.now + self.settings.tick < first.sent_at + window
+            }
         }
     }
 
@@ -1140,14 +1169,15 @@
         };
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let may_have_run = task.attempts.iter().any(|a| a.open || a.may_have_run);
-        let harmless = match class.repeat {
-            Repeat::Safe
-            | Repeat::Keyed {
-                group: Group::All, ..
+        let harmless = match class.idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: DedupScope::All,
+                ..
             } => true,
-            Repeat::Keyed { .. } | Repeat::Unsafe => !may_have_run,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !may_have_run,
         };
-        let refusal = Action::Refuse {
+        let refusal = Action::Reject {
             request,
             retry_after: None,
         };
@@ -1172,7 +1202,7 @@
 
     // ---- Silence ----
 
-    fn on_silent(&mut self, machine: MachineId) {
+    fn on_silent(&mut self, machine: NodeId) {
         if self
             .machines
             .get(&machine)
@@ -1193,8 +1223,8 @@
     /// What failed rests, and only that: a machine may fail, leave unanswered or turn away a part of what
     /// it is sent and serve the rest. After it one trial at a time tells whether the trouble is over; each
     /// doubles the rest, up to half of the time that a list is good for.
-    fn rest(&mut self, machine: MachineId, part: Part) {
-        let (first, most, now) = (self.first_rest(), self.settings.ask_every / 2, self.now);
+    fn rest(&mut self, machine: NodeId, part: Part) {
+        let (first, most, now) = (self.first_rest(), self.settings.poll_interval / 2, self.now);
         let Some(m) = self.machines.get_mut(&machine) else {
             return;
         };
@@ -1218,11 +1248,11 @@
                 .values()
                 .map(|(_, estimate)| *estimate)
                 .fold(0.0, f64::max);
-            let wait = match self.settings.confirms {
-                Confirms::Accepted => least,
-                Confirms::Running => (longest * OVERDUE).max(least),
+            let wait = match self.settings.placement_ack {
+                PlacementAck::Accepted => least,
+                PlacementAck::Running => (longest * OVERDUE).max(least),
             };
-            (m.heard_at.max(first) as f64 + wait < self.now as f64).then_some(m.line.machine)
+            (m.heard_at.max(first) as f64 + wait < self.now as f64).then_some(m.line.node)
         };
         let machines = &self.machines;
         self.awaited
@@ -1231,10 +1261,10 @@
             .awaited
             .iter()
             .filter_map(|id| overdue(machines.get(id)?));
-        for machine in silent.collect::<Vec<MachineId>>() {
+        for machine in silent.collect::<Vec<NodeId>>() {
             self.on_silent(machine);
         }
-        if self.settings.probes {
+        if self.settings.can_probe {
             let lapsed = |m: &Machine| {
                 m.rests
                     .get(&Part::Silent)
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,7 +15,7 @@
 }
 id!(
     /// A machine, by its address.
-    MachineId
+    NodeId
 );
 id!(
     /// One ask for a placing; a task that comes again has a new one.
@@ -32,7 +32,7 @@
 
 /// Which machines discard a second copy of a task that carries a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every machine.
     All,
     /// Those in the zone of the first.
@@ -43,27 +43,27 @@
 
 /// What a second start of a task would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// No harm.
-    Safe,
+    Idempotent,
     /// Discarded by the machines of `group` for `window` after the first send.
     Keyed {
         /// The machines that discard it.
-        group: Group,
+        scope: DedupScope,
         /// For how long.
         window: Micros,
     },
     /// Harm: it must not happen.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The place that a service's tasks must not crowd.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spread {
+pub enum TopologySpread {
     /// No limit.
     Off,
     /// One machine.
-    Machine,
+    Node,
     /// One rack.
     Rack,
     /// One zone.
@@ -72,36 +72,36 @@
 
 /// One class of tasks.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct TaskClass {
     /// A first start within this time earns its full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Owner's wait for a placing.
     pub deadline: Micros,
     /// What a repeat does.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Worth of one second of full service of a task of mean size.
-    pub worth: f64,
+    pub weight: f64,
     /// Share of a start's worth after the aim.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Seconds of service that a timely first start is worth.
     pub start_seconds: f64,
     /// Busy share of the cores up to which the class is served in full.
-    pub calm: f64,
+    pub saturation_start: f64,
     /// Service falls to nothing over this much more.
-    pub fade: f64,
+    pub saturation_span: f64,
     /// Higher ones win in contention and evictions.
     pub priority: u8,
     /// The machine kind it needs.
-    pub kind: Option<u8>,
+    pub node_kind: Option<u8>,
     /// The place its services must not crowd.
-    pub spread: Spread,
+    pub topology_spread: TopologySpread,
     /// The most tasks of one service in one such place.
-    pub most: u32,
+    pub max_per_domain: u32,
 }
 
 /// A kind of machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct NodeKind {
     /// Cores of the machine.
     pub cores: f64,
     /// Its memory.
@@ -117,16 +117,16 @@
 
 /// What a load report holds about one resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportCounts {
+pub enum LoadBasis {
     /// Free values are what is not asked for.
-    Asked,
+    Requested,
     /// Free values are what is not in use.
     Used,
 }
 
 /// When a machine says that a task is placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Confirms {
+pub enum PlacementAck {
     /// Once it has accepted it.
     Accepted,
     /// Once the task runs.
@@ -139,27 +139,27 @@
     /// Schedulers that share the machines, this one included.
     pub schedulers: u32,
     /// This scheduler's number among them.
-    pub own_number: u32,
+    pub own_index: u32,
     /// The zone of this scheduler.
     pub own_zone: u8,
     /// The classes, by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<TaskClass>,
     /// The machine kinds, by index.
-    pub kinds: Vec<Kind>,
+    pub node_kinds: Vec<NodeKind>,
     /// The tenants, by index.
     pub tenants: Vec<Tenant>,
     /// What a task past its tenant's share is worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// A machine accepts tasks up to this multiple of its cores.
-    pub accepts_cores: f64,
+    pub cores_overcommit: f64,
     /// And up to this multiple of its memory.
-    pub accepts_memory: f64,
+    pub memory_overcommit: f64,
     /// What confirms a placing.
-    pub confirms: Confirms,
+    pub placement_ack: PlacementAck,
     /// Machines push out tasks of lower priority to make room.
-    pub preempts: bool,
+    pub allows_preemption: bool,
     /// What load reports count.
-    pub report_counts: ReportCounts,
+    pub load_basis: LoadBasis,
     /// Mean cores of a task.
     pub mean_cores: f64,
     /// Mean memory of a task.
@@ -167,124 +167,124 @@
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// An attempt may be withdrawn.
-    pub may_withdraw: bool,
+    pub can_cancel_attempts: bool,
     /// Two attempts of one request may be out at once.
-    pub may_duplicate: bool,
+    pub can_hedge: bool,
     /// Machines may be probed.
-    pub probes: bool,
+    pub can_probe: bool,
     /// Messages to other schedulers are allowed.
     pub peer_messages: bool,
     /// The machine list must be asked for.
-    pub list_on_request: bool,
+    pub is_list_polled: bool,
     /// Without a subscription, the list counts as told this long after it was last asked for.
-    pub ask_every: Micros,
+    pub poll_interval: Micros,
     /// Longest waits before a call for the list that failed is made again: the first time, and ever.
-    pub ask_again: [Micros; 2],
+    pub poll_backoff: [Micros; 2],
     /// Grace of an answer after the deadline.
     pub answer_slack: Micros,
     /// Time allowed between hearing of a drain and the last bind.
     pub drain_grace: Micros,
     /// A new machine starts tasks at this share of its pace or more.
-    pub cold_from: f64,
+    pub slow_start_min_share: f64,
     /// And is warm after this.
-    pub warm_within: Micros,
+    pub slow_start_window: Micros,
     /// A cold machine falls over when sent more than this multiple of what it can do.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// For this long.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// Offers within `fall_window`, from all schedulers, that a cold machine always bears.
-    pub cold_bears: f64,
+    pub slow_start_budget: f64,
     /// Least time between two batches of events.
     pub tick: Micros,
     /// Price of the machines in use beyond the needed, as a share of the result.
     pub fleet_price: f64,
     /// Price of one move for each task.
-    pub move_price: f64,
+    pub migration_price: f64,
     /// Price of one refused offer for each task.
-    pub refusal_price: f64,
+    pub rejection_price: f64,
     /// Price of one probe for each task.
     pub probe_price: f64,
     /// How long owners wait before they ask again where a second start would do harm.
-    pub settle: Micros,
+    pub ambiguous_retry_delay: Micros,
 }
 
 impl Settings {
     /// Settings of a small made-up cluster, for examples and tests.
     pub fn sample() -> Settings {
-        let class = Class {
-            aim: 1_000_000,
+        let class = TaskClass {
+            latency_objective: 1_000_000,
             deadline: 5_000_000,
-            repeat: Repeat::Safe,
-            worth: 1.0,
-            late_worth: 0.5,
+            idempotency: Idempotency::Idempotent,
+            weight: 1.0,
+            late_weight: 0.5,
             start_seconds: 5.0,
-            calm: 0.9,
-            fade: 0.1,
+            saturation_start: 0.9,
+            saturation_span: 0.1,
             priority: 0,
-            kind: None,
-            spread: Spread::Off,
-            most: 1,
+            node_kind: None,
+            topology_spread: TopologySpread::Off,
+            max_per_domain: 1,
         };
-        let keyed = Repeat::Keyed {
-            group: Group::Rack,
+        let keyed = Idempotency::Keyed {
+            scope: DedupScope::Rack,
             window: 4_000_000,
         };
-        let spread = Class {
-            repeat: keyed,
-            spread: Spread::Rack,
-            most: 2,
+        let spread = TaskClass {
+            idempotency: keyed,
+            topology_spread: TopologySpread::Rack,
+            max_per_domain: 2,
             ..class.clone()
         };
-        let once = Class {
-            repeat: Repeat::Unsafe,
+        let once = TaskClass {
+            idempotency: Idempotency::NonIdempotent,
             ..class.clone()
         };
         Settings {
             schedulers: 2,
-            own_number: 0,
+            own_index: 0,
             own_zone: 0,
             classes: vec![class, spread, once],
-            kinds: vec![Kind {
+            node_kinds: vec![NodeKind {
                 cores: 16.0,
                 memory: 32.0,
             }],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            accepts_cores: 1.0,
-            accepts_memory: 1.0,
-            confirms: Confirms::Running,
-            preempts: false,
-            report_counts: ReportCounts::Asked,
+            over_quota_weight: 1.0,
+            cores_overcommit: 1.0,
+            memory_overcommit: 1.0,
+            placement_ack: PlacementAck::Running,
+            allows_preemption: false,
+            load_basis: LoadBasis::Requested,
             mean_cores: 1.0,
             mean_memory: 2.0,
             max_attempts: 3,
-            may_withdraw: true,
-            may_duplicate: false,
-            probes: false,
+            can_cancel_attempts: true,
+            can_hedge: false,
+            can_probe: false,
             peer_messages: false,
-            list_on_request: true,
-            ask_every: 10_000_000,
-            ask_again: [625_000, 5_000_000],
+            is_list_polled: true,
+            poll_interval: 10_000_000,
+            poll_backoff: [625_000, 5_000_000],
             answer_slack: 10_000,
             drain_grace: 500_000,
-            cold_from: 0.2,
-            warm_within: 15_000_000,
-            fall_multiple: 3.0,
-            fall_window: 2_000_000,
-            cold_bears: 8.0,
+            slow_start_min_share: 0.2,
+            slow_start_window: 15_000_000,
+            overload_multiple: 3.0,
+            overload_window: 2_000_000,
+            slow_start_budget: 8.0,
             tick: 1_000,
             fleet_price: 0.0,
-            move_price: 0.0,
-            refusal_price: 0.0,
+            migration_price: 0.0,
+            rejection_price: 0.0,
             probe_price: 0.0,
-            settle: 3_000_000,
+            ambiguous_retry_delay: 3_000_000,
         }
     }
 }
 
 /// What the list says of a machine's life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum MachineState {
+pub enum NodeStatus {
     /// Takes tasks.
     Ready,
     /// Takes nothing new.
@@ -296,11 +296,12 @@
 
 /// One line of the machine list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct MachineLine {
+pub struct NodeEntry {
     /// The machine.
-    pub machine: MachineId,
+    #[serde(rename = "machine")]
+    pub node: NodeId,
     /// Its state.
-    pub state: MachineState,
+    pub state: NodeStatus,
     /// Index of its kind.
     pub kind: u8,
     /// Its rack.
@@ -310,7 +311,8 @@
     /// When it last started; 0 is long ago.
     pub started_at: Micros,
     /// A number of that life, the same for all schedulers, which may read the start against own clocks.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Cores nobody asked for, some time ago.
     pub free_cores: Option<f64>,
     /// Memory nobody asked for, some time ago.
@@ -318,29 +320,33 @@
     /// Offers that this scheduler may make there in a window while the machine is cold, where not all
     /// schedulers share it; else the split among all of them holds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cold_share: Option<u32>,
+    #[serde(rename = "cold_share")]
+    pub slow_start_share: Option<u32>,
 }
 
 /// How a list event relates to the list already held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListScope {
+pub enum ListUpdateKind {
     /// Changed machines alone.
-    Delta,
+    #[serde(rename = "Delta")]
+    Incremental,
     /// The whole list.
     Full,
     /// The whole list as last seen before a restart.
     Cached,
     /// No news of the list: machines that come into this scheduler's view, or leave it, as gone.
-    View,
+    #[serde(rename = "View")]
+    SubsetChange,
     /// A call failed or the subscription broke: the old list stands.
     Failed,
 }
 
 /// A task to place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Request {
+pub struct PlacementRequest {
     /// This ask.
-    pub request: RequestId,
+    #[serde(rename = "request")]
+    pub id: RequestId,
     /// The task.
     pub task: TaskKey,
     /// Its service.
@@ -356,12 +362,14 @@
     /// Time until its owner gives up.
     pub deadline_in: Micros,
     /// Expected remaining run time.
-    pub life_hint: Option<Micros>,
+    #[serde(rename = "life_hint")]
+    pub expected_duration: Option<Micros>,
     /// It came before.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub is_retry: bool,
 }
 
-impl Request {
+impl PlacementRequest {
     /// Its class is known and its figures are numbers that something can have.
     pub(crate) fn makes_sense(&self, settings: &Settings) -> bool {
         let sane = |x: f64| x.is_finite() && x >= 0.0;
@@ -371,26 +379,30 @@
 
 /// A load report of a machine; each value only where the site reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Free cores, in the sense of [`Settings::report_counts`].
     pub free_cores: Option<f64>,
     /// Free memory, likewise.
     pub free_memory: Option<f64>,
     /// Busy share of the cores.
-    pub busy: Option<f64>,
+    #[serde(rename = "busy")]
+    pub cpu_utilization: Option<f64>,
     /// Offers and starts waiting.
-    pub waiting: Option<f64>,
+    #[serde(rename = "waiting")]
+    pub queue_depth: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The placed task ended.
-    Done,
+    #[serde(rename = "Done")]
+    Completed,
     /// The machine answered with an error; the task may have started.
     Error,
     /// Refused, or handed back before it ran.
-    Refused,
+    #[serde(rename = "Refused")]
+    Rejected,
     /// No answer in time; the task may have been accepted.
     TimedOut,
     /// No connection: it never ran.
@@ -398,67 +410,77 @@
     /// A placed task was evicted or lost, or the answer broke off.
     Lost,
     /// Called off, moved or stopped by its owner.
-    Withdrawn,
+    #[serde(rename = "Withdrawn")]
+    Cancelled,
     /// Never sent.
     NotSent,
 }
 
 /// Why a machine refused or gave a task up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum EndReason {
     /// Not told.
     Unknown,
     /// No cores.
-    NoCores,
+    #[serde(rename = "NoCores")]
+    InsufficientCores,
     /// No memory.
-    NoMemory,
+    #[serde(rename = "NoMemory")]
+    InsufficientMemory,
     /// Too many offers wait.
-    Busy,
+    #[serde(rename = "Busy")]
+    QueueFull,
     /// Wrong kind, draining, too late, or a copy stands.
-    NotHere,
+    #[serde(rename = "NotHere")]
+    Ineligible,
     /// Evicted for memory.
     Evicted,
     /// Pushed out by a higher priority.
-    PushedOut,
+    #[serde(rename = "PushedOut")]
+    Preempted,
     /// Sent away by a drain.
-    SentAway,
+    #[serde(rename = "SentAway")]
+    Drained,
 }
 
 /// An update on a placed task or its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Note {
+pub enum TaskUpdate {
     /// The task runs.
-    Runs,
+    #[serde(rename = "Runs")]
+    Running,
     /// Cores it uses.
     CoresUsed(f64),
     /// Memory it uses.
     MemoryUsed(f64),
     /// Share of full service it gets.
-    Served(f64),
+    #[serde(rename = "Served")]
+    ServedShare(f64),
     /// Share of its machine's memory in use.
-    MachineMemory(f64),
+    #[serde(rename = "MachineMemory")]
+    NodeMemoryShare(f64),
 }
 
 /// Something that happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the machine list.
-    MachineList {
+    NodeList {
         /// How it relates to the list held.
-        scope: ListScope,
+        kind: ListUpdateKind,
         /// Its version.
         version: u64,
         /// The lines.
-        lines: Vec<MachineLine>,
+        entries: Vec<NodeEntry>,
     },
     /// A task to place.
-    Place(Request),
+    Place(PlacementRequest),
     /// A task that already runs on a machine and is now this scheduler's; its attempt 0 counts as made.
-    Standing {
+    RunningTask {
         /// The task.
-        request: Request,
+        request: PlacementRequest,
         /// Where it runs.
-        machine: MachineId,
+        node: NodeId,
     },
     /// An attempt placed its task.
     Placed {
@@ -467,48 +489,48 @@
         /// The attempt.
         attempt: u16,
         /// The machine.
-        machine: MachineId,
+        node: NodeId,
     },
     /// An update on an attempt.
-    Noted {
+    TaskUpdated {
         /// The ask.
         request: RequestId,
         /// The attempt.
         attempt: u16,
         /// The machine.
-        machine: MachineId,
+        node: NodeId,
         /// What is told.
-        note: Note,
+        update: TaskUpdate,
     },
     /// An attempt is over.
-    Ended {
+    AttemptEnded {
         /// The ask.
         request: RequestId,
         /// The attempt.
         attempt: u16,
         /// The machine.
-        machine: MachineId,
+        node: NodeId,
         /// How.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// Why.
-        why: Why,
+        reason: EndReason,
         /// The request is over with it.
-        over: bool,
+        is_final: bool,
         /// A load report that came along.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// The task is no longer wanted.
-    Unwanted(RequestId),
+    RequestCancelled(RequestId),
     /// A timer set earlier.
     Timer(u64),
     /// A probe's answer.
     Probed {
         /// The machine.
-        machine: MachineId,
+        node: NodeId,
         /// It answered.
         answered: bool,
         /// Its load.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A message of another scheduler.
     Peer {
@@ -523,25 +545,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Subscribe to the machine list.
-    Watch,
+    WatchNodes,
     /// Offer a task to a machine.
-    Bind {
+    Dispatch {
         /// The ask.
         request: RequestId,
         /// The machine.
-        machine: MachineId,
+        node: NodeId,
         /// Wait no longer than this; `None` is until the owner gives up.
         timeout: Option<Micros>,
     },
     /// Stop waiting for an attempt.
-    Withdraw {
+    CancelAttempt {
         /// The ask.
         request: RequestId,
         /// The attempt.
         attempt: u16,
     },
     /// Final answer: a retry is harmless.
-    Refuse {
+    Reject {
         /// The ask.
         request: RequestId,
         /// Advice to stay away this long.
@@ -550,7 +572,7 @@
     /// Final answer: no promise.
     Fail(RequestId),
     /// Stop a placed task, to be placed anew.
-    Move(RequestId),
+    Migrate(RequestId),
     /// Wake this scheduler at a time.
     SetTimer {
         /// Comes back with the event.
@@ -559,9 +581,9 @@
         at: Micros,
     },
     /// Ask a machine for its load.
-    Probe(MachineId),
+    Probe(NodeId),
     /// Tell all other schedulers something.
-    Tell(Vec<u8>),
+    Broadcast(Vec<u8>),
     /// A line for the people on call.
     Log(String),
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,7 +7,7 @@
 
 /// One offer of a task to a machine.
 pub(crate) struct Attempt {
-    pub(crate) machine: MachineId,
+    pub(crate) machine: NodeId,
     pub(crate) rack: u16,
     pub(crate) zone: u8,
     pub(crate) sent_at: Micros,
@@ -29,7 +29,7 @@
 
 /// A request and its attempts.
 pub(crate) struct Task {
-    pub(crate) ask: Request,
+    pub(crate) ask: PlacementRequest,
     pub(crate) arrived: Micros,
     pub(crate) deadline: Micros,
     pub(crate) rests_until: Micros,
@@ -38,7 +38,12 @@
 }
 
 impl Task {
-    pub(crate) fn new(ask: &Request, arrived: Micros, deadline: Micros, stage: Stage) -> Task {
+    pub(crate) fn new(
+        ask: &PlacementRequest,
+        arrived: Micros,
+        deadline: Micros,
+        stage: Stage,
+    ) -> Task {
         Task {
             ask: ask.clone(),
             arrived,
@@ -62,7 +67,7 @@
 }
 
 impl Part {
-    pub(crate) fn of(ask: &Request) -> Part {
+    pub(crate) fn of(ask: &PlacementRequest) -> Part {
         Part::Asks(ask.class, ask.tenant)
     }
 }
@@ -78,7 +83,7 @@
 #[derive(Default)]
 pub(crate) struct Machine {
     pub(crate) listed: bool,
-    pub(crate) line: MachineLine,
+    pub(crate) line: NodeEntry,
     pub(crate) cores: f64,
     pub(crate) memory: f64,
     pub(crate) own: [f64; 2],
@@ -98,10 +103,10 @@
 }
 
 impl Machine {
-    pub(crate) fn new(machine: MachineId) -> Machine {
-        let line = MachineLine {
-            machine,
-            ..MachineLine::default()
+    pub(crate) fn new(machine: NodeId) -> Machine {
+        let line = NodeEntry {
+            node: machine,
+            ..NodeEntry::default()
         };
         Machine {
             line,
@@ -122,7 +127,7 @@
     }
 
     /// Adds or takes off a task of this scheduler's own; what was before `keep` ago is forgotten.
-    pub(crate) fn add_own(&mut self, now: Micros, ask: &Request, sign: f64, keep: Micros) {
+    pub(crate) fn add_own(&mut self, now: Micros, ask: &PlacementRequest, sign: f64, keep: Micros) {
         self.history.retain(|(at, _)| at + keep > now);
         self.history.push_back((now, self.own));
         self.own[0] = (self.own[0] + sign * ask.cores).max(0.0);
@@ -130,7 +135,7 @@
     }
 
     /// A task just added was there before: it moves from the others' asks to the past of own ones.
-    pub(crate) fn was_own_before(&mut self, ask: &Request) {
+    pub(crate) fn was_own_before(&mut self, ask: &PlacementRequest) {
         let asks = [ask.cores, ask.memory];
         for i in 0..2 {
             for (_, own) in &mut self.history {
@@ -166,11 +171,11 @@
     }
 
     /// The place that it is part of.
-    pub(crate) fn place(&self, spread: Spread) -> u64 {
+    pub(crate) fn place(&self, spread: TopologySpread) -> u64 {
         match spread {
-            Spread::Machine | Spread::Off => self.line.machine.0,
-            Spread::Rack => u64::from(self.line.zone) << 16 | u64::from(self.line.rack),
-            Spread::Zone => u64::from(self.line.zone),
+            TopologySpread::Node | TopologySpread::Off => self.line.node.0,
+            TopologySpread::Rack => u64::from(self.line.zone) << 16 | u64::from(self.line.rack),
+            TopologySpread::Zone => u64::from(self.line.zone),
         }
     }
 
@@ -263,20 +268,20 @@
 
 /// Homes of a service, to be held against many machines.
 pub(crate) struct Homes<'a> {
-    sorted: Vec<MachineId>,
+    sorted: Vec<NodeId>,
     compared: &'a Cell<u64>,
 }
 
 impl<'a> Homes<'a> {
     /// Counts what is compared in `compared`.
-    pub(crate) fn of(homes: impl Iterator<Item = MachineId>, compared: &'a Cell<u64>) -> Homes<'a> {
-        let mut sorted: Vec<MachineId> = homes.collect();
+    pub(crate) fn of(homes: impl Iterator<Item = NodeId>, compared: &'a Cell<u64>) -> Homes<'a> {
+        let mut sorted: Vec<NodeId> = homes.collect();
         sorted.sort_unstable();
         Homes { sorted, compared }
     }
 
-    pub(crate) fn hold(&self, machine: MachineId) -> bool {
-        let compare = |home: &MachineId| {
+    pub(crate) fn hold(&self, machine: NodeId) -> bool {
+        let compare = |home: &NodeId| {
             self.compared.set(self.compared.get() + 1);
             home.cmp(&machine)
         };
@@ -285,7 +290,7 @@
 }
 
 /// Where a machine stands among the homes of a service, the highest first: larger ones ahead in proportion.
-pub fn home_rank(service: ServiceId, machine: MachineId, cores: f64) -> f64 {
+pub fn preferred_node_rank(service: ServiceId, machine: NodeId, cores: f64) -> f64 {
     unit(scatter(service.0 ^ scatter(machine.0)))
         .max(f64::MIN_POSITIVE)
         .ln()
@@ -306,9 +311,9 @@
 
 /// Takes one task of a service off the count of a machine; what is empty goes.
 pub(crate) fn release(
-    services: &mut Table<ServiceId, Table<MachineId, u32>>,
+    services: &mut Table<ServiceId, Table<NodeId, u32>>,
     service: ServiceId,
-    machine: MachineId,
+    machine: NodeId,
 ) {
     if let Some(held) = services.get_mut(&service) {
         if let Some(n) = held.get_mut(&machine) {
