--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,15 +6,15 @@
 
 /// What was wrong with the input, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WireError(pub String);
+pub struct ProtocolError(pub String);
 
-impl fmt::Display for WireError {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for WireError {}
+impl std::error::Error for ProtocolError {}
 
 /// One decoded record for one instance.
 #[derive(Clone, Debug)]
@@ -43,11 +43,11 @@
 
 /// What an instance's settings say of the records it gets, and names behind its indices.
 #[derive(Clone, Debug, Default)]
-pub struct Shape {
+pub struct RecordSchema {
     /// Names of the values of a load report, in order.
-    pub fields: Vec<String>,
+    pub load_fields: Vec<String>,
     /// Lines of the list carry the room that nobody asked for.
-    pub view: bool,
+    pub has_free_capacity: bool,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
     /// Names of the machine kinds, by index.
@@ -59,13 +59,13 @@
 }
 
 /// Puts one value of a load report in its place; names that are not known are skipped.
-pub fn report_value(load: &mut Load, field: &str, value: f64) {
+pub fn set_load_value(load: &mut LoadReport, field: &str, value: f64) {
     let value = Some(value).filter(|v| v.is_finite());
     match field {
         "x0" => load.free_cores = value,
         "x1" => load.free_memory = value,
-        "cpu" | "util" => load.busy = value,
-        "waiting" | "queue" => load.waiting = value,
+        "cpu" | "util" => load.cpu_utilization = value,
+        "waiting" | "queue" => load.queue_depth = value,
         _ => {}
     }
 }
@@ -73,8 +73,8 @@
 /// Decoder of a whole input: it keeps the numbered lists and the shape of each instance's records.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    banks: Table<u8, Vec<MachineLine>>,
-    shapes: Table<u16, Shape>,
+    banks: Table<u8, Vec<NodeEntry>>,
+    shapes: Table<u16, RecordSchema>,
 }
 
 struct Cursor<'a> {
@@ -82,14 +82,14 @@
     at: usize,
 }
 
-type Read<T> = Result<T, WireError>;
+type Read<T> = Result<T, ProtocolError>;
 
 impl<'a> Cursor<'a> {
     fn take(&mut self, n: usize) -> Read<&'a [u8]> {
         let end = self.at.checked_add(n).filter(|&e| e <= self.bytes.len());
         let Some(end) = end else {
             let left = self.bytes.len() - self.at;
-            return Err(WireError(format!(
+            return Err(ProtocolError(format!(
                 "byte {}: {n} bytes wanted, {left} left in the frame",
                 self.at
             )));
@@ -118,25 +118,25 @@
     fn f32(&mut self) -> Read<f64> {
         Ok(f32::from_le_bytes(self.array()?) as f64)
     }
-    fn machine(&mut self) -> Read<MachineId> {
+    fn machine(&mut self) -> Read<NodeId> {
         let address = u32::from_be_bytes(self.array()?);
         let port = self.u16()?;
-        Ok(MachineId((u64::from(address) << 16) | u64::from(port)))
+        Ok(NodeId((u64::from(address) << 16) | u64::from(port)))
     }
-    fn load(&mut self, shape: &Shape) -> Read<Option<Load>> {
+    fn load(&mut self, shape: &RecordSchema) -> Read<Option<LoadReport>> {
         let n = self.u8()?;
-        let mut load = Load::default();
+        let mut load = LoadReport::default();
         for i in 0..usize::from(n) {
             let value = self.f32()?;
-            report_value(
+            set_load_value(
                 &mut load,
-                shape.fields.get(i).map_or("", String::as_str),
+                shape.load_fields.get(i).map_or("", String::as_str),
                 value,
             );
         }
         Ok((n > 0).then_some(load))
     }
-    fn line(&mut self) -> Read<MachineLine> {
+    fn line(&mut self) -> Read<NodeEntry> {
         let free_cores = self.f32()?;
         let machine = self.machine()?;
         let _size = self.f32()?;
@@ -144,29 +144,29 @@
         let zone = self.u8()?;
         let started_at = self.u64()?;
         let state = match self.u8()? {
-            1 => MachineState::Ready,
-            2 => MachineState::Draining,
-            _ => MachineState::Gone,
+            1 => NodeStatus::Ready,
+            2 => NodeStatus::Draining,
+            _ => NodeStatus::Gone,
         };
         let kind = self.u8()?;
         let free_memory = self.f32()?;
         let (free_cores, free_memory) = (Some(free_cores), Some(free_memory));
         // On this wire the start is told to all schedulers alike, so that it names the life as well.
         let life = started_at;
-        Ok(MachineLine {
-            machine,
+        Ok(NodeEntry {
+            node: machine,
             state,
             kind,
             rack,
             zone,
             started_at,
-            life,
+            incarnation: life,
             free_cores,
             free_memory,
-            cold_share: None,
+            slow_start_share: None,
         })
     }
-    fn place(&mut self) -> Read<Request> {
+    fn place(&mut self) -> Read<PlacementRequest> {
         let request = RequestId(self.u64()?);
         let class = self.u16()?;
         let tenant = self.u32()?;
@@ -177,8 +177,8 @@
         let (cores, memory, flags) = (self.f32()?, self.f32()?, self.u8()?);
         let life_hint = (flags & 1 != 0).then_some(hint);
         let again = flags & 18 != 0;
-        Ok(Request {
-            request,
+        Ok(PlacementRequest {
+            id: request,
             task,
             service,
             class,
@@ -186,8 +186,8 @@
             cores,
             memory,
             deadline_in,
-            life_hint,
-            again,
+            expected_duration: life_hint,
+            is_retry: again,
         })
     }
     fn standing(&mut self) -> Read<Event> {
@@ -204,8 +204,8 @@
         let class = self.u16()?;
         let life_hint = (flags & 1 != 0).then_some(hint);
         let again = flags & 18 != 0;
-        let request = Request {
-            request,
+        let request = PlacementRequest {
+            id: request,
             task,
             service,
             class,
@@ -213,10 +213,13 @@
             cores,
             memory,
             deadline_in,
-            life_hint,
-            again,
+            expected_duration: life_hint,
+            is_retry: again,
         };
-        Ok(Event::Standing { request, machine })
+        Ok(Event::RunningTask {
+            request,
+            node: machine,
+        })
     }
     fn update(&mut self) -> Read<Option<Event>> {
         let request = RequestId(self.u64()?);
@@ -225,54 +228,54 @@
         let machine = self.machine()?;
         let attempt = self.u16()?;
         let note = match topic {
-            1 => Note::Runs,
-            2 => Note::CoresUsed(x),
-            3 => Note::MemoryUsed(x),
-            4 => Note::Served(x),
-            5 => Note::MachineMemory(x),
+            1 => TaskUpdate::Running,
+            2 => TaskUpdate::CoresUsed(x),
+            3 => TaskUpdate::MemoryUsed(x),
+            4 => TaskUpdate::ServedShare(x),
+            5 => TaskUpdate::NodeMemoryShare(x),
             _ => return Ok(None),
         };
-        Ok(Some(Event::Noted {
+        Ok(Some(Event::TaskUpdated {
             request,
             attempt,
-            machine,
-            note,
+            node: machine,
+            update: note,
         }))
     }
-    fn reply(&mut self, shape: &Shape) -> Read<Event> {
+    fn reply(&mut self, shape: &RecordSchema) -> Read<Event> {
         let request = RequestId(self.u64()?);
         let attempt = self.u16()?;
         let machine = self.machine()?;
         let outcome = match self.u16()? {
-            200 => Outcome::Done,
-            429 => Outcome::Refused,
-            408 => Outcome::TimedOut,
-            521 => Outcome::Unreachable,
-            520 => Outcome::Lost,
-            444 => Outcome::Withdrawn,
-            409 => Outcome::NotSent,
-            _ => Outcome::Error,
+            200 => AttemptOutcome::Completed,
+            429 => AttemptOutcome::Rejected,
+            408 => AttemptOutcome::TimedOut,
+            521 => AttemptOutcome::Unreachable,
+            520 => AttemptOutcome::Lost,
+            444 => AttemptOutcome::Cancelled,
+            409 => AttemptOutcome::NotSent,
+            _ => AttemptOutcome::Error,
         };
         let _elapsed = self.u32()?;
         let over = self.u8()? != 0;
         let why = match self.u8()? {
-            1 => Why::NoCores,
-            2 => Why::NoMemory,
-            3 => Why::Busy,
-            4 => Why::NotHere,
-            5 => Why::Evicted,
-            6 => Why::PushedOut,
-            7 => Why::SentAway,
-            _ => Why::Unknown,
+            1 => EndReason::InsufficientCores,
+            2 => EndReason::InsufficientMemory,
+            3 => EndReason::QueueFull,
+            4 => EndReason::Ineligible,
+            5 => EndReason::Evicted,
+            6 => EndReason::Preempted,
+            7 => EndReason::Drained,
+            _ => EndReason::Unknown,
         };
         let load = self.load(shape)?;
-        Ok(Event::Ended {
+        Ok(Event::AttemptEnded {
             request,
             attempt,
-            machine,
+            node: machine,
             outcome,
-            why,
-            over,
+            reason: why,
+            is_final: over,
             load,
         })
     }
@@ -280,7 +283,7 @@
 
 impl Decoder {
     /// Decodes the body of a frame that holds `count` records.
-    pub fn batch(&mut self, now: Micros, count: u32, body: &[u8]) -> Result<Batch, WireError> {
+    pub fn batch(&mut self, now: Micros, count: u32, body: &[u8]) -> Result<Batch, ProtocolError> {
         let mut cursor = Cursor { bytes: body, at: 0 };
         let mut records = Vec::new();
         let mut instance = None;
@@ -292,16 +295,20 @@
                 Ok(Some(incoming)) => match instance {
                     Some(i) => records.push((i, incoming)),
                     None => {
-                        return Err(WireError(format!(
+                        return Err(ProtocolError(format!(
                             "record {index} at byte {start}: no instance named"
                         )));
                     }
                 },
-                Err(e) => return Err(WireError(format!("record {index} at byte {start}: {e}"))),
+                Err(e) => {
+                    return Err(ProtocolError(format!(
+                        "record {index} at byte {start}: {e}"
+                    )));
+                }
             }
         }
         if cursor.at != body.len() {
-            return Err(WireError(format!(
+            return Err(ProtocolError(format!(
                 "{} bytes left after the last record",
                 body.len() - cursor.at
             )));
@@ -332,25 +339,25 @@
                 let bank = c.u8()?;
                 let version = c.u64()?;
                 let scope = match c.u8()? {
-                    0 => ListScope::Delta,
-                    1 => ListScope::Full,
-                    2 => ListScope::Cached,
-                    3 => ListScope::Failed,
-                    other => return Err(WireError(format!("unknown list scope {other}"))),
+                    0 => ListUpdateKind::Incremental,
+                    1 => ListUpdateKind::Full,
+                    2 => ListUpdateKind::Cached,
+                    3 => ListUpdateKind::Failed,
+                    other => return Err(ProtocolError(format!("unknown list scope {other}"))),
                 };
                 let mut lines = match scope {
-                    ListScope::Failed => Vec::new(),
+                    ListUpdateKind::Failed => Vec::new(),
                     _ => self.banks.get(&bank).cloned().unwrap_or_default(),
                 };
-                if !shape.view {
+                if !shape.has_free_capacity {
                     for line in &mut lines {
                         (line.free_cores, line.free_memory) = (None, None);
                     }
                 }
-                Event::MachineList {
-                    scope,
+                Event::NodeList {
+                    kind: scope,
                     version,
-                    lines,
+                    entries: lines,
                 }
             }
             3 => Event::Place(c.place()?),
@@ -362,18 +369,18 @@
                 Event::Placed {
                     request,
                     attempt,
-                    machine,
+                    node: machine,
                 }
             }
             5 => c.reply(&shape)?,
-            6 => Event::Unwanted(RequestId(c.u64()?)),
+            6 => Event::RequestCancelled(RequestId(c.u64()?)),
             7 => Event::Timer(c.u64()?),
             8 => {
                 let answered = c.u16()? == 200;
                 c.u32()?;
                 let machine = c.machine()?;
                 Event::Probed {
-                    machine,
+                    node: machine,
                     answered,
                     load: c.load(&shape)?,
                 }
@@ -406,7 +413,7 @@
                 *instance = Some(c.u16()?);
                 return Ok(None);
             }
-            other => return Err(WireError(format!("unknown record code {other}"))),
+            other => return Err(ProtocolError(format!("unknown record code {other}"))),
         };
         Ok(Some(Incoming::Event(event)))
     }
@@ -444,10 +451,10 @@
     fn action(&mut self, action: &Action) {
         let out = &mut self.frame;
         match action {
-            Action::Watch => out.extend([1, 1]),
-            Action::Bind {
+            Action::WatchNodes => out.extend([1, 1]),
+            Action::Dispatch {
                 request,
-                machine,
+                node: machine,
                 timeout,
             } => {
                 out.push(11);
@@ -455,12 +462,12 @@
                 out.extend(micros32(timeout.unwrap_or(0)));
                 put_machine(out, *machine);
             }
-            Action::Withdraw { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 out.push(6);
                 out.extend(request.0.to_le_bytes());
                 out.extend(attempt.to_le_bytes());
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -472,7 +479,7 @@
                 out.push(8);
                 out.extend(request.0.to_le_bytes());
             }
-            Action::Move(request) => {
+            Action::Migrate(request) => {
                 out.push(5);
                 out.extend(request.0.to_le_bytes());
             }
@@ -485,7 +492,7 @@
                 out.push(2);
                 put_machine(out, *machine);
             }
-            Action::Tell(message) => {
+            Action::Broadcast(message) => {
                 out.push(7);
                 out.extend(u32::MAX.to_le_bytes());
                 put_bytes(out, message);
@@ -509,7 +516,7 @@
     u32::try_from(span).unwrap_or(u32::MAX).to_le_bytes()
 }
 
-fn put_machine(out: &mut Vec<u8>, machine: MachineId) {
+fn put_machine(out: &mut Vec<u8>, machine: NodeId) {
     out.extend(((machine.0 >> 16) as u32).to_be_bytes());
     out.extend((machine.0 as u16).to_le_bytes());
 }
@@ -639,12 +646,12 @@
 }
 
 fn named<T>(key: &str, word: &str, of: Option<T>) -> Read<T> {
-    of.ok_or_else(|| WireError(format!("settings: {key}: unknown word '{word}'")))
+    of.ok_or_else(|| ProtocolError(format!("settings: {key}: unknown word '{word}'")))
 }
 
 fn per_class<T: Copy>(key: &str, values: &[T], index: usize) -> Read<T> {
     let missing = || {
-        WireError(format!(
+        ProtocolError(format!(
             "settings: specifics.{key}: no value for class {index}"
         ))
     };
@@ -654,58 +661,58 @@
 /// Reads the settings that the first message carries as text.
 ///
 /// # Errors
-/// [`WireError`] names the key that is missing or wrong.
-pub fn read_settings(text: &[u8]) -> Result<(Settings, Shape), WireError> {
+/// [`ProtocolError`] names the key that is missing or wrong.
+pub fn read_settings(text: &[u8]) -> Result<(Settings, RecordSchema), ProtocolError> {
     let facts: Facts =
-        serde_json::from_slice(text).map_err(|e| WireError(format!("settings: {e}")))?;
+        serde_json::from_slice(text).map_err(|e| ProtocolError(format!("settings: {e}")))?;
     let special = &facts.specifics;
     let mut classes = Vec::new();
     for (i, class) in facts.classes.iter().enumerate() {
         let group = match class.group.as_str() {
-            "zone" => Group::Zone,
-            "cell" => Group::Rack,
-            _ => Group::All,
+            "zone" => DedupScope::Zone,
+            "cell" => DedupScope::Rack,
+            _ => DedupScope::All,
         };
         let repeat = match class.repeat.as_str() {
-            "idempotent" => Some(Repeat::Safe),
-            "deduplicated" => Some(Repeat::Keyed {
-                group,
+            "idempotent" => Some(Idempotency::Idempotent),
+            "deduplicated" => Some(Idempotency::Keyed {
+                scope: group,
                 window: class.window as Micros,
             }),
-            "at_most_once" => Some(Repeat::Unsafe),
+            "at_most_once" => Some(Idempotency::NonIdempotent),
             _ => None,
         };
         let apart = special.apart_by.get(i).map_or("off", String::as_str);
         let spread = match apart {
-            "off" => Some(Spread::Off),
-            "machine" => Some(Spread::Machine),
-            "cell" => Some(Spread::Rack),
-            "zone" => Some(Spread::Zone),
+            "off" => Some(TopologySpread::Off),
+            "machine" => Some(TopologySpread::Node),
+            "cell" => Some(TopologySpread::Rack),
+            "zone" => Some(TopologySpread::Zone),
             _ => None,
         };
-        classes.push(Class {
-            aim: class.objective as Micros,
+        classes.push(TaskClass {
+            latency_objective: class.objective as Micros,
             deadline: class.deadline as Micros,
-            repeat: named("classes.repeat", &class.repeat, repeat)?,
-            worth: class.worth,
-            late_worth: class.late_worth,
+            idempotency: named("classes.repeat", &class.repeat, repeat)?,
+            weight: class.worth,
+            late_weight: class.late_worth,
             start_seconds: per_class("start-seconds", &special.start_seconds, i)?,
-            calm: per_class("class-calm", &special.class_calm, i)?,
-            fade: per_class("class-fade", &special.class_fade, i)?,
+            saturation_start: per_class("class-calm", &special.class_calm, i)?,
+            saturation_span: per_class("class-fade", &special.class_fade, i)?,
             priority: per_class("priority-by-class", &special.priority_by_class, i)?,
-            kind: u8::try_from(per_class("class-kind", &special.class_kind, i)?).ok(),
-            spread: named("specifics.apart-by", apart, spread)?,
-            most: per_class("class-most", &special.class_most, i)?,
+            node_kind: u8::try_from(per_class("class-kind", &special.class_kind, i)?).ok(),
+            topology_spread: named("specifics.apart-by", apart, spread)?,
+            max_per_domain: per_class("class-most", &special.class_most, i)?,
         });
     }
     let confirms = match special.confirms.as_str() {
-        "accepted" => Some(Confirms::Accepted),
-        "running" => Some(Confirms::Running),
+        "accepted" => Some(PlacementAck::Accepted),
+        "running" => Some(PlacementAck::Running),
         _ => None,
     };
     let counts = match special.report_counts.as_str() {
-        "asked" => Some(ReportCounts::Asked),
-        "used" => Some(ReportCounts::Used),
+        "asked" => Some(LoadBasis::Requested),
+        "used" => Some(LoadBasis::Used),
         _ => None,
     };
     let kinds = special.size_cores.iter().zip(&special.memory_by_kind);
@@ -714,46 +721,46 @@
     });
     let settings = Settings {
         schedulers: facts.fleet_size,
-        own_number: facts.self_index,
+        own_index: facts.self_index,
         own_zone: facts.my_zone,
         classes,
-        kinds: kinds
-            .map(|(&cores, &memory)| Kind { cores, memory })
+        node_kinds: kinds
+            .map(|(&cores, &memory)| NodeKind { cores, memory })
             .collect(),
         tenants: tenants.collect(),
-        over_share_worth: facts.over_share_worth,
-        accepts_cores: special.admit_cores,
-        accepts_memory: special.accepts_memory,
-        confirms: named("specifics.confirms", &special.confirms, confirms)?,
-        preempts: special.makes_room,
-        report_counts: named("specifics.report-counts", &special.report_counts, counts)?,
+        over_quota_weight: facts.over_share_worth,
+        cores_overcommit: special.admit_cores,
+        memory_overcommit: special.accepts_memory,
+        placement_ack: named("specifics.confirms", &special.confirms, confirms)?,
+        allows_preemption: special.makes_room,
+        load_basis: named("specifics.report-counts", &special.report_counts, counts)?,
         mean_cores: special.usual_cores,
         mean_memory: special.mean_memory,
         max_attempts: facts.caps.max_attempts,
-        may_withdraw: facts.caps.may_cancel,
-        may_duplicate: facts.caps.may_duplicate,
-        probes: facts.caps.probes,
+        can_cancel_attempts: facts.caps.may_cancel,
+        can_hedge: facts.caps.may_duplicate,
+        can_probe: facts.caps.probes,
         peer_messages: facts.caps.peer_messages,
-        list_on_request: facts.registry_mode == "on_request",
-        ask_every: facts.guarantees.ask_every as Micros,
-        ask_again: [16, 2].map(|part| facts.guarantees.ask_every as Micros / part),
+        is_list_polled: facts.registry_mode == "on_request",
+        poll_interval: facts.guarantees.ask_every as Micros,
+        poll_backoff: [16, 2].map(|part| facts.guarantees.ask_every as Micros / part),
         answer_slack: facts.guarantees.answer_slack as Micros,
         drain_grace: facts.guarantees.stop_sending_within as Micros,
-        cold_from: facts.guarantees.cold_from,
-        warm_within: facts.guarantees.warm_within as Micros,
-        fall_multiple: facts.guarantees.fall_multiple,
-        fall_window: facts.guarantees.tip_after as Micros,
-        cold_bears: special.cold_bears,
+        slow_start_min_share: facts.guarantees.cold_from,
+        slow_start_window: facts.guarantees.warm_within as Micros,
+        overload_multiple: facts.guarantees.fall_multiple,
+        overload_window: facts.guarantees.tip_after as Micros,
+        slow_start_budget: special.cold_bears,
         tick: facts.tick as Micros,
         fleet_price: facts.deductions.fleet,
-        move_price: facts.deductions.moves,
-        refusal_price: special.turned_down_price,
+        migration_price: facts.deductions.moves,
+        rejection_price: special.turned_down_price,
         probe_price: facts.deductions.probe,
-        settle: special.make_sure as Micros,
+        ambiguous_retry_delay: special.make_sure as Micros,
     };
-    let shape = Shape {
-        fields: facts.report.fields,
-        view: special.view,
+    let shape = RecordSchema {
+        load_fields: facts.report.fields,
+        has_free_capacity: special.view,
         classes: facts.classes.iter().map(|c| c.name.clone()).collect(),
         kinds: facts.flavors,
         zones: facts.areas,
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -4,9 +4,9 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn request(n: u64) -> Request {
-    Request {
-        request: RequestId(n),
+fn request(n: u64) -> PlacementRequest {
+    PlacementRequest {
+        id: RequestId(n),
         task: TaskKey(n),
         service: ServiceId(n),
         class: 0,
@@ -14,23 +14,23 @@
         cores: 0.01,
         memory: 0.01,
         deadline_in: 5 * SECOND,
-        life_hint: None,
-        again: false,
+        expected_duration: None,
+        is_retry: false,
     }
 }
 
 /// Machines that a bind looks at, among so many, once starts that were in time have taught the scheduler many homes.
 fn looked_at(machines: u64) -> f64 {
-    let lines = (0..machines).map(|i| MachineLine {
-        machine: MachineId(i + 1),
-        state: MachineState::Ready,
+    let lines = (0..machines).map(|i| NodeEntry {
+        node: NodeId(i + 1),
+        state: NodeStatus::Ready,
         rack: (i % 40) as u16,
-        ..MachineLine::default()
+        ..NodeEntry::default()
     });
-    let list = Event::MachineList {
-        scope: ListScope::Full,
+    let list = Event::NodeList {
+        kind: ListUpdateKind::Full,
         version: 1,
-        lines: lines.collect(),
+        entries: lines.collect(),
     };
     let mut scheduler = Scheduler::new(Settings::sample(), 3);
     scheduler.handle(SECOND, &[list]);
@@ -39,11 +39,13 @@
     for n in 0..200 {
         now += 1_000;
         if n == 150 {
-            before = scheduler.compared();
+            before = scheduler.comparisons();
         }
         for action in scheduler.handle(now, &[Event::Place(request(n))]) {
-            let Action::Bind {
-                request, machine, ..
+            let Action::Dispatch {
+                request,
+                node: machine,
+                ..
             } = action
             else {
                 continue;
@@ -54,12 +56,12 @@
                 &[Event::Placed {
                     request,
                     attempt: 0,
-                    machine,
+                    node: machine,
                 }],
             );
         }
     }
-    (scheduler.compared() - before) as f64 / binds as f64
+    (scheduler.comparisons() - before) as f64 / binds as f64
 }
 
 /// Danger: homes are learned to grow with the machines, and each machine held against each home makes a bind cost the
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -5,32 +5,32 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn line(machine: u64, rack: u16) -> MachineLine {
-    MachineLine {
-        machine: MachineId(machine),
-        state: MachineState::Ready,
+fn line(machine: u64, rack: u16) -> NodeEntry {
+    NodeEntry {
+        node: NodeId(machine),
+        state: NodeStatus::Ready,
         kind: 0,
         rack,
         zone: 0,
         started_at: 0,
-        life: 0,
+        incarnation: 0,
         free_cores: Some(16.0),
         free_memory: Some(32.0),
-        cold_share: None,
+        slow_start_share: None,
     }
 }
 
-fn list(scope: ListScope, version: u64, lines: Vec<MachineLine>) -> Event {
-    Event::MachineList {
-        scope,
+fn list(scope: ListUpdateKind, version: u64, lines: Vec<NodeEntry>) -> Event {
+    Event::NodeList {
+        kind: scope,
         version,
-        lines,
+        entries: lines,
     }
 }
 
-fn ask(request: u64, class: u16, service: u64) -> Request {
-    Request {
-        request: RequestId(request),
+fn ask(request: u64, class: u16, service: u64) -> PlacementRequest {
+    PlacementRequest {
+        id: RequestId(request),
         task: TaskKey(request),
         service: ServiceId(service),
         class,
@@ -38,28 +38,36 @@
         cores: 1.0,
         memory: 2.0,
         deadline_in: 5 * SECOND,
-        life_hint: None,
-        again: false,
+        expected_duration: None,
+        is_retry: false,
     }
 }
 
-fn ended(request: u64, attempt: u16, machine: u64, outcome: Outcome, why: Why) -> Event {
-    let (request, machine) = (RequestId(request), MachineId(machine));
-    Event::Ended {
+fn ended(
+    request: u64,
+    attempt: u16,
+    machine: u64,
+    outcome: AttemptOutcome,
+    why: EndReason,
+) -> Event {
+    let (request, machine) = (RequestId(request), NodeId(machine));
+    Event::AttemptEnded {
         request,
         attempt,
-        machine,
+        node: machine,
         outcome,
-        why,
-        over: false,
+        reason: why,
+        is_final: false,
         load: None,
     }
 }
 
 fn binds(actions: &[Action]) -> Vec<(u64, u64)> {
     let bind = |a: &Action| match a {
-        Action::Bind {
-            request, machine, ..
+        Action::Dispatch {
+            request,
+            node: machine,
+            ..
         } => Some((request.0, machine.0)),
         _ => None,
     };
@@ -70,22 +78,22 @@
 fn with_machines(settings: Settings, n: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(settings, 11);
     let lines = (0..n).map(|m| line(m, m as u16)).collect();
-    scheduler.handle(SECOND, &[list(ListScope::Full, 1, lines)]);
+    scheduler.handle(SECOND, &[list(ListUpdateKind::Full, 1, lines)]);
     scheduler
 }
 
 /// Where single tasks of fresh services go, with nothing left behind between them.
-fn spread_of_draws(kinds: Vec<Kind>, lines: Vec<MachineLine>, rounds: u64) -> BTreeMap<u64, u64> {
+fn spread_of_draws(kinds: Vec<NodeKind>, lines: Vec<NodeEntry>, rounds: u64) -> BTreeMap<u64, u64> {
     let mut counts = BTreeMap::new();
     for seed in 0..rounds {
         let settings = Settings {
-            kinds: kinds.clone(),
+            node_kinds: kinds.clone(),
             schedulers: 1,
             ..Settings::sample()
         };
         let mut scheduler = Scheduler::new(settings, seed);
         let events = [
-            list(ListScope::Full, 1, lines.clone()),
+            list(ListUpdateKind::Full, 1, lines.clone()),
             Event::Place(ask(1, 0, seed)),
         ];
         let bound = binds(&scheduler.handle(SECOND, &events));
@@ -97,16 +105,16 @@
 #[test]
 fn the_draw_goes_by_cores_among_equals() {
     let kinds = vec![
-        Kind {
+        NodeKind {
             cores: 16.0,
             memory: 32.0,
         },
-        Kind {
+        NodeKind {
             cores: 48.0,
             memory: 96.0,
         },
     ];
-    let large = MachineLine {
+    let large = NodeEntry {
         kind: 1,
         free_cores: Some(48.0),
         free_memory: Some(96.0),
@@ -128,7 +136,7 @@
     };
     for seed in 0..200 {
         let mut scheduler = Scheduler::new(settings.clone(), seed);
-        let full = MachineLine {
+        let full = NodeEntry {
             free_cores: Some(4.0),
             free_memory: Some(8.0),
             ..line(3, 3)
@@ -137,7 +145,7 @@
         let bound = binds(&scheduler.handle(
             SECOND,
             &[
-                list(ListScope::Full, 1, lines),
+                list(ListUpdateKind::Full, 1, lines),
                 Event::Place(ask(1, 0, seed)),
             ],
         ));
@@ -164,16 +172,16 @@
 #[test]
 fn a_list_must_be_asked_for_and_is_asked_again_after_a_failure() {
     let mut scheduler = Scheduler::new(Settings::sample(), 1);
-    let first = scheduler.handle(SECOND, &[list(ListScope::Cached, 0, vec![line(1, 1)])]);
-    assert!(first.contains(&Action::Watch));
-    let failed = scheduler.handle(2 * SECOND, &[list(ListScope::Failed, 0, vec![])]);
+    let first = scheduler.handle(SECOND, &[list(ListUpdateKind::Cached, 0, vec![line(1, 1)])]);
+    assert!(first.contains(&Action::WatchNodes));
+    let failed = scheduler.handle(2 * SECOND, &[list(ListUpdateKind::Failed, 0, vec![])]);
     let [Action::SetTimer { label, at }] = failed[..] else {
         panic!("a timer alone, not {failed:?}")
     };
     assert!(at > 2 * SECOND);
     assert_eq!(
         scheduler.handle(at, &[Event::Timer(label)]),
-        [Action::Watch]
+        [Action::WatchNodes]
     );
 }
 
@@ -181,15 +189,15 @@
 fn however_often_calls_for_the_list_fail_the_next_is_made_within_the_settings_time() {
     for seed in 0..20 {
         let settings = Settings {
-            ask_again: [60_000, 700_000],
+            poll_backoff: [60_000, 700_000],
             ..Settings::sample()
         };
         let mut scheduler = Scheduler::new(settings, seed);
         let mut now = SECOND;
-        scheduler.handle(now, &[list(ListScope::Cached, 0, vec![line(1, 1)])]);
+        scheduler.handle(now, &[list(ListUpdateKind::Cached, 0, vec![line(1, 1)])]);
         let mut waits = Vec::new();
         for _ in 0..8 {
-            let actions = scheduler.handle(now, &[list(ListScope::Failed, 0, vec![])]);
+            let actions = scheduler.handle(now, &[list(ListUpdateKind::Failed, 0, vec![])]);
             let Some(Action::SetTimer { label, at }) = actions.last() else {
                 panic!("{actions:?}")
             };
@@ -198,7 +206,7 @@
             assert!(
                 scheduler
                     .handle(now, &[Event::Timer(*label)])
-                    .contains(&Action::Watch)
+                    .contains(&Action::WatchNodes)
             );
         }
         assert!(waits.iter().all(|w| (1..=700_000).contains(w)), "{waits:?}");
@@ -213,13 +221,13 @@
 #[test]
 fn a_machine_missing_from_a_full_list_or_draining_gets_nothing_from_then_on() {
     let mut scheduler = with_machines(Settings::sample(), 3);
-    let draining = MachineLine {
-        state: MachineState::Draining,
+    let draining = NodeEntry {
+        state: NodeStatus::Draining,
         ..line(1, 1)
     };
     scheduler.handle(
         2 * SECOND,
-        &[list(ListScope::Full, 2, vec![line(0, 0), draining])],
+        &[list(ListUpdateKind::Full, 2, vec![line(0, 0), draining])],
     );
     for i in 0..20 {
         let bound = binds(&scheduler.handle(2 * SECOND + i, &[Event::Place(ask(i, 0, i))]));
@@ -228,7 +236,7 @@
     // A list older than the one held changes nothing.
     scheduler.handle(
         3 * SECOND,
-        &[list(ListScope::Full, 1, vec![line(1, 1), line(2, 2)])],
+        &[list(ListUpdateKind::Full, 1, vec![line(1, 1), line(2, 2)])],
     );
     let bound = binds(&scheduler.handle(3 * SECOND, &[Event::Place(ask(99, 2, 9))]));
     assert!(bound.iter().all(|(_, machine)| *machine == 0));
@@ -246,7 +254,7 @@
             break;
         };
         actions = scheduler.handle(at, &[Event::Timer(label)]);
-        if actions.iter().any(|a| matches!(a, Action::Refuse { .. })) {
+        if actions.iter().any(|a| matches!(a, Action::Reject { .. })) {
             answered_at = Some(at);
         }
     }
@@ -263,9 +271,9 @@
         schedulers: 1,
         ..Settings::sample()
     };
-    settings.classes[2].worth = 9.0;
+    settings.classes[2].weight = 9.0;
     let mut scheduler = with_machines(settings, 1);
-    let whole = Request {
+    let whole = PlacementRequest {
         cores: 16.0,
         memory: 32.0,
         ..ask(1, 0, 1)
@@ -274,18 +282,27 @@
         binds(&scheduler.handle(SECOND, &[Event::Place(whole.clone())])),
         [(1, 0)]
     );
-    let low = Request {
-        request: RequestId(2),
+    let low = PlacementRequest {
+        id: RequestId(2),
         ..whole.clone()
     };
-    let high = Request {
-        request: RequestId(3),
+    let high = PlacementRequest {
+        id: RequestId(3),
         class: 2,
         ..whole
     };
     let held = scheduler.handle(SECOND, &[Event::Place(low), Event::Place(high)]);
     assert!(binds(&held).is_empty());
-    let freed = scheduler.handle(2 * SECOND, &[ended(1, 0, 0, Outcome::Refused, Why::Busy)]);
+    let freed = scheduler.handle(
+        2 * SECOND,
+        &[ended(
+            1,
+            0,
+            0,
+            AttemptOutcome::Rejected,
+            EndReason::QueueFull,
+        )],
+    );
     let later = scheduler.handle(5 * SECOND, &[Event::Timer(0)]);
     let order: Vec<u64> = [freed, later]
         .concat()
@@ -303,7 +320,13 @@
     scheduler.handle(SECOND, &[Event::Place(ask(1, 0, 1))]);
     let after = scheduler.handle(
         SECOND + 1_000,
-        &[ended(1, 0, 0, Outcome::Refused, Why::NoCores)],
+        &[ended(
+            1,
+            0,
+            0,
+            AttemptOutcome::Rejected,
+            EndReason::InsufficientCores,
+        )],
     );
     assert!(binds(&after).is_empty(), "the same task again: {after:?}");
     let more: Vec<Event> = (2..50).map(|i| Event::Place(ask(i, 0, i))).collect();
@@ -314,13 +337,19 @@
 fn after_a_refusal_past_the_aim_the_attempts_left_are_spread_over_the_time_left() {
     // Found in incident idb7888: attempts were turned away within moments of each other by full machines.
     let mut scheduler = with_machines(Settings::sample(), 6);
-    let late = Request {
-        again: true,
+    let late = PlacementRequest {
+        is_retry: true,
         ..ask(1, 0, 1)
     };
     let mut at = binds(&scheduler.handle(SECOND, &[Event::Place(late)]))[0].1;
     let mut sent = vec![SECOND];
-    let mut events = vec![ended(1, 0, at, Outcome::Refused, Why::NoMemory)];
+    let mut events = vec![ended(
+        1,
+        0,
+        at,
+        AttemptOutcome::Rejected,
+        EndReason::InsufficientMemory,
+    )];
     for now in (SECOND..6 * SECOND).step_by(50_000) {
         let bound = binds(&scheduler.handle(now, &events));
         events = vec![Event::Timer(0)];
@@ -330,8 +359,8 @@
                 1,
                 sent.len() as u16,
                 at,
-                Outcome::Refused,
-                Why::NoMemory,
+                AttemptOutcome::Rejected,
+                EndReason::InsufficientMemory,
             )];
             sent.push(now);
         }
@@ -343,7 +372,13 @@
     );
     // A first ask within its aim tries on at once.
     let at = binds(&scheduler.handle(10 * SECOND, &[Event::Place(ask(2, 0, 2))]))[0].1;
-    let refused = ended(2, 0, at, Outcome::Refused, Why::NoMemory);
+    let refused = ended(
+        2,
+        0,
+        at,
+        AttemptOutcome::Rejected,
+        EndReason::InsufficientMemory,
+    );
     assert_eq!(binds(&scheduler.handle(10 * SECOND, &[refused])).len(), 1);
 }
 
@@ -353,7 +388,13 @@
     let first = binds(&scheduler.handle(SECOND, &[Event::Place(ask(1, 0, 1))]))[0].1;
     let silent = scheduler.handle(
         5 * SECOND,
-        &[ended(1, 0, first, Outcome::TimedOut, Why::Unknown)],
+        &[ended(
+            1,
+            0,
+            first,
+            AttemptOutcome::TimedOut,
+            EndReason::Unknown,
+        )],
     );
     assert!(
         silent
@@ -381,7 +422,7 @@
     let mut scheduler = with_machines(Settings::sample(), 2);
     let actions = scheduler.handle(SECOND, &[Event::Place(ask(1, 0, 1))]);
     let timeout = actions.iter().find_map(|a| match a {
-        Action::Bind { timeout, .. } => *timeout,
+        Action::Dispatch { timeout, .. } => *timeout,
         _ => None,
     });
     assert!(
@@ -398,7 +439,7 @@
     let event = Event::Placed {
         request: RequestId(1),
         attempt: 0,
-        machine: MachineId(home),
+        node: NodeId(home),
     };
     scheduler.handle(2 * SECOND, &[event]);
     for i in 2..6 {
@@ -407,13 +448,13 @@
             binds(&scheduler.handle(now, &[Event::Place(ask(i, 0, 1))])),
             [(i, home)]
         );
-        let machine = MachineId(home);
+        let machine = NodeId(home);
         scheduler.handle(
             now + 1,
             &[Event::Placed {
                 request: RequestId(i),
                 attempt: 0,
-                machine,
+                node: machine,
             }],
         );
     }
@@ -422,11 +463,11 @@
 #[test]
 fn schedulers_agree_on_the_few_homes_of_an_unseen_service() {
     // Found at full size on kigali-templates-later: with one home a rack, two starts in three were cold.
-    let lines: Vec<MachineLine> = (0..24).map(|m| line(m, m as u16)).collect();
+    let lines: Vec<NodeEntry> = (0..24).map(|m| line(m, m as u16)).collect();
     let place = |seed, service| {
         let mut scheduler = Scheduler::new(Settings::sample(), seed);
         let events = [
-            list(ListScope::Full, 1, lines.clone()),
+            list(ListUpdateKind::Full, 1, lines.clone()),
             Event::Place(ask(seed, 0, service)),
         ];
         binds(&scheduler.handle(SECOND, &events))[0].1
@@ -443,10 +484,10 @@
 fn a_machine_that_fails_one_class_or_tenant_goes_on_with_the_rest() {
     // Found on kigali-templates-later (one class failed) and santander-main-later (one tenant turned away).
     for (outcome, why) in [
-        (Outcome::Error, Why::Unknown),
-        (Outcome::Refused, Why::Unknown),
-        (Outcome::TimedOut, Why::Unknown),
-        (Outcome::Lost, Why::Unknown),
+        (AttemptOutcome::Error, EndReason::Unknown),
+        (AttemptOutcome::Rejected, EndReason::Unknown),
+        (AttemptOutcome::TimedOut, EndReason::Unknown),
+        (AttemptOutcome::Lost, EndReason::Unknown),
     ] {
         let mut scheduler = with_machines(Settings::sample(), 2);
         let bad = binds(&scheduler.handle(SECOND, &[Event::Place(ask(1, 0, 1))]))[0].1;
@@ -454,7 +495,7 @@
         let placed = |i| Event::Placed {
             request: RequestId(i),
             attempt: 0,
-            machine: MachineId(bad),
+            node: NodeId(bad),
         };
         for i in 100..120 {
             let bound = binds(&scheduler.handle(SECOND + i, &[Event::Place(ask(i, 2, i))]));
@@ -475,7 +516,7 @@
         );
         let others: Vec<Event> = (300..310)
             .map(|i| {
-                Event::Place(Request {
+                Event::Place(PlacementRequest {
                     tenant: 1,
                     cores: 0.1,
                     memory: 0.2,
@@ -490,7 +531,7 @@
         );
         // After the rest a single trial finds out; a success opens the machine again.
         let small = |i| {
-            Event::Place(Request {
+            Event::Place(PlacementRequest {
                 cores: 0.1,
                 memory: 0.2,
                 ..ask(i, 0, i)
@@ -522,7 +563,13 @@
         let machine = tried[usize::from(attempt)];
         let bound = binds(&scheduler.handle(
             at,
-            &[ended(1, attempt, machine, Outcome::Error, Why::Unknown)],
+            &[ended(
+                1,
+                attempt,
+                machine,
+                AttemptOutcome::Error,
+                EndReason::Unknown,
+            )],
         ));
         assert_eq!(bound.len(), 1, "another machine is tried");
         assert!(
@@ -532,7 +579,7 @@
         tried.push(bound[0].1);
     }
     let small = |i| {
-        Event::Place(Request {
+        Event::Place(PlacementRequest {
             cores: 0.1,
             memory: 0.2,
             ..ask(i, 0, i)
@@ -558,8 +605,8 @@
             on(tried[0]),
             0,
             tried[0],
-            Outcome::Error,
-            Why::Unknown,
+            AttemptOutcome::Error,
+            EndReason::Unknown,
         )],
     );
     let after = binds(&scheduler.handle(at + 4, &(300..360).map(small).collect::<Vec<_>>()));
@@ -570,21 +617,24 @@
 fn a_held_task_whose_window_has_passed_is_answered_before_its_deadline() {
     // Class 1 carries a key for four seconds; its owner would wait for ten.
     let mut scheduler = with_machines(Settings::sample(), 1);
-    let keyed = Request {
+    let keyed = PlacementRequest {
         deadline_in: 10 * SECOND,
         ..ask(1, 1, 1)
     };
     let machine = binds(&scheduler.handle(SECOND, &[Event::Place(keyed)]))[0].1;
-    let lost = ended(1, 0, machine, Outcome::Lost, Why::Unknown);
+    let lost = ended(1, 0, machine, AttemptOutcome::Lost, EndReason::Unknown);
     assert!(
         binds(&scheduler.handle(SECOND + 1, &[lost])).is_empty(),
         "its only machine rests"
     );
-    let drains = MachineLine {
-        state: MachineState::Draining,
+    let drains = NodeEntry {
+        state: NodeStatus::Draining,
         ..line(machine, 1)
     };
-    let mut actions = scheduler.handle(SECOND + 2, &[list(ListScope::Delta, 2, vec![drains])]);
+    let mut actions = scheduler.handle(
+        SECOND + 2,
+        &[list(ListUpdateKind::Incremental, 2, vec![drains])],
+    );
     let mut now = SECOND + 2;
     for _ in 0..1_000 {
         if actions.contains(&Action::Fail(RequestId(1))) {
@@ -628,7 +678,7 @@
             let bound = binds(&scheduler.handle(now, &events));
             events = bound
                 .iter()
-                .map(|b| ended(b.0, 0, 0, Outcome::Refused, Why::Busy))
+                .map(|b| ended(b.0, 0, 0, AttemptOutcome::Rejected, EndReason::QueueFull))
                 .collect();
             sent.extend(bound.iter().map(|_| now));
             if events.is_empty() {
@@ -650,7 +700,7 @@
     let place = |pushed_out: bool| {
         let mut scheduler = with_machines(
             Settings {
-                preempts: true,
+                allows_preemption: true,
                 ..Settings::sample()
             },
             1,
@@ -658,19 +708,19 @@
         for i in 0..20 {
             let now = (2 + i) * SECOND;
             scheduler.handle(now, &[Event::Place(ask(i, 0, 1))]);
-            let (request, machine) = (RequestId(i), MachineId(0));
+            let (request, machine) = (RequestId(i), NodeId(0));
             let (outcome, why) = if pushed_out {
-                (Outcome::Lost, Why::PushedOut)
+                (AttemptOutcome::Lost, EndReason::Preempted)
             } else {
-                (Outcome::Done, Why::Unknown)
+                (AttemptOutcome::Completed, EndReason::Unknown)
             };
-            let end = Event::Ended {
+            let end = Event::AttemptEnded {
                 request,
                 attempt: 0,
-                machine,
+                node: machine,
                 outcome,
-                why,
-                over: true,
+                reason: why,
+                is_final: true,
                 load: None,
             };
             scheduler.handle(
@@ -679,14 +729,14 @@
                     Event::Placed {
                         request,
                         attempt: 0,
-                        machine,
+                        node: machine,
                     },
                     end,
                 ],
             );
         }
         let wide = |i, class| {
-            Event::Place(Request {
+            Event::Place(PlacementRequest {
                 cores: 12.0,
                 memory: 8.0,
                 ..ask(i, class, 1)
@@ -695,8 +745,11 @@
         let low = binds(&scheduler.handle(50 * SECOND, &[wide(90, 0)])).len();
         (
             low,
-            binds(&scheduler.handle(60 * SECOND, &[Event::Unwanted(RequestId(90)), wide(91, 2)]))
-                .len(),
+            binds(&scheduler.handle(
+                60 * SECOND,
+                &[Event::RequestCancelled(RequestId(90)), wide(91, 2)],
+            ))
+            .len(),
         )
     };
     assert_eq!(place(false).0, 1, "twelve of sixteen cores are free");
@@ -715,24 +768,24 @@
         ..Settings::sample()
     };
     let mut scheduler = Scheduler::new(settings, 3);
-    let opened = MachineLine {
+    let opened = NodeEntry {
         free_cores: Some(10.0),
         free_memory: Some(20.0),
         ..line(0, 0)
     };
     let mut lines = vec![opened.clone()];
     lines.extend((1..6).map(|m| line(m, m as u16)));
-    scheduler.handle(SECOND, &[list(ListScope::Full, 1, lines.clone())]);
+    scheduler.handle(SECOND, &[list(ListUpdateKind::Full, 1, lines.clone())]);
     assert_eq!(
         binds(&scheduler.handle(SECOND, &[Event::Place(ask(1, 0, 1))])),
         [(1, 0)]
     );
     // While a machine drains, all of them are open.
-    lines.push(MachineLine {
-        state: MachineState::Draining,
+    lines.push(NodeEntry {
+        state: NodeStatus::Draining,
         ..line(9, 9)
     });
-    scheduler.handle(SECOND, &[list(ListScope::Full, 2, lines)]);
+    scheduler.handle(SECOND, &[list(ListUpdateKind::Full, 2, lines)]);
     let bound = binds(&scheduler.handle(SECOND, &[Event::Place(ask(2, 2, 2))]));
     assert_ne!(bound[0].1, 0);
 }
@@ -748,11 +801,17 @@
         1,
     );
     scheduler.handle(SECOND, &[Event::Place(ask(1, 0, 1))]);
-    let refused = ended(1, 0, 0, Outcome::Refused, Why::NoMemory);
+    let refused = ended(
+        1,
+        0,
+        0,
+        AttemptOutcome::Rejected,
+        EndReason::InsufficientMemory,
+    );
     scheduler.handle(SECOND + 1_000, &[refused]);
     let bound = |scheduler: &mut Scheduler, version: u64, now: Micros| {
         let events = [
-            list(ListScope::Delta, version, vec![line(0, 0)]),
+            list(ListUpdateKind::Incremental, version, vec![line(0, 0)]),
             Event::Place(ask(version, 0, 1)),
         ];
         binds(&scheduler.handle(now, &events))
@@ -775,22 +834,28 @@
     let home_after = |seed: u64, took: Micros| {
         let mut scheduler = Scheduler::new(Settings::sample(), seed);
         let lines = (0..24).map(|m| line(m, m as u16)).collect();
-        scheduler.handle(SECOND, &[list(ListScope::Full, 1, lines)]);
+        scheduler.handle(SECOND, &[list(ListUpdateKind::Full, 1, lines)]);
         for i in 0..20 {
             let now = (2 + 10 * i) * SECOND;
             let bound = binds(&scheduler.handle(now, &[Event::Place(ask(i, 0, 1_000 + i))]));
-            let (request, machine) = (RequestId(i), MachineId(bound[0].1));
+            let (request, machine) = (RequestId(i), NodeId(bound[0].1));
             scheduler.handle(
                 now + took,
                 &[Event::Placed {
                     request,
                     attempt: 0,
-                    machine,
+                    node: machine,
                 }],
             );
             scheduler.handle(
                 now + took,
-                &[ended(i, 0, machine.0, Outcome::Done, Why::Unknown)],
+                &[ended(
+                    i,
+                    0,
+                    machine.0,
+                    AttemptOutcome::Completed,
+                    EndReason::Unknown,
+                )],
             );
         }
         binds(&scheduler.handle(900 * SECOND, &[Event::Place(ask(99, 0, 77))]))[0].1
@@ -815,7 +880,7 @@
         schedulers: 50,
         ..Settings::sample()
     };
-    let fresh = MachineLine {
+    let fresh = NodeEntry {
         started_at: 4 * SECOND,
         ..line(0, 0)
     };
@@ -823,12 +888,15 @@
     for own_number in 0..50 {
         let mut scheduler = Scheduler::new(
             Settings {
-                own_number,
+                own_index: own_number,
                 ..settings.clone()
             },
             own_number.into(),
         );
-        scheduler.handle(SECOND, &[list(ListScope::Full, 1, vec![fresh.clone()])]);
+        scheduler.handle(
+            SECOND,
+            &[list(ListUpdateKind::Full, 1, vec![fresh.clone()])],
+        );
         for i in 0..100 {
             let now = 4 * SECOND + i * SECOND / 10;
             for _ in binds(&scheduler.handle(now, &[Event::Place(ask(i, 0, i))])) {
@@ -839,13 +907,13 @@
     let most = |from: Micros| {
         offers
             .iter()
-            .filter(|at| (from..from + settings.fall_window).contains(*at))
+            .filter(|at| (from..from + settings.overload_window).contains(*at))
             .count()
     };
     let busiest = offers.iter().map(|at| most(*at)).max();
     assert_eq!(
         busiest,
-        Some(settings.cold_bears as usize),
+        Some(settings.slow_start_budget as usize),
         "all that it bears, and no more"
     );
 }
@@ -856,12 +924,12 @@
     for (schedulers, cold_bears) in [(20_u32, 8.0), (30, 20.0), (30, 100.0)] {
         let settings = Settings {
             schedulers,
-            cold_bears,
+            slow_start_budget: cold_bears,
             ..Settings::sample()
         };
-        let fresh = MachineLine {
+        let fresh = NodeEntry {
             started_at: 4 * SECOND,
-            life: 4 * SECOND,
+            incarnation: 4 * SECOND,
             ..line(0, 0)
         };
         let news = |scope| list(scope, 1, vec![fresh.clone()]);
@@ -870,22 +938,22 @@
             let new = || {
                 Scheduler::new(
                     Settings {
-                        own_number,
+                        own_index: own_number,
                         ..settings.clone()
                     },
                     u64::from(own_number) + 1,
                 )
             };
             let mut scheduler = new();
-            scheduler.handle(SECOND, &[list(ListScope::Cached, 0, vec![])]);
-            scheduler.handle(4 * SECOND, &[news(ListScope::Full)]);
+            scheduler.handle(SECOND, &[list(ListUpdateKind::Cached, 0, vec![])]);
+            scheduler.handle(4 * SECOND, &[news(ListUpdateKind::Full)]);
             for i in 0..150 {
                 let now = 4 * SECOND + i * SECOND / 10;
                 // Two in three start anew from nothing, some of them again and again, each at its own time.
                 let n = u64::from(own_number);
                 if n % 3 > 0 && i % (17 + 40 * (n % 3)) == n {
                     scheduler = new();
-                    scheduler.handle(now, &[news(ListScope::Cached)]);
+                    scheduler.handle(now, &[news(ListUpdateKind::Cached)]);
                 }
                 let asked = scheduler.handle(now, &[Event::Place(ask(i, 0, i))]);
                 offers.extend(binds(&asked).iter().map(|_| now));
@@ -894,7 +962,7 @@
         let most = |from: Micros| {
             offers
                 .iter()
-                .filter(|at| (from..from + settings.fall_window).contains(*at))
+                .filter(|at| (from..from + settings.overload_window).contains(*at))
                 .count()
         };
         let busiest = offers.iter().map(|at| most(*at)).max().unwrap_or(0);
@@ -917,12 +985,15 @@
         ..Settings::sample()
     };
     let mut scheduler = with_machines(settings, 2);
-    let full = MachineLine {
+    let full = NodeEntry {
         free_cores: Some(0.0),
         free_memory: Some(0.0),
         ..line(0, 0)
     };
-    scheduler.handle(2 * SECOND, &[list(ListScope::Delta, 2, vec![full])]);
+    scheduler.handle(
+        2 * SECOND,
+        &[list(ListUpdateKind::Incremental, 2, vec![full])],
+    );
     let events: Vec<Event> = (0..6).map(|i| Event::Place(ask(i, 0, i))).collect();
     let bound = binds(&scheduler.handle(2 * SECOND, &events));
     assert!(
@@ -935,9 +1006,9 @@
 fn a_task_on_a_machine_never_listed_counts_in_every_rack() {
     // Found by the property test: its rack was taken for a rack of its own, and the limit was passed.
     let mut scheduler = with_machines(Settings::sample(), 2);
-    let standing = |i| Event::Standing {
+    let standing = |i| Event::RunningTask {
         request: ask(i, 1, 5),
-        machine: MachineId(70),
+        node: NodeId(70),
     };
     scheduler.handle(SECOND, &[standing(1), standing(2)]);
     assert!(binds(&scheduler.handle(SECOND, &[Event::Place(ask(3, 1, 5))])).is_empty());
@@ -947,23 +1018,23 @@
 fn sizes_and_classes_out_of_range_are_refused_without_a_panic() {
     let mut scheduler = with_machines(Settings::sample(), 2);
     let bad = [
-        Request {
+        PlacementRequest {
             cores: f64::NAN,
             ..ask(1, 0, 1)
         },
-        Request {
+        PlacementRequest {
             memory: -1.0,
             ..ask(2, 0, 1)
         },
-        Request {
+        PlacementRequest {
             cores: f64::INFINITY,
             ..ask(3, 0, 1)
         },
         ask(4, 99, 1),
     ];
     for request in bad {
-        let refusal = Action::Refuse {
-            request: request.request,
+        let refusal = Action::Reject {
+            request: request.id,
             retry_after: None,
         };
         assert_eq!(
@@ -971,9 +1042,9 @@
             [refusal]
         );
     }
-    let standing = Event::Standing {
+    let standing = Event::RunningTask {
         request: ask(5, 99, 1),
-        machine: MachineId(0),
+        node: NodeId(0),
     };
     assert!(scheduler.handle(SECOND, &[standing]).is_empty());
 }
@@ -981,34 +1052,34 @@
 #[test]
 fn late_and_unknown_events_are_borne() {
     let mut scheduler = with_machines(Settings::sample(), 2);
-    let empty = Load::default();
-    let wild = Load {
+    let empty = LoadReport::default();
+    let wild = LoadReport {
         free_cores: Some(f64::NAN),
         free_memory: Some(-5.0),
-        busy: Some(9.0),
-        waiting: None,
+        cpu_utilization: Some(9.0),
+        queue_depth: None,
     };
     let events = [
-        ended(9, 4, 9, Outcome::Done, Why::Unknown),
+        ended(9, 4, 9, AttemptOutcome::Completed, EndReason::Unknown),
         Event::Placed {
             request: RequestId(9),
             attempt: 1,
-            machine: MachineId(9),
+            node: NodeId(9),
         },
-        Event::Unwanted(RequestId(9)),
+        Event::RequestCancelled(RequestId(9)),
         Event::Timer(12),
         Event::Probed {
-            machine: MachineId(0),
+            node: NodeId(0),
             answered: true,
             load: Some(empty),
         },
         Event::Probed {
-            machine: MachineId(0),
+            node: NodeId(0),
             answered: true,
             load: Some(wild),
         },
         Event::Probed {
-            machine: MachineId(9),
+            node: NodeId(9),
             answered: false,
             load: None,
         },
@@ -1016,11 +1087,11 @@
             from: 7,
             message: vec![255; 300],
         },
-        Event::Noted {
+        Event::TaskUpdated {
             request: RequestId(9),
             attempt: 0,
-            machine: MachineId(9),
-            note: Note::Served(f64::NAN),
+            node: NodeId(9),
+            update: TaskUpdate::ServedShare(f64::NAN),
         },
     ];
     assert!(scheduler.handle(SECOND, &events).is_empty());
@@ -1034,8 +1105,17 @@
 fn a_withdrawn_task_is_not_offered_again_when_its_attempt_fails() {
     let mut scheduler = with_machines(Settings::sample(), 2);
     let at = binds(&scheduler.handle(SECOND, &[Event::Place(ask(1, 0, 1))]))[0].1;
-    scheduler.handle(SECOND, &[Event::Unwanted(RequestId(1))]);
-    let after = scheduler.handle(2 * SECOND, &[ended(1, 0, at, Outcome::Refused, Why::Busy)]);
+    scheduler.handle(SECOND, &[Event::RequestCancelled(RequestId(1))]);
+    let after = scheduler.handle(
+        2 * SECOND,
+        &[ended(
+            1,
+            0,
+            at,
+            AttemptOutcome::Rejected,
+            EndReason::QueueFull,
+        )],
+    );
     assert!(after.is_empty(), "{after:?}");
 }
 
@@ -1043,16 +1123,16 @@
 fn tasks_handed_over_at_start_are_not_counted_twice() {
     // Found on ahmedabad-main: the list counted them already, machines looked full and placings waited 2 s.
     let mut scheduler = Scheduler::new(Settings::sample(), 3);
-    let used = MachineLine {
+    let used = NodeEntry {
         free_cores: Some(4.0),
         free_memory: Some(8.0),
         ..line(1, 1)
     };
-    let standing = |i| Event::Standing {
+    let standing = |i| Event::RunningTask {
         request: ask(i, 0, 1),
-        machine: MachineId(1),
+        node: NodeId(1),
     };
-    let mut events = vec![list(ListScope::Cached, 1, vec![used])];
+    let mut events = vec![list(ListUpdateKind::Cached, 1, vec![used])];
     events.extend((1..=12).map(standing));
     scheduler.handle(SECOND, &events);
     let place: Vec<Event> = (20..24).map(|i| Event::Place(ask(i, 0, 1))).collect();
@@ -1071,22 +1151,25 @@
         .enumerate()
     {
         let i = 10 * i as u64;
-        let fresh = MachineLine {
+        let fresh = NodeEntry {
             started_at: u64::MAX,
             ..line(5, 5)
         };
-        let wide = Request {
+        let wide = PlacementRequest {
             deadline_in: u64::MAX,
             ..ask(i, 0, 1)
         };
         let mut events = vec![
-            list(ListScope::Delta, 2 + i, vec![fresh]),
+            list(ListUpdateKind::Incremental, 2 + i, vec![fresh]),
             Event::Place(wide),
         ];
         events.extend((1..4).map(|n| Event::Place(ask(i + n, (n % 3) as u16, n))));
         let bound = binds(&scheduler.handle(now, &events));
-        let end = |b: &(u64, u64)| ended(b.0, 0, b.1, Outcome::TimedOut, Why::Unknown);
+        let end = |b: &(u64, u64)| ended(b.0, 0, b.1, AttemptOutcome::TimedOut, EndReason::Unknown);
         scheduler.handle(now, &bound.iter().map(end).collect::<Vec<Event>>());
-        scheduler.handle(now, &[list(ListScope::Failed, 0, vec![]), Event::Timer(0)]);
+        scheduler.handle(
+            now,
+            &[list(ListUpdateKind::Failed, 0, vec![]), Event::Timer(0)],
+        );
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -19,8 +19,8 @@
     },
     Answer {
         pick: usize,
-        outcome: Outcome,
-        why: Why,
+        outcome: AttemptOutcome,
+        why: EndReason,
     },
     Seat {
         pick: usize,
@@ -30,7 +30,7 @@
     },
     Line {
         machine: u64,
-        state: MachineState,
+        state: NodeStatus,
         restarted: bool,
     },
     FullList {
@@ -44,7 +44,7 @@
 }
 
 struct Try {
-    machine: MachineId,
+    machine: NodeId,
     rack: u16,
     sent_at: Micros,
     ends_at: Micros,
@@ -53,7 +53,7 @@
 }
 
 struct Case {
-    ask: Request,
+    ask: PlacementRequest,
     deadline: Micros,
     answered: bool,
     over: bool,
@@ -65,25 +65,25 @@
     settings: Settings,
     scheduler: Scheduler,
     now: Micros,
-    lines: BTreeMap<MachineId, MachineLine>,
+    lines: BTreeMap<NodeId, NodeEntry>,
     cases: BTreeMap<RequestId, Case>,
-    offers: BTreeMap<MachineId, Vec<Micros>>,
+    offers: BTreeMap<NodeId, Vec<Micros>>,
     timers: Vec<(Micros, u64)>,
     last: Option<Event>,
     next: u64,
     binds: usize,
 }
 
-fn line(machine: u64, started_at: Micros) -> MachineLine {
-    MachineLine {
-        cold_share: None,
-        machine: MachineId(machine),
-        state: MachineState::Ready,
+fn line(machine: u64, started_at: Micros) -> NodeEntry {
+    NodeEntry {
+        slow_start_share: None,
+        node: NodeId(machine),
+        state: NodeStatus::Ready,
         kind: 0,
         rack: (machine % 2) as u16,
         zone: 0,
         started_at,
-        life: started_at,
+        incarnation: started_at,
         free_cores: Some(16.0),
         free_memory: Some(32.0),
     }
@@ -105,11 +105,11 @@
             binds: 0,
         };
         let lines: Vec<_> = (0..5).map(|m| line(m, 0)).collect();
-        referee.lines = lines.iter().map(|l| (l.machine, l.clone())).collect();
-        referee.tell(Event::MachineList {
-            scope: ListScope::Cached,
+        referee.lines = lines.iter().map(|l| (l.node, l.clone())).collect();
+        referee.tell(Event::NodeList {
+            kind: ListUpdateKind::Cached,
             version: 1,
-            lines,
+            entries: lines,
         });
         referee
     }
@@ -124,18 +124,18 @@
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Bind {
+            Action::Dispatch {
                 request,
-                machine,
+                node: machine,
                 timeout,
             } => self.check_bind(request, machine, timeout),
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let case = self.cases.get_mut(&request).expect("a known request");
                 let group_all = matches!(
-                    self.settings.classes[case.ask.class as usize].repeat,
-                    Repeat::Safe
-                        | Repeat::Keyed {
-                            group: Group::All,
+                    self.settings.classes[case.ask.class as usize].idempotency,
+                    Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: DedupScope::All,
                             ..
                         }
                 );
@@ -157,20 +157,20 @@
                 assert!(at > self.now);
                 self.timers.push((at, label));
             }
-            Action::Withdraw { .. } => assert!(self.settings.may_withdraw),
-            Action::Probe(_) => assert!(self.settings.probes),
-            Action::Tell(_) => assert!(self.settings.peer_messages),
-            Action::Move(_) | Action::Watch | Action::Log(_) => {}
+            Action::CancelAttempt { .. } => assert!(self.settings.can_cancel_attempts),
+            Action::Probe(_) => assert!(self.settings.can_probe),
+            Action::Broadcast(_) => assert!(self.settings.peer_messages),
+            Action::Migrate(_) | Action::WatchNodes | Action::Log(_) => {}
         }
     }
 
-    fn check_bind(&mut self, request: RequestId, machine: MachineId, timeout: Option<Micros>) {
+    fn check_bind(&mut self, request: RequestId, machine: NodeId, timeout: Option<Micros>) {
         self.binds += 1;
         let now = self.now;
         let told = self.lines.get(&machine).expect("a listed machine");
         assert_eq!(
             told.state,
-            MachineState::Ready,
+            NodeStatus::Ready,
             "sent to a machine that drains or is gone"
         );
         let (rack, started_at) = (told.rack, told.started_at);
@@ -180,10 +180,10 @@
         assert!(case.tries.iter().all(|t| !t.open), "two attempts out");
         assert!((case.tries.len() as u32) < self.settings.max_attempts);
         if let Some(first) = case.tries.iter().find(|t| t.may_have_run) {
-            match class.repeat {
-                Repeat::Safe => {}
-                Repeat::Unsafe => panic!("an unsafe task sent again"),
-                Repeat::Keyed { window, .. } => {
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("an unsafe task sent again"),
+                Idempotency::Keyed { window, .. } => {
                     assert!(
                         first.rack == rack && now < first.sent_at + window,
                         "outside its group"
@@ -191,7 +191,7 @@
                 }
             }
         }
-        if class.spread == Spread::Rack {
+        if class.topology_spread == TopologySpread::Rack {
             let same = self
                 .cases
                 .values()
@@ -200,14 +200,17 @@
                 .flat_map(|c| &c.tries)
                 .filter(|t| t.open && t.rack == rack)
                 .count();
-            assert!(held < class.most as usize, "a service crowds a rack");
+            assert!(
+                held < class.max_per_domain as usize,
+                "a service crowds a rack"
+            );
         }
         let offers = self.offers.entry(machine).or_default();
         offers.push(now);
-        if started_at > 0 && now < started_at + self.settings.warm_within {
-            let window = now.saturating_sub(self.settings.fall_window);
+        if started_at > 0 && now < started_at + self.settings.slow_start_window {
+            let window = now.saturating_sub(self.settings.overload_window);
             let recent = offers.iter().filter(|at| **at > window).count() as f64;
-            let share = self.settings.cold_bears / f64::from(self.settings.schedulers);
+            let share = self.settings.slow_start_budget / f64::from(self.settings.schedulers);
             assert!(recent <= share, "a cold machine pushed over");
         }
         let case = self.cases.get_mut(&request).unwrap();
@@ -227,8 +230,8 @@
         let request = RequestId(self.next);
         self.next += 1;
         let deadline_in = self.settings.classes[class as usize].deadline;
-        let ask = Request {
-            request,
+        let ask = PlacementRequest {
+            id: request,
             task: TaskKey(request.0),
             service: ServiceId(u64::from(class) * 100 + service),
             class,
@@ -236,8 +239,8 @@
             cores,
             memory: cores * 2.0,
             deadline_in,
-            life_hint: None,
-            again: false,
+            expected_duration: None,
+            is_retry: false,
         };
         let mut case = Case {
             ask: ask.clone(),
@@ -247,7 +250,7 @@
             tries: vec![],
         };
         if let Some(machine) = standing {
-            let machine = MachineId(machine);
+            let machine = NodeId(machine);
             let Some(rack) = self.lines.get(&machine).map(|l| l.rack) else {
                 return;
             };
@@ -262,9 +265,9 @@
                 may_have_run: false,
             });
             self.cases.insert(request, case);
-            self.tell(Event::Standing {
+            self.tell(Event::RunningTask {
                 request: ask,
-                machine,
+                node: machine,
             });
         } else {
             self.cases.insert(request, case);
@@ -291,24 +294,24 @@
         (!all.is_empty()).then(|| all[pick % all.len()])
     }
 
-    fn end(&mut self, request: RequestId, attempt: u16, outcome: Outcome, why: Why) {
+    fn end(&mut self, request: RequestId, attempt: u16, outcome: AttemptOutcome, why: EndReason) {
         let case = self.cases.get_mut(&request).unwrap();
         let t = &mut case.tries[attempt as usize];
         t.open = false;
         t.may_have_run = !matches!(
             outcome,
-            Outcome::Refused | Outcome::Unreachable | Outcome::NotSent
+            AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
         );
         let machine = t.machine;
         case.over |= case.answered;
         let over = case.over;
-        self.tell(Event::Ended {
+        self.tell(Event::AttemptEnded {
             request,
             attempt,
-            machine,
+            node: machine,
             outcome,
-            why,
-            over,
+            reason: why,
+            is_final: over,
             load: None,
         });
     }
@@ -339,7 +342,7 @@
                     self.tell(Event::Placed {
                         request,
                         attempt,
-                        machine,
+                        node: machine,
                     });
                 }
             }
@@ -354,7 +357,7 @@
                     let request = live[pick % live.len()];
                     let case = self.cases.get_mut(&request).unwrap();
                     (case.answered, case.over) = (true, true);
-                    self.tell(Event::Unwanted(request));
+                    self.tell(Event::RequestCancelled(request));
                 }
             }
             Step::Line {
@@ -362,43 +365,43 @@
                 state,
                 restarted,
             } => {
-                let id = MachineId(machine);
+                let id = NodeId(machine);
                 let started_at = self.lines.get(&id).map_or(0, |l| l.started_at);
                 let started_at = if restarted { self.now } else { started_at };
-                let new = MachineLine {
+                let new = NodeEntry {
                     state,
                     ..line(machine, started_at)
                 };
                 self.lines.insert(id, new.clone());
                 self.next += 1;
                 let version = self.next;
-                self.tell(Event::MachineList {
-                    scope: ListScope::Delta,
+                self.tell(Event::NodeList {
+                    kind: ListUpdateKind::Incremental,
                     version,
-                    lines: vec![new],
+                    entries: vec![new],
                 });
             }
             Step::FullList { missing } => {
                 for (id, line) in &mut self.lines {
                     if id.0 == missing {
-                        line.state = MachineState::Gone;
+                        line.state = NodeStatus::Gone;
                     }
                 }
-                let gone = |l: &&MachineLine| l.state != MachineState::Gone;
+                let gone = |l: &&NodeEntry| l.state != NodeStatus::Gone;
                 let lines = self.lines.values().filter(gone).cloned().collect();
                 self.next += 1;
                 let version = self.next;
-                self.tell(Event::MachineList {
-                    scope: ListScope::Full,
+                self.tell(Event::NodeList {
+                    kind: ListUpdateKind::Full,
                     version,
-                    lines,
+                    entries: lines,
                 });
             }
             Step::ListFails => {
-                self.tell(Event::MachineList {
-                    scope: ListScope::Failed,
+                self.tell(Event::NodeList {
+                    kind: ListUpdateKind::Failed,
                     version: 0,
-                    lines: vec![],
+                    entries: vec![],
                 });
             }
             Step::Repeat => {
@@ -406,7 +409,7 @@
                 if let Some(event) = self
                     .last
                     .clone()
-                    .filter(|e| !matches!(e, Event::Standing { .. }))
+                    .filter(|e| !matches!(e, Event::RunningTask { .. }))
                 {
                     self.tell(event);
                 }
@@ -441,7 +444,12 @@
                     .iter()
                     .find_map(|(r, c)| is_due(c).map(|i| (*r, i as u16)));
                 let (request, attempt) = due.expect("the attempt that is due");
-                self.end(request, attempt, Outcome::TimedOut, Why::Unknown);
+                self.end(
+                    request,
+                    attempt,
+                    AttemptOutcome::TimedOut,
+                    EndReason::Unknown,
+                );
             } else {
                 let at = self.timers.iter().position(|(at, _)| *at == next).unwrap();
                 let (_, label) = self.timers.remove(at);
@@ -459,7 +467,7 @@
             assert!(
                 case.answered || case.over || !late,
                 "no answer by the deadline: {:?}",
-                case.ask.request
+                case.ask.id
             );
         }
     }
@@ -467,25 +475,25 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let outcome = prop_oneof![
-        Just(Outcome::Done),
-        Just(Outcome::Error),
-        Just(Outcome::Refused),
-        Just(Outcome::Refused),
-        Just(Outcome::TimedOut),
-        Just(Outcome::Unreachable),
-        Just(Outcome::Lost),
+        Just(AttemptOutcome::Completed),
+        Just(AttemptOutcome::Error),
+        Just(AttemptOutcome::Rejected),
+        Just(AttemptOutcome::Rejected),
+        Just(AttemptOutcome::TimedOut),
+        Just(AttemptOutcome::Unreachable),
+        Just(AttemptOutcome::Lost),
     ];
     let why = prop_oneof![
-        Just(Why::NoCores),
-        Just(Why::NoMemory),
-        Just(Why::Busy),
-        Just(Why::NotHere)
+        Just(EndReason::InsufficientCores),
+        Just(EndReason::InsufficientMemory),
+        Just(EndReason::QueueFull),
+        Just(EndReason::Ineligible)
     ];
     let state = prop_oneof![
-        Just(MachineState::Ready),
-        Just(MachineState::Ready),
-        Just(MachineState::Draining),
-        Just(MachineState::Gone)
+        Just(NodeStatus::Ready),
+        Just(NodeStatus::Ready),
+        Just(NodeStatus::Draining),
+        Just(NodeStatus::Gone)
     ];
     let cores = prop_oneof![Just(0.5), Just(1.0), Just(4.0), Just(40.0)];
     let step = prop_oneof![
@@ -507,10 +515,10 @@
     prop::collection::vec(step, 1..120)
 }
 
-fn settings(confirms: Confirms, probes: bool) -> Settings {
+fn settings(confirms: PlacementAck, probes: bool) -> Settings {
     let mut settings = Settings {
-        confirms,
-        probes,
+        placement_ack: confirms,
+        can_probe: probes,
         ..Settings::sample()
     };
     // A keyed class whose group is a rack gets its deadline past its window.
@@ -534,12 +542,12 @@
 
     #[test]
     fn the_five_rules_hold_where_running_confirms(seed in any::<u64>(), steps in steps()) {
-        play(settings(Confirms::Running, false), seed, &steps);
+        play(settings(PlacementAck::Running, false), seed, &steps);
     }
 
     #[test]
     fn the_five_rules_hold_where_acceptance_confirms(seed in any::<u64>(), steps in steps()) {
-        play(settings(Confirms::Accepted, true), seed, &steps);
+        play(settings(PlacementAck::Accepted, true), seed, &steps);
     }
 }
 
@@ -551,7 +559,7 @@
         cores: 1.0,
     };
     assert_eq!(
-        play(settings(Confirms::Running, false), 1, &[place]),
+        play(settings(PlacementAck::Running, false), 1, &[place]),
         2,
         "a first try and one after silence"
     );
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec alone: the note's examples, each kind of record, and what is malformed.
 
-use peppercove::wire::{Batch, Decoder, Incoming, Reply, WireError};
+use peppercove::wire::{Batch, Decoder, Incoming, ProtocolError, Reply};
 use peppercove::*;
 
 fn hex(text: &str) -> Vec<u8> {
@@ -11,7 +11,7 @@
         .collect()
 }
 
-fn decode(decoder: &mut Decoder, frame: &str) -> Result<Batch, WireError> {
+fn decode(decoder: &mut Decoder, frame: &str) -> Result<Batch, ProtocolError> {
     let bytes = hex(frame);
     let count = u32::from_le_bytes(bytes[4..8].try_into().unwrap());
     let now = u64::from_le_bytes(bytes[8..16].try_into().unwrap());
@@ -23,7 +23,7 @@
 }
 
 /// Decodes records of instance 3 without a header.
-fn records(decoder: &mut Decoder, count: u32, body: &str) -> Result<Vec<Incoming>, WireError> {
+fn records(decoder: &mut Decoder, count: u32, body: &str) -> Result<Vec<Incoming>, ProtocolError> {
     let body = hex(&format!("0e0300 {body}"));
     let batch = decoder.batch(1, count + 1, &body)?;
     assert!(batch.records.iter().all(|(i, _)| *i == 3));
@@ -37,7 +37,7 @@
     }
 }
 
-const MACHINE: MachineId = MachineId((0x0a204c09 << 16) | 0x1be8);
+const MACHINE: NodeId = NodeId((0x0a204c09 << 16) | 0x1be8);
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
@@ -61,8 +61,8 @@
         batch.records.iter().map(|(i, _)| *i).collect::<Vec<_>>(),
         [3, 3, 5]
     );
-    let ask = Request {
-        request: RequestId(0x000421a3d0551b7c),
+    let ask = PlacementRequest {
+        id: RequestId(0x000421a3d0551b7c),
         task: TaskKey(0x0df08796a5b4c231),
         service: ServiceId(0x2211ffeeddccbbaa),
         class: 0,
@@ -70,19 +70,19 @@
         cores: 2.0,
         memory: 1.5,
         deadline_in: 240_000,
-        life_hint: Some(12_000),
-        again: false,
+        expected_duration: Some(12_000),
+        is_retry: false,
     };
     assert_eq!(event(&batch.records[0].1), &Event::Place(ask.clone()));
     assert_eq!(event(&batch.records[1].1), &Event::Timer(0x4d));
     assert_eq!(
         event(&batch.records[2].1),
-        &Event::Unwanted(RequestId(0x00055e5ebaadf00d))
+        &Event::RequestCancelled(RequestId(0x00055e5ebaadf00d))
     );
     let mut reply = Reply::default();
-    let bind = Action::Bind {
-        request: ask.request,
-        machine: MACHINE,
+    let bind = Action::Dispatch {
+        request: ask.id,
+        node: MACHINE,
         timeout: Some(80_000),
     };
     reply.push(
@@ -110,21 +110,21 @@
         00009040 0a804d03 e91b 0000c03f 0700 00 20145d0000000000 02 01 00004041
         02 00 2900000000000000 02  0d 00 00000000  02 00 2a00000000000000 01";
     let got = records(&mut Decoder::default(), 4, body).unwrap();
-    let Event::MachineList {
-        scope,
+    let Event::NodeList {
+        kind: scope,
         version,
-        lines,
+        entries: lines,
     } = event(&got[0])
     else {
         panic!("a list")
     };
     assert_eq!(
         (*scope, *version, lines.len()),
-        (ListScope::Cached, 0x29, 2)
+        (ListUpdateKind::Cached, 0x29, 2)
     );
     assert_eq!(
-        (lines[0].machine, lines[0].state),
-        (MACHINE, MachineState::Ready)
+        (lines[0].node, lines[0].state),
+        (MACHINE, NodeStatus::Ready)
     );
     let second = (
         lines[1].state,
@@ -132,13 +132,13 @@
         lines[1].kind,
         lines[1].started_at,
     );
-    assert_eq!(second, (MachineState::Draining, 7, 1, 0x5d1420));
+    assert_eq!(second, (NodeStatus::Draining, 7, 1, 0x5d1420));
     // Without settings that promise a view, the free room of a line means nothing.
     assert_eq!(lines[0].free_cores, None);
-    let empty = Event::MachineList {
-        scope: ListScope::Full,
+    let empty = Event::NodeList {
+        kind: ListUpdateKind::Full,
         version: 0x2a,
-        lines: Vec::new(),
+        entries: Vec::new(),
     };
     assert_eq!(event(&got[1]), &empty);
 }
@@ -155,7 +155,7 @@
         09 01000000 0300 616263
         0a";
     let got = records(&mut Decoder::default(), 7, body).unwrap();
-    let Event::Standing { request, .. } = event(&got[0]) else {
+    let Event::RunningTask { request, .. } = event(&got[0]) else {
         panic!("a standing task")
     };
     assert_eq!(
@@ -163,11 +163,11 @@
         (2.0, 1.5, 240_000)
     );
     let request = RequestId(0x000421a3d0551b7c);
-    let note = Event::Noted {
+    let note = Event::TaskUpdated {
         request,
         attempt: 0,
-        machine: MACHINE,
-        note: Note::CoresUsed(0.5),
+        node: MACHINE,
+        update: TaskUpdate::CoresUsed(0.5),
     };
     assert_eq!(event(&got[1]), &note);
     assert_eq!(
@@ -175,23 +175,23 @@
         &Event::Placed {
             request,
             attempt: 1,
-            machine: MACHINE
+            node: MACHINE
         }
     );
-    let ended = Event::Ended {
+    let ended = Event::AttemptEnded {
         request,
         attempt: 0,
-        machine: MACHINE,
-        outcome: Outcome::Refused,
-        why: Why::NoCores,
-        over: false,
+        node: MACHINE,
+        outcome: AttemptOutcome::Rejected,
+        reason: EndReason::InsufficientCores,
+        is_final: false,
         load: None,
     };
     assert_eq!(event(&got[3]), &ended);
     assert_eq!(
         event(&got[4]),
         &Event::Probed {
-            machine: MACHINE,
+            node: MACHINE,
             answered: true,
             load: None
         }
@@ -223,7 +223,7 @@
         .to_string()
 }
 
-fn start(text: &str) -> Result<Vec<Incoming>, WireError> {
+fn start(text: &str) -> Result<Vec<Incoming>, ProtocolError> {
     let mut body = hex("0e0300 01 0500000000000000");
     body.extend((text.len() as u32).to_le_bytes());
     body.extend(text.as_bytes());
@@ -247,26 +247,34 @@
         (5, 2, 2)
     );
     assert_eq!(
-        settings.classes[1].repeat,
-        Repeat::Keyed {
-            group: Group::Rack,
+        settings.classes[1].idempotency,
+        Idempotency::Keyed {
+            scope: DedupScope::Rack,
             window: 5_000_000
         }
     );
     assert_eq!(
-        (settings.classes[1].spread, settings.classes[1].kind),
-        (Spread::Rack, Some(0))
+        (
+            settings.classes[1].topology_spread,
+            settings.classes[1].node_kind
+        ),
+        (TopologySpread::Rack, Some(0))
     );
     assert_eq!(
-        (settings.classes[0].kind, settings.list_on_request),
+        (settings.classes[0].node_kind, settings.is_list_polled),
         (None, true)
     );
-    let Event::Ended { load, .. } = event(&got[1]) else {
+    let Event::AttemptEnded { load, .. } = event(&got[1]) else {
         panic!("an end")
     };
     let load = load.unwrap();
     assert_eq!(
-        (load.waiting, load.free_cores, load.busy, load.free_memory),
+        (
+            load.queue_depth,
+            load.free_cores,
+            load.cpu_utilization,
+            load.free_memory
+        ),
         (Some(3.0), None, Some(0.5), None)
     );
 }
