--- a/crates/cli/src/bench_view.rs
+++ b/crates/cli/src/bench_view.rs
@@ -16,7 +16,7 @@
     ServiceId, Settings, TaskClass, TaskKey, TopologySpread,
 };
 use peppercove_core::Decide;
-use peppercove_fleet::{SIZE, View};
+use peppercove_fleet::{NodeSubset, TARGET_SUBSET_SIZE};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
@@ -126,7 +126,7 @@
 
 enum Subject {
     Module(Box<Counted>),
-    View(Box<View<Counted>>),
+    View(Box<NodeSubset<Counted>>),
 }
 
 impl Subject {
@@ -138,7 +138,9 @@
             lines: 0,
         };
         match size {
-            Some(size) => Subject::View(Box::new(View::with_size(counted, settings, size))),
+            Some(size) => Subject::View(Box::new(NodeSubset::with_target_size(
+                counted, settings, size,
+            ))),
             None => Subject::Module(Box::new(counted)),
         }
     }
@@ -146,7 +148,7 @@
     fn counted(&self) -> &Counted {
         match self {
             Subject::Module(counted) => counted,
-            Subject::View(view) => view.module(),
+            Subject::View(view) => view.inner(),
         }
     }
 
@@ -933,7 +935,7 @@
     };
     [400, 1_300, 4_000, 13_000]
         .into_iter()
-        .flat_map(|n| [plan(n, None), plan(n, Some(SIZE))])
+        .flat_map(|n| [plan(n, None), plan(n, Some(TARGET_SUBSET_SIZE))])
         .collect()
 }
 
@@ -958,7 +960,8 @@
     for load in [3.0, 5.0] {
         for schedulers in [16, 32] {
             plans.extend(
-                [None, Some(SIZE), Some(100)].map(|size| plan(load, 400, schedulers, size)),
+                [None, Some(TARGET_SUBSET_SIZE), Some(100)]
+                    .map(|size| plan(load, 400, schedulers, size)),
             );
         }
         plans.extend([None, Some(256)].map(|size| plan(load, 2_000, 64, size)));
--- a/crates/cli/src/days.rs
+++ b/crates/cli/src/days.rs
@@ -195,7 +195,7 @@
             );
         }
         let c = &r.counters;
-        if c.overdue + c.illegal_steps + c.broken_promises > 0 {
+        if c.missed_deadlines + c.invalid_transitions + c.unsafe_rejections > 0 {
             println!(
                 "{} seed {}: the controllers count faults of their own: {c:?}",
                 r.day, r.seed
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -13,7 +13,7 @@
 use peppercove_config::{Config, LogFormat, SETTINGS, embedded_default, schema};
 use peppercove_controller::Controller;
 use peppercove_core::{Limits, record};
-use peppercove_fleet::View;
+use peppercove_fleet::NodeSubset;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tokio::task::LocalSet;
@@ -246,10 +246,10 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        let left = controller.stop().await;
+        let left = controller.shut_down().await;
         println!(
             "stopped: {} asks answered at the end, {} tasks run on, {} in doubt",
-            left.answered, left.running, left.doubtful
+            left.forced_answers, left.running_tasks, left.ambiguous_tasks
         );
         Ok(ExitCode::SUCCESS)
     })
@@ -331,11 +331,11 @@
     let text =
         std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?;
     let (first, rest) = text.split_once('\n').context("the record is empty")?;
-    let head: record::Head =
+    let head: record::RecordingHeader =
         serde_json::from_str(first).context("the first line is not the head of a record")?;
-    let limits: Limits = peppercove_controller::limits(&config, head.life);
+    let limits: Limits = peppercove_controller::core_limits(&config, head.incarnation);
     let settings = head.module(&config.module);
-    let scheduler = View::new(Scheduler::new(settings.clone(), head.seed), &settings);
+    let scheduler = NodeSubset::new(Scheduler::new(settings.clone(), head.seed), &settings);
     record::replay(&head, rest, scheduler, limits, |line, outputs| {
         for output in outputs {
             println!("{} {output:?}", line.at);
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test takes what it needs")]
 
 use bytes::BytesMut;
-use peppercove_platform::wire::{Kind, Message, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, code, decode};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -56,15 +56,15 @@
     pub fn hear(&mut self) -> Message {
         loop {
             let message = self.next().expect("a message");
-            if message.kind != Kind::Test {
+            if message.kind != MessageKind::Test {
                 return message;
             }
-            self.send(&Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]));
+            self.send(&Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]));
         }
     }
 
     pub fn answer(&mut self, id: u64, description: &[u8]) {
-        self.send(&Message::new(Kind::Answer, id).with(code::DESCRIPTION, description));
+        self.send(&Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, description));
     }
 }
 
@@ -240,7 +240,7 @@
 }
 
 pub fn set_up(id: u64, class: &str) -> Message {
-    Message::new(Kind::SetUp, id)
+    Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, class.as_bytes())
         .with(code::WAIT, b"4000")
         .with(code::TASK, format!("{id:016x}").as_bytes())
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Controller, LONG, Peer, Place, event, server, set_up};
-use peppercove_platform::wire::{Kind, Message, cause, code};
+use peppercove_platform::wire::{Message, MessageKind, cause, code};
 use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, TcpListener};
 use std::sync::mpsc::{Receiver, channel};
@@ -24,8 +24,8 @@
     let (heard, hears) = channel();
     let thread = std::thread::spawn(move || {
         while let Some(message) = peer.next() {
-            if message.kind == Kind::Test {
-                peer.send(&Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]));
+            if message.kind == MessageKind::Test {
+                peer.send(&Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]));
             } else if heard.send(message).is_err() {
                 return;
             }
@@ -84,7 +84,7 @@
             let mut open = [false; 2];
             let mut count = |at: usize, message: &Message| {
                 if message.id == 5 {
-                    open[at] = message.kind == Kind::SetUp;
+                    open[at] = message.kind == MessageKind::SetUp;
                 }
             };
             let mut at_second = None;
@@ -107,7 +107,8 @@
                     .enumerate()
                 {
                     for message in hears.into_iter().flat_map(Receiver::try_iter) {
-                        seen += usize::from(message.kind == Kind::SetUp && message.id >= 100);
+                        seen +=
+                            usize::from(message.kind == MessageKind::SetUp && message.id >= 100);
                         count(at, &message);
                     }
                 }
@@ -162,8 +163,8 @@
     let mut asked_once: Vec<Peer> = Vec::new();
     for id in 1..60 {
         let mut client = Peer::connect(controller.address);
-        client.send(&Message::new(Kind::Test, id).with(code::CAUSE, &[0]));
-        assert_eq!(client.hear().kind, Kind::Tested);
+        client.send(&Message::new(MessageKind::Test, id).with(code::CAUSE, &[0]));
+        assert_eq!(client.hear().kind, MessageKind::Tested);
         asked_once.push(client);
     }
     // It is back, and is called though nobody has let go of anything.
--- a/crates/cli/tests/fleet/host.rs
+++ b/crates/cli/tests/fleet/host.rs
@@ -1,7 +1,7 @@
 //! A scripted host that speaks by the page of the platform, to several controllers.
 
 use bytes::BytesMut;
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -190,8 +190,11 @@
         let id = message.id;
         let mut inner = self.inner.borrow_mut();
         match message.kind {
-            Kind::Test => inner.say(link, Message::new(Kind::Tested, id).with(code::CAUSE, &[1])),
-            Kind::SetUp => {
+            MessageKind::Test => inner.say(
+                link,
+                Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]),
+            ),
+            MessageKind::SetUp => {
                 inner.seen.borrow_mut().set_ups += 1;
                 if inner.rng.u8(0..16) == 0 {
                     inner.say(link, Message::release(id, cause::FULL));
@@ -218,7 +221,7 @@
                         .runs(controller, id, link, message.clone(), times),
                 );
             }
-            Kind::Release => {
+            MessageKind::Release => {
                 let is = |k: &(usize, u64, u64)| {
                     k.0 == controller && (k.1 == id || inner.name_of(k) == id)
                 };
@@ -265,7 +268,7 @@
             inner.tasks.insert(key, State::Standing);
             inner.say(
                 link,
-                Message::new(Kind::Answer, id).with(code::DESCRIPTION, &description),
+                Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, &description),
             );
         }
         tokio::time::sleep(times[1]).await;
--- a/crates/cli/tests/fleet/owner.rs
+++ b/crates/cli/tests/fleet/owner.rs
@@ -1,7 +1,7 @@
 //! Owners of one controller: what they ask, and what they are told.
 
 use bytes::BytesMut;
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
     pub fn placed(&self) -> Option<&[u8]> {
         self.answers
             .first()
-            .filter(|m| m.kind == Kind::Answer)
+            .filter(|m| m.kind == MessageKind::Answer)
             .and_then(|m| m.get(code::DESCRIPTION))
     }
 }
@@ -111,7 +111,7 @@
     pub async fn admitted(&self, controller: SocketAddr) {
         self.inner.borrow_mut().tested = false;
         self.connect(controller).await;
-        self.send(Message::new(Kind::Test, 1).with(code::CAUSE, &[0]));
+        self.send(Message::new(MessageKind::Test, 1).with(code::CAUSE, &[0]));
         while !self.inner.borrow().tested {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -212,7 +212,7 @@
 
     fn hears(&self, connection: u64, message: Message) {
         let mut inner = self.inner.borrow_mut();
-        if message.kind == Kind::Tested {
+        if message.kind == MessageKind::Tested {
             inner.tested = true;
             return;
         }
@@ -225,7 +225,7 @@
                 ask.answers.push(message.clone());
                 None
             }
-            Some(ask) if ask.placed().is_some() && message.kind == Kind::Release => {
+            Some(ask) if ask.placed().is_some() && message.kind == MessageKind::Release => {
                 // Told again where the connection that it was told over closes right behind it. One may cross the word of
                 // an owner who ends the task.
                 ask.ends += 1;
@@ -266,7 +266,7 @@
 }
 
 fn set_up(id: u64, task: u64, class: &str, service: u64, at: &str) -> Message {
-    Message::new(Kind::SetUp, id)
+    Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, class.as_bytes())
         .with(code::WAIT, b"2000")
         .with(code::TASK, format!("{task:016x}").as_bytes())
--- a/crates/cli/tests/serve.rs
+++ b/crates/cli/tests/serve.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Controller, Peer, Place, config, event, server, set_up};
-use peppercove_platform::wire::{Kind, Message, cause, code};
+use peppercove_platform::wire::{Message, MessageKind, cause, code};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
@@ -25,23 +25,23 @@
 fn a_task_goes_the_whole_path_and_its_end_comes_back() {
     let (_journal, host, controller) = cluster(256);
     let mut owner = Peer::connect(controller.address);
-    owner.send(&Message::new(Kind::Test, 77).with(code::CAUSE, &[0]));
+    owner.send(&Message::new(MessageKind::Test, 77).with(code::CAUSE, &[0]));
     assert_eq!(
         owner.hear(),
-        Message::new(Kind::Tested, 77).with(code::CAUSE, &[1])
+        Message::new(MessageKind::Tested, 77).with(code::CAUSE, &[1])
     );
     owner.send(&set_up(5, "key"));
     let mut at_host = host.peer();
     let sent = at_host.hear();
     assert_eq!(
         (sent.kind, sent.id, sent.text(code::CLASS)),
-        (Kind::SetUp, 5, Some("key"))
+        (MessageKind::SetUp, 5, Some("key"))
     );
     assert_eq!(sent.get(code::DESCRIPTION), Some(&b"opaque \0\xff"[..]));
     at_host.answer(5, b"there");
     assert_eq!(
         owner.hear(),
-        Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"there")
+        Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"there")
     );
     at_host.send(&Message::release(5, cause::ORDINARY));
     assert_eq!(owner.hear(), Message::release(5, cause::ORDINARY));
@@ -71,7 +71,7 @@
     new.answer(6, b"y");
     assert_eq!(
         owner.hear(),
-        Message::new(Kind::Answer, 6).with(code::DESCRIPTION, b"y")
+        Message::new(MessageKind::Answer, 6).with(code::DESCRIPTION, b"y")
     );
 }
 
@@ -159,7 +159,11 @@
     let (_feed, call) = moved.tail();
     assert_eq!(call, "tail 2", "the numbers go on");
     at_host.answer(5, b"x");
-    assert_eq!(owner.hear().kind, Kind::Answer, "what was open is answered");
+    assert_eq!(
+        owner.hear().kind,
+        MessageKind::Answer,
+        "what was open is answered"
+    );
 }
 
 #[test]
@@ -231,7 +235,7 @@
 fn a_stop_with_nothing_open_still_serves_what_is_on_its_way() {
     let (_journal, host, mut controller) = cluster(256);
     let mut owner = Peer::connect(controller.address);
-    owner.send(&Message::new(Kind::Test, 1).with(code::CAUSE, &[0]));
+    owner.send(&Message::new(MessageKind::Test, 1).with(code::CAUSE, &[0]));
     owner.hear();
     // Stopped while both are sent, it finds the set-up behind the signal.
     controller.signal("-STOP");
@@ -241,7 +245,7 @@
     let mut at_host = host.peer();
     at_host.hear();
     at_host.answer(5, b"x");
-    assert_eq!(owner.hear().kind, Kind::Answer);
+    assert_eq!(owner.hear().kind, MessageKind::Answer);
     assert!(controller.ended().success());
 }
 
@@ -262,10 +266,10 @@
         .expect("written");
     assert_eq!(
         owner.hear(),
-        Message::new(Kind::Answer, 6).with(code::DESCRIPTION, b"good")
+        Message::new(MessageKind::Answer, 6).with(code::DESCRIPTION, b"good")
     );
     assert!(
-        std::iter::from_fn(|| at_host.next()).all(|m| m.kind != Kind::Answer),
+        std::iter::from_fn(|| at_host.next()).all(|m| m.kind != MessageKind::Answer),
         "it is closed"
     );
     // The task that was out there may have run: a safe one is tried anew, over another connection.
@@ -274,7 +278,7 @@
     again.answer(5, b"x");
     assert_eq!(
         owner.hear(),
-        Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"x")
+        Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"x")
     );
 }
 
@@ -338,7 +342,7 @@
     for message in [
         set_up(0, "any"),
         set_up(9, "nothing like it"),
-        Message::new(Kind::SetUp, 9),
+        Message::new(MessageKind::SetUp, 9),
     ] {
         let mut bad = Peer::connect(controller.address);
         bad.send(&message);
@@ -391,11 +395,11 @@
         owner.send(&set_up(id, "any"));
         assert_eq!(at_host.hear().id, id);
         at_host.send(&Message::release(id, cause::ORDINARY).with(code::DESCRIPTION, b"ran"));
-        assert_eq!(owner.hear().kind, Kind::Answer);
+        assert_eq!(owner.hear().kind, MessageKind::Answer);
         held.push(owner);
     }
     at_host.answer(1000, b"x");
-    assert_eq!(first.hear().kind, Kind::Answer);
+    assert_eq!(first.hear().kind, MessageKind::Answer);
 }
 
 #[test]
@@ -466,8 +470,10 @@
             drop(state);
             std::thread::spawn(move || {
                 while let Some(message) = peer.next() {
-                    if message.kind == Kind::Test {
-                        peer.send(&Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]));
+                    if message.kind == MessageKind::Test {
+                        peer.send(
+                            &Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
+                        );
                     }
                 }
             });
@@ -498,7 +504,7 @@
             format!("{n:016x}"),
             format!("cores:1;memory:2;service:aa;at:{}", name(n)),
         );
-        let held = Message::new(Kind::SetUp, n as u64 + 1)
+        let held = Message::new(MessageKind::SetUp, n as u64 + 1)
             .with(code::CLASS, b"any")
             .with(code::WAIT, b"4000");
         owner.send(
@@ -532,7 +538,7 @@
             Peer::connect(controller.address),
         ];
         for owner in &mut two {
-            owner.send(&Message::new(Kind::Test, 77).with(code::CAUSE, &[0]));
+            owner.send(&Message::new(MessageKind::Test, 77).with(code::CAUSE, &[0]));
             owner.hear();
         }
         // Stopped while both send, it finds the burst and the other set-up at once.
@@ -573,7 +579,7 @@
     at_host.answer(5, b"there");
     assert_eq!(
         owner.hear(),
-        Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"there")
+        Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"there")
     );
     assert_eq!(owner.next(), None, "nothing is owed any more");
 }
--- a/crates/cli/tests/view/host.rs
+++ b/crates/cli/tests/view/host.rs
@@ -1,7 +1,7 @@
 //! Hollow hosts: each a listener in this thread, with what came to it written down.
 
 use bytes::BytesMut;
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -131,10 +131,10 @@
 
     fn reads(&self, message: &Message, out: &mpsc::UnboundedSender<Message>) {
         let id = message.id;
-        if message.kind == Kind::Test && !self.silent.get() {
-            let _ = out.send(Message::new(Kind::Tested, id).with(code::CAUSE, &[1]));
+        if message.kind == MessageKind::Test && !self.silent.get() {
+            let _ = out.send(Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]));
         }
-        if message.kind != Kind::SetUp {
+        if message.kind != MessageKind::SetUp {
             return;
         }
         let dice = fastrand::u8(0..16);
@@ -160,7 +160,7 @@
                     tokio::time::sleep(Duration::from_millis(fastrand::u64(2..40))).await;
                     let description = format!("{name}/{id:016x}");
                     let _ = out.send(
-                        Message::new(Kind::Answer, id)
+                        Message::new(MessageKind::Answer, id)
                             .with(code::DESCRIPTION, description.as_bytes()),
                     );
                     tokio::time::sleep(Duration::from_millis(fastrand::u64(100..900))).await;
--- a/crates/cli/tests/view/main.rs
+++ b/crates/cli/tests/view/main.rs
@@ -386,7 +386,7 @@
         contacted += usize::from(!sent.is_empty());
         for one in &sent {
             let own = own_number(seat_of(one.id));
-            let share = peppercove_fleet::cold_share(machine, own, SCHEDULERS, BEARS);
+            let share = peppercove_fleet::cold_start_share(machine, own, SCHEDULERS, BEARS);
             assert!(
                 share > 0,
                 "c{} has no share of the cold {}: {one:?}",
--- a/crates/controller/src/figures.rs
+++ b/crates/controller/src/figures.rs
@@ -1,8 +1,8 @@
 //! The controller's own figures: counted as things happen, or read from the core when they are gathered.
 
-use crate::shell::Shell;
+use crate::shell::Server;
 use peppercove::{AttemptOutcome, EndReason, Micros, NodeStatus};
-use peppercove_core::nodes::Link;
+use peppercove_core::nodes::ConnectionState;
 use peppercove_core::{Answer, Counters};
 use peppercove_metrics::{self as names, Metrics, Point};
 use std::cell::RefCell;
@@ -15,14 +15,14 @@
     ends: BTreeMap<(&'static str, &'static str), u64>,
 }
 
-pub(crate) struct Figures {
+pub(crate) struct ControllerMetrics {
     metrics: Metrics,
     told: RefCell<Told>,
 }
 
-impl Figures {
-    pub(crate) fn new(began: Micros) -> Figures {
-        let figures = Figures {
+impl ControllerMetrics {
+    pub(crate) fn new(began: Micros) -> ControllerMetrics {
+        let figures = ControllerMetrics {
             metrics: Metrics::new(),
             told: RefCell::default(),
         };
@@ -46,9 +46,9 @@
     pub(crate) fn answered(&self, class: &str, answer: Answer, after: Option<Micros>) {
         let outcome = match answer {
             Answer::Placed(_) => "placed",
-            Answer::Refused(_) => "refused",
+            Answer::Rejected(_) => "refused",
             Answer::Failed => "failed",
-            Answer::Withdrawn => "withdrawn",
+            Answer::Cancelled => "withdrawn",
         };
         self.add(names::ANSWERS, &[class, outcome], 1.0);
         if let Some(after) = after
@@ -61,16 +61,26 @@
     }
 
     /// Reads what the core counts, and gives all figures.
-    pub(crate) fn gather(&self, shell: &Shell) -> Vec<Point> {
+    pub(crate) fn gather(&self, shell: &Server) -> Vec<Point> {
         let core = shell.core.borrow();
         let (now, mut told) = (core.counters(), self.told.borrow_mut());
         let was = std::mem::replace(&mut told.counters, now);
         self.add(names::ADOPTED, &[], (now.adopted - was.adopted) as f64);
-        self.add(names::STRAYS, &[], (now.strays - was.strays) as f64);
+        self.add(
+            names::STRAYS,
+            &[],
+            (now.orphans_stopped - was.orphans_stopped) as f64,
+        );
         for (kind, more) in [
-            ("overdue", now.overdue - was.overdue),
-            ("illegal-step", now.illegal_steps - was.illegal_steps),
-            ("broken-promise", now.broken_promises - was.broken_promises),
+            ("overdue", now.missed_deadlines - was.missed_deadlines),
+            (
+                "illegal-step",
+                now.invalid_transitions - was.invalid_transitions,
+            ),
+            (
+                "broken-promise",
+                now.unsafe_rejections - was.unsafe_rejections,
+            ),
         ] {
             self.add(names::FAULTS, &[kind], more as f64);
         }
@@ -83,9 +93,9 @@
                 (count - before) as f64,
             );
         }
-        self.set(names::OPEN_ASKS, &[], core.open_asks() as f64);
+        self.set(names::OPEN_ASKS, &[], core.open_requests() as f64);
         self.set(names::RUNNING_TASKS, &[], core.placed_tasks() as f64);
-        self.set(names::DOUBTFUL_TASKS, &[], core.doubtful_tasks() as f64);
+        self.set(names::DOUBTFUL_TASKS, &[], core.ambiguous_tasks() as f64);
         self.set(names::LIST_GENERATION, &[], core.nodes().generation as f64);
         self.set(
             names::CLIENTS,
@@ -103,7 +113,11 @@
                 NodeStatus::Draining => "draining",
                 NodeStatus::Gone => "gone",
             };
-            let link = if node.link == Link::Up { "up" } else { "down" };
+            let link = if node.link == ConnectionState::Connected {
+                "up"
+            } else {
+                "down"
+            };
             *nodes.entry((state, link)).or_default() += 1.0;
         }
         for ((state, link), count) in nodes {
--- a/crates/controller/src/journal.rs
+++ b/crates/controller/src/journal.rs
@@ -4,7 +4,7 @@
 //! cut off at the end was never acted on, since nothing leaves before its record is written whole; it is dropped. A
 //! record that is damaged before the end is an error: what follows it is not known.
 
-use peppercove_core::evidence::Entry;
+use peppercove_core::evidence::JournalEntry;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
@@ -25,10 +25,10 @@
     Io(#[from] io::Error),
     /// Another process holds it.
     #[error("another controller is using it")]
-    Taken,
+    Locked,
     /// It begins otherwise.
     #[error("it is no journal of this version")]
-    Foreign,
+    UnknownFormat,
     /// It is another controller's.
     #[error("it is the journal of controller {0}")]
     OtherInstance(String),
@@ -37,7 +37,7 @@
         "a record is damaged at byte {0}; what was sent after it is not known. Moved away, a new journal is begun, \
              and tasks of earlier lives may then start twice"
     )]
-    Damaged(u64),
+    Corrupt(u64),
 }
 
 /// An open journal.
@@ -61,7 +61,7 @@
         path: &Path,
         name: &str,
         sync: bool,
-    ) -> Result<(Journal, Vec<Entry>), JournalError> {
+    ) -> Result<(Journal, Vec<JournalEntry>), JournalError> {
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
@@ -69,7 +69,7 @@
             .open(beside(path, "lock"))?;
         match lock.try_lock() {
             Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(JournalError::Taken),
+            Err(TryLockError::WouldBlock) => return Err(JournalError::Locked),
             Err(TryLockError::Error(e)) => return Err(e.into()),
         }
         let mut file = OpenOptions::new()
@@ -112,7 +112,7 @@
     }
 
     /// Writes entries down; they have left this process when this returns.
-    pub(crate) fn write(&mut self, entries: &[Entry]) -> io::Result<()> {
+    pub(crate) fn write(&mut self, entries: &[JournalEntry]) -> io::Result<()> {
         if !self.whole {
             return Err(io::Error::other("an earlier write failed"));
         }
@@ -150,7 +150,7 @@
     }
 
     /// Begins it anew with these entries alone; the old one stands until the new one is whole.
-    pub(crate) fn replace(&mut self, entries: &[Entry]) -> Result<(), JournalError> {
+    pub(crate) fn replace(&mut self, entries: &[JournalEntry]) -> Result<(), JournalError> {
         let new = beside(&self.path, "new");
         let mut file = OpenOptions::new()
             .create(true)
@@ -185,10 +185,14 @@
 }
 
 fn read_head(bytes: &[u8], name: &str) -> Result<usize, JournalError> {
-    let rest = bytes.strip_prefix(MAGIC).ok_or(JournalError::Foreign)?;
-    let (length, rest) = rest.split_first_chunk::<4>().ok_or(JournalError::Foreign)?;
+    let rest = bytes
+        .strip_prefix(MAGIC)
+        .ok_or(JournalError::UnknownFormat)?;
+    let (length, rest) = rest
+        .split_first_chunk::<4>()
+        .ok_or(JournalError::UnknownFormat)?;
     let length = u32::from_be_bytes(*length) as usize;
-    let told = rest.get(..length).ok_or(JournalError::Foreign)?;
+    let told = rest.get(..length).ok_or(JournalError::UnknownFormat)?;
     if told != name.as_bytes() {
         return Err(JournalError::OtherInstance(
             String::from_utf8_lossy(told).into_owned(),
@@ -197,7 +201,7 @@
     Ok(MAGIC.len() + 4 + length)
 }
 
-fn record(entries: &[Entry]) -> io::Result<Vec<u8>> {
+fn record(entries: &[JournalEntry]) -> io::Result<Vec<u8>> {
     let body = postcard::to_stdvec(entries).map_err(io::Error::other)?;
     let mut record = (body.len() as u32).to_be_bytes().to_vec();
     record.extend(crc32fast::hash(&body).to_be_bytes());
@@ -209,7 +213,7 @@
 fn read_records(
     bytes: &[u8],
     from: usize,
-    entries: &mut Vec<Entry>,
+    entries: &mut Vec<JournalEntry>,
 ) -> Result<usize, JournalError> {
     let mut at = from;
     while let Some((length, rest)) = bytes[at..].split_first_chunk::<4>() {
@@ -217,7 +221,7 @@
             break;
         };
         let length = u32::from_be_bytes(*length) as usize;
-        let damaged = || JournalError::Damaged(at as u64);
+        let damaged = || JournalError::Corrupt(at as u64);
         if length > LONGEST {
             return Err(damaged());
         }
@@ -227,7 +231,7 @@
         if crc32fast::hash(body) != u32::from_be_bytes(*sum) {
             return Err(damaged());
         }
-        entries.extend(postcard::from_bytes::<Vec<Entry>>(body).map_err(|_| damaged())?);
+        entries.extend(postcard::from_bytes::<Vec<JournalEntry>>(body).map_err(|_| damaged())?);
         at += 8 + length;
     }
     Ok(at)
@@ -237,15 +241,15 @@
 mod tests {
     use super::*;
     use peppercove::{NodeId, RequestId, TaskKey};
-    use peppercove_core::evidence::{Copy, Past, Trace};
+    use peppercove_core::evidence::{AttemptId, Completion, TaskCopy};
 
-    fn entry(n: u64) -> Entry {
-        Entry::Closed(Copy {
-            life: 1,
-            at: Trace {
+    fn entry(n: u64) -> JournalEntry {
+        JournalEntry::Closed(TaskCopy {
+            incarnation: 1,
+            attempt: AttemptId {
                 node: NodeId(n),
                 request: RequestId(n),
-                attempt: 0,
+                number: 0,
             },
         })
     }
@@ -258,7 +262,7 @@
         path
     }
 
-    fn read(path: &Path) -> Result<Vec<Entry>, JournalError> {
+    fn read(path: &Path) -> Result<Vec<JournalEntry>, JournalError> {
         Journal::open(path, "c", true).map(|(_, entries)| entries)
     }
 
@@ -293,7 +297,7 @@
             flipped[at] ^= 1;
             std::fs::write(&path, flipped).unwrap();
             assert!(
-                matches!(read(&path), Err(JournalError::Damaged(place)) if place == first as u64),
+                matches!(read(&path), Err(JournalError::Corrupt(place)) if place == first as u64),
                 "byte {at}"
             );
         }
@@ -309,12 +313,12 @@
         let (_held, _) = Journal::open(&path, "c", false).unwrap();
         assert!(matches!(
             Journal::open(&path, "c", false),
-            Err(JournalError::Taken)
+            Err(JournalError::Locked)
         ));
         std::fs::write(folder.path().join("text"), "some other file").unwrap();
         assert!(matches!(
             Journal::open(&folder.path().join("text"), "c", false),
-            Err(JournalError::Foreign)
+            Err(JournalError::UnknownFormat)
         ));
     }
 
@@ -324,13 +328,16 @@
         let path = written(folder.path(), 3);
         let (mut journal, _) = Journal::open(&path, "c", false).unwrap();
         journal
-            .replace(&[Entry::Ran(TaskKey(9), Past::MayHaveRun)])
+            .replace(&[JournalEntry::Completed(TaskKey(9), Completion::MayHaveRun)])
             .unwrap();
         journal.write(&[entry(7)]).unwrap();
         drop(journal);
         assert_eq!(
             read(&path).unwrap(),
-            [Entry::Ran(TaskKey(9), Past::MayHaveRun), entry(7)]
+            [
+                JournalEntry::Completed(TaskKey(9), Completion::MayHaveRun),
+                entry(7)
+            ]
         );
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -16,11 +16,11 @@
 pub mod template;
 
 pub use journal::JournalError;
-pub use peppercove_exchange::limits;
+pub use peppercove_exchange::core_limits;
 
 use peppercove_config::Config;
 use peppercove_core::{Counters, Input};
-use shell::Shell;
+use shell::Server;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -70,33 +70,33 @@
 
 /// What a stop left behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Left {
+pub struct ShutdownSummary {
     /// Asks that had to be answered because the time was over.
-    pub answered: usize,
+    pub forced_answers: usize,
     /// Tasks that run on; the next life of this controller finds them again.
-    pub running: usize,
+    pub running_tasks: usize,
     /// Unsafe tasks whose fate nobody knows.
-    pub doubtful: usize,
+    pub ambiguous_tasks: usize,
 }
 
 /// What a controller knows of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Status {
+pub struct ControllerStatus {
     /// What happened so far.
     pub counters: Counters,
     /// Asks without a final answer.
-    pub open_asks: usize,
+    pub open_requests: usize,
     /// Tasks placed and not ended.
-    pub running: usize,
+    pub running_tasks: usize,
     /// Nodes that the list names and that are linked.
-    pub nodes_up: usize,
+    pub connected_nodes: usize,
     /// Version of the list held.
-    pub generation: u64,
+    pub node_list_version: u64,
 }
 
 /// A running controller. Dropping it kills it as a process would be: sockets close, nothing is answered.
 pub struct Controller {
-    shell: Rc<Shell>,
+    shell: Rc<Server>,
     address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -114,7 +114,7 @@
         };
         let listener = TcpListener::bind(wanted).await.map_err(listen)?;
         let address = listener.local_addr().map_err(listen)?;
-        let shell = Rc::new(Shell::new(config)?);
+        let shell = Rc::new(Server::new(config)?);
         shell.set_self();
         let mut tasks = vec![
             spawn_local(session::accept(shell.clone(), listener)),
@@ -155,18 +155,18 @@
     }
 
     /// What it knows of itself.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ControllerStatus {
         let core = self.shell.core.borrow();
-        Status {
+        ControllerStatus {
             counters: core.counters(),
-            open_asks: core.open_asks(),
-            running: core.placed_tasks(),
-            nodes_up: core
+            open_requests: core.open_requests(),
+            running_tasks: core.placed_tasks(),
+            connected_nodes: core
                 .nodes()
                 .iter()
                 .filter(|(id, _)| core.nodes().is_up(**id))
                 .count(),
-            generation: core.nodes().generation,
+            node_list_version: core.nodes().generation,
         }
     }
 
@@ -176,27 +176,27 @@
     }
 
     /// Its figures as they are now, as they are to be pushed.
-    pub fn figures(&self) -> Vec<peppercove_metrics::Point> {
+    pub fn gather_metrics(&self) -> Vec<peppercove_metrics::Point> {
         self.shell.figures.gather(&self.shell)
     }
 
     /// Stops cleanly: takes nothing new, waits for what is open for the stated time, answers the rest.
-    pub async fn stop(self) -> Left {
-        self.shell.input(Input::Stop);
+    pub async fn shut_down(self) -> ShutdownSummary {
+        self.shell.input(Input::BeginShutdown);
         let end = tokio::time::Instant::now() + self.shell.config.stop_within;
-        while self.shell.core.borrow().open_asks() > 0 && tokio::time::Instant::now() < end {
+        while self.shell.core.borrow().open_requests() > 0 && tokio::time::Instant::now() < end {
             let changed = self.shell.settled.notified();
             let _ = tokio::time::timeout_at(end, changed).await;
         }
-        let answered = self.shell.core.borrow().open_asks();
-        self.shell.input(Input::Abandon);
+        let answered = self.shell.core.borrow().open_requests();
+        self.shell.input(Input::ShutdownTimeout);
         // Answers are queued on the clients' connections; let them be written.
         self.shell.flush_clients().await;
         let core = self.shell.core.borrow();
-        let left = Left {
-            answered,
-            running: core.placed_tasks(),
-            doubtful: core.doubtful_tasks(),
+        let left = ShutdownSummary {
+            forced_answers: answered,
+            running_tasks: core.placed_tasks(),
+            ambiguous_tasks: core.ambiguous_tasks(),
         };
         drop(core);
         tracing::info!(?left, "controller stopped");
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -1,10 +1,13 @@
 //! The link to one node: connect, greet, carry messages both ways, and try again after scattered, growing waits.
 
-use crate::shell::Shell;
+use crate::shell::Server;
 use futures_util::{SinkExt, StreamExt};
 use peppercove::NodeId;
 use peppercove_core::Input;
-use peppercove_exchange::{GreetError, Greeting, Heard, Retry, Step, heard, request_of};
+use peppercove_exchange::{
+    Backoff, DecodedMessage, Handshake, HandshakeError, HandshakeProgress, decode_message,
+    request_id_of,
+};
 use peppercove_protocol::codec::{FrameError, Messages, NODE_FRAME};
 use peppercove_protocol::node::{FromNode, ToNode};
 use std::net::SocketAddrV4;
@@ -31,18 +34,18 @@
     #[error("closed by the node")]
     Closed,
     #[error(transparent)]
-    Greet(#[from] GreetError),
+    Greet(#[from] HandshakeError),
 }
 
 /// Waits after a failure.
-pub(crate) async fn wait(retry: &mut Retry) {
-    tokio::time::sleep(retry.failed(fastrand::f64())).await;
+pub(crate) async fn wait(retry: &mut Backoff) {
+    tokio::time::sleep(retry.next_delay(fastrand::f64())).await;
 }
 
 /// Keeps the link to a node until the task is ended.
-pub(crate) async fn keep(shell: Rc<Shell>, node: NodeId, address: SocketAddrV4, name: String) {
+pub(crate) async fn keep(shell: Rc<Server>, node: NodeId, address: SocketAddrV4, name: String) {
     let listen = &shell.config.listen;
-    let mut retry = Retry::new(listen.retry_least, listen.retry_most);
+    let mut retry = Backoff::new(listen.retry_least, listen.retry_most);
     loop {
         let error = match timeout(listen.connect_timeout, greet(&shell, node, address, &name)).await
         {
@@ -50,7 +53,7 @@
                 retry.reset();
                 tracing::debug!(node = name, "link up");
                 let error = carry(&shell, node, link, queue).await;
-                shell.input(Input::LinkDown(node));
+                shell.input(Input::NodeDisconnected(node));
                 error
             }
             Ok(Err(error)) => error,
@@ -63,7 +66,7 @@
 
 /// Connects and greets; gives the link once the node has told all that it holds.
 async fn greet(
-    shell: &Shell,
+    shell: &Server,
     node: NodeId,
     address: SocketAddrV4,
     name: &str,
@@ -73,16 +76,17 @@
         .map_err(LinkError::Connect)?;
     let _ = stream.set_nodelay(true);
     let mut link = Framed::new(stream, Messages::new(NODE_FRAME));
-    link.send(&Greeting::hello(&shell.config, shell.life))
+    link.send(&Handshake::hello(&shell.config, shell.life))
         .await?;
-    let mut greeting = Greeting::new(node, name, shell.config.limits.jobs);
+    let mut greeting = Handshake::new(node, name, shell.config.limits.jobs);
     let mut replies = Vec::new();
     let up = loop {
-        let (meanwhile, up) = match greeting.hear(link.next().await.ok_or(LinkError::Closed)??)? {
-            Step::More(meanwhile) => (meanwhile, None),
-            Step::Up(meanwhile, up) => (meanwhile, Some(up)),
-        };
-        if let Some(Heard { input, reply }) = meanwhile {
+        let (meanwhile, up) =
+            match greeting.on_message(link.next().await.ok_or(LinkError::Closed)??)? {
+                HandshakeProgress::Pending(meanwhile) => (meanwhile, None),
+                HandshakeProgress::Complete(meanwhile, up) => (meanwhile, Some(up)),
+            };
+        if let Some(DecodedMessage { input, reply }) = meanwhile {
             if let Some(input) = input {
                 shell.input(input);
             }
@@ -104,7 +108,7 @@
 }
 
 async fn carry(
-    shell: &Shell,
+    shell: &Server,
     node: NodeId,
     mut link: Link,
     mut queue: mpsc::Receiver<ToNode>,
@@ -113,7 +117,7 @@
     let error = loop {
         tokio::select! {
             message = link.next() => match message {
-                Some(Ok(message)) => take(shell, node, heard(node, message)),
+                Some(Ok(message)) => take(shell, node, decode_message(node, message)),
                 Some(Err(error)) => break error.into(),
                 None => break LinkError::Closed,
             },
@@ -135,9 +139,9 @@
     queue.close();
     while let Ok(message) = queue.try_recv() {
         if let ToNode::Offer { attempt, .. } = message {
-            shell.input(Input::Unsent {
+            shell.input(Input::DispatchFailed {
                 node,
-                request: request_of(attempt),
+                request: request_id_of(attempt),
                 attempt: attempt.number,
             });
         }
@@ -159,7 +163,7 @@
 }
 
 /// Takes a message in, and answers it.
-fn take(shell: &Shell, node: NodeId, message: Heard) {
+fn take(shell: &Server, node: NodeId, message: DecodedMessage) {
     if let Some(input) = message.input {
         shell.input(input);
     }
--- a/crates/controller/src/listing.rs
+++ b/crates/controller/src/listing.rs
@@ -1,10 +1,10 @@
 //! The subscription to the node list.
 
 use crate::link::wait;
-use crate::shell::Shell;
+use crate::shell::Server;
 use futures_util::{SinkExt, StreamExt};
 use peppercove_core::Input;
-use peppercove_exchange::{Retry, list_input};
+use peppercove_exchange::{Backoff, node_list_input};
 use peppercove_metrics as names;
 use peppercove_protocol::codec::{FrameError, LIST_FRAME, Messages};
 use peppercove_protocol::list::{FromList, ToList};
@@ -32,10 +32,10 @@
 }
 
 /// Calls the list when the module asks for it, or by itself where the list pushes, and passes on what it tells.
-pub(crate) async fn keep(shell: Rc<Shell>) {
+pub(crate) async fn keep(shell: Rc<Server>) {
     let listen = &shell.config.listen;
     let by_itself = !shell.config.module.is_list_polled;
-    let mut retry = Retry::new(listen.retry_least, listen.retry_most);
+    let mut retry = Backoff::new(listen.retry_least, listen.retry_most);
     loop {
         if !by_itself {
             shell.watch.notified().await;
@@ -51,14 +51,14 @@
         };
         tracing::warn!(%error, "node list out of reach");
         shell.figures.add(names::LIST_FAILURES, &[], 1.0);
-        shell.input(Input::ListFailed);
+        shell.input(Input::NodeListFailed);
         if by_itself {
             wait(&mut retry).await;
         }
     }
 }
 
-async fn subscribe(shell: &Shell) -> Result<(Link, FromList), ListError> {
+async fn subscribe(shell: &Server) -> Result<(Link, FromList), ListError> {
     let stream = TcpStream::connect(shell.config.listen.node_list).await?;
     let mut link: Link = Framed::new(stream, Messages::new(LIST_FRAME));
     let version = peppercove_protocol::VERSION;
@@ -75,7 +75,7 @@
     Ok((link, first))
 }
 
-async fn watch(shell: &Shell, link: &mut Link) -> Result<FromList, ListError> {
+async fn watch(shell: &Server, link: &mut Link) -> Result<FromList, ListError> {
     let generation = shell.core.borrow().nodes().generation;
     link.send(&ToList::Watch {
         after: (generation > 0).then_some(generation),
@@ -87,7 +87,7 @@
     }
 }
 
-async fn follow(shell: &Shell, mut link: Link) -> ListError {
+async fn follow(shell: &Server, mut link: Link) -> ListError {
     loop {
         tokio::select! {
             news = link.next() => match news {
@@ -106,8 +106,8 @@
     }
 }
 
-fn pass_on(shell: &Shell, news: FromList) {
-    if let Some(input) = list_input(news) {
+fn pass_on(shell: &Server, news: FromList) {
+    if let Some(input) = node_list_input(news) {
         shell
             .figures
             .set(names::LIST_HEARD, &[], shell.clock.now() as f64 / 1e6);
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,6 +1,6 @@
 //! Messages between controllers, where the settings name peers: one datagram each, which may be lost.
 
-use crate::shell::Shell;
+use crate::shell::Server;
 use peppercove_core::Input;
 use std::rc::Rc;
 use tokio::net::UdpSocket;
@@ -10,7 +10,7 @@
 const LONGEST: usize = 256;
 
 /// Carries messages both ways: four bytes of the sender's number, little endian, then the message.
-pub(crate) async fn carry(shell: Rc<Shell>, socket: UdpSocket, mut told: mpsc::Receiver<Vec<u8>>) {
+pub(crate) async fn carry(shell: Rc<Server>, socket: UdpSocket, mut told: mpsc::Receiver<Vec<u8>>) {
     let mut buffer = [0; 4 + LONGEST + 1];
     let number = shell.config.module.own_index.to_le_bytes();
     loop {
@@ -31,7 +31,7 @@
                 let known = shell.config.peers.peers.iter().find(|(_, address)| *address == from);
                 let Some((peer, _)) = known.filter(|_| (4..=4 + LONGEST).contains(&n)) else { continue };
                 if buffer[..4] == peer.to_le_bytes() {
-                    shell.input(Input::Peer { from: *peer, message: buffer[4..n].to_vec() });
+                    shell.input(Input::PeerMessage { from: *peer, message: buffer[4..n].to_vec() });
                 }
             }
         }
--- a/crates/controller/src/push.rs
+++ b/crates/controller/src/push.rs
@@ -1,6 +1,6 @@
 //! Pushing the figures: taken, kept on disk and sent as background work, which gives way to placing.
 
-use crate::shell::Shell;
+use crate::shell::Server;
 use peppercove_background::{Action, Background, Cost, Event, WorkId};
 use peppercove_config::Push;
 use peppercove_metrics as names;
@@ -34,7 +34,7 @@
 }
 
 impl Pusher {
-    pub(crate) fn open(shell: &Shell, settings: Push) -> io::Result<Pusher> {
+    pub(crate) fn open(shell: &Server, settings: Push) -> io::Result<Pusher> {
         let micros = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(u64::MAX);
         let bounds = Bounds {
             bytes: settings.backlog_bytes,
@@ -71,7 +71,7 @@
         })
     }
 
-    pub(crate) async fn keep(mut self, shell: Rc<Shell>) {
+    pub(crate) async fn keep(mut self, shell: Rc<Server>) {
         let (told, mut outcomes) = mpsc::channel::<(WorkId, usize, Outcome)>(1);
         loop {
             let due = tokio::time::Instant::now() + Duration::from_micros(LOOK);
@@ -97,7 +97,7 @@
     }
 
     /// Asks for the work that is due: figures to be taken, a batch to be sent.
-    fn submit_due(&mut self, shell: &Shell) -> Vec<Action> {
+    fn submit_due(&mut self, shell: &Server) -> Vec<Action> {
         let now = shell.clock.now();
         let mut actions = Vec::new();
         if !self.taking && now >= self.next_take {
@@ -129,7 +129,7 @@
 
     fn start(
         &mut self,
-        shell: &Rc<Shell>,
+        shell: &Rc<Server>,
         work: WorkId,
         told: &mpsc::Sender<(WorkId, usize, Outcome)>,
     ) -> Vec<Action> {
@@ -160,7 +160,7 @@
         Vec::new()
     }
 
-    fn finish(&mut self, shell: &Shell, work: WorkId, took: Duration) -> Vec<Action> {
+    fn finish(&mut self, shell: &Server, work: WorkId, took: Duration) -> Vec<Action> {
         if work.0 % 2 == Duty::Take as u64 {
             self.taking = false;
         } else {
@@ -175,7 +175,7 @@
             .handle(shell.clock.now(), Event::Finished(work, cost))
     }
 
-    fn take(&mut self, shell: &Shell) {
+    fn take(&mut self, shell: &Server) {
         let now = shell.clock.now();
         let every = u64::try_from(self.settings.every.as_micros()).unwrap_or(u64::MAX);
         self.next_take = self
@@ -205,7 +205,7 @@
     }
 
     /// What the backlog lost since it was looked at last.
-    fn count_lost(&mut self, shell: &Shell) {
+    fn count_lost(&mut self, shell: &Server) {
         let (now, was) = (self.backlog.lost(), self.lost);
         self.lost = now;
         for (reason, more) in [
@@ -220,7 +220,7 @@
 
     fn answered(
         &mut self,
-        shell: &Shell,
+        shell: &Server,
         work: WorkId,
         count: usize,
         outcome: Outcome,
--- a/crates/controller/src/session.rs
+++ b/crates/controller/src/session.rs
@@ -1,9 +1,9 @@
 //! The front for DRMAA clients: connections, sessions, and JSON-RPC calls turned into inputs of the core.
 
-use crate::shell::Shell;
-use crate::template::prepare;
+use crate::shell::Server;
+use crate::template::prepare_submission;
 use futures_util::{SinkExt, StreamExt};
-use peppercove_core::{Control, Input, JobId, JobState, Output, TurnedAway};
+use peppercove_core::{Control, Input, JobId, JobState, Output, Rejection};
 use peppercove_metrics as names;
 use peppercove_protocol::drmaa::{ALL_JOBS, ANY_JOB, Action, Errno, State};
 use peppercove_protocol::rpc::{self, Call, Fault, Reply};
@@ -141,7 +141,7 @@
 }
 
 /// Takes connections in, up to the bound.
-pub(crate) async fn accept(shell: Rc<Shell>, listener: TcpListener) {
+pub(crate) async fn accept(shell: Rc<Server>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Out of descriptors, most likely: others may close theirs.
@@ -155,7 +155,7 @@
     }
 }
 
-async fn serve(shell: Rc<Shell>, stream: TcpStream, full: bool) {
+async fn serve(shell: Rc<Server>, stream: TcpStream, full: bool) {
     let mut lines = Framed::new(stream, LinesCodec::new_with_max_length(rpc::LONGEST_LINE));
     if full {
         let fault = try_later(
@@ -266,7 +266,7 @@
 
 /// Answers a line at once, or starts the call that waits and answers later.
 fn take_line(
-    shell: &Rc<Shell>,
+    shell: &Rc<Server>,
     connection: u64,
     line: &str,
     out: &mpsc::Sender<String>,
@@ -338,7 +338,7 @@
     serde_json::to_value(value).map_err(|e| Fault::drmaa(Errno::InternalError, e.to_string()))
 }
 
-fn session_of(shell: &Shell, connection: u64) -> Result<String, Fault> {
+fn session_of(shell: &Server, connection: u64) -> Result<String, Fault> {
     let sessions = shell.sessions.borrow();
     let session = sessions
         .connections
@@ -347,7 +347,7 @@
     session.ok_or_else(|| Fault::drmaa(Errno::NoActiveSession, "init comes first"))
 }
 
-fn answer(shell: &Rc<Shell>, connection: u64, call: &Call) -> Result<Value, Fault> {
+fn answer(shell: &Rc<Server>, connection: u64, call: &Call) -> Result<Value, Fault> {
     match call.method.as_str() {
         "init" => init(shell, connection, &params(call)?),
         "exit" => {
@@ -408,7 +408,7 @@
     }
 }
 
-fn init(shell: &Shell, connection: u64, p: &rpc::Init) -> Result<Value, Fault> {
+fn init(shell: &Server, connection: u64, p: &rpc::Init) -> Result<Value, Fault> {
     if p.session.is_empty() || p.session.len() > 256 || p.session.contains('\n') {
         let what = "session must hold 1 to 256 bytes on one line";
         return Err(Fault::drmaa(Errno::InvalidArgument, what));
@@ -443,7 +443,7 @@
     })
 }
 
-fn own_job(shell: &Shell, session: &str, name: &str) -> Result<JobId, Fault> {
+fn own_job(shell: &Server, session: &str, name: &str) -> Result<JobId, Fault> {
     let core = shell.core.borrow();
     let job = shell.job_named(name).and_then(|id| core.jobs().get(id));
     let own = job
@@ -457,49 +457,49 @@
     })
 }
 
-fn reason(why: TurnedAway) -> &'static str {
+fn reason(why: Rejection) -> &'static str {
     match why {
-        TurnedAway::Full(_) => "full",
-        TurnedAway::Stopping(_) => "stopping",
-        TurnedAway::InDoubt(_) => "in-doubt",
-        TurnedAway::RanAlready => "ran-already",
-        TurnedAway::NotKnown => "not-known",
-        TurnedAway::AskedElsewhere => "asked-elsewhere",
-        TurnedAway::TaskTaken(_) => "task-taken",
-        TurnedAway::NoSuchJob => "no-such-job",
-        TurnedAway::WrongState(_) => "wrong-state",
+        Rejection::LimitReached(_) => "full",
+        Rejection::ShuttingDown(_) => "stopping",
+        Rejection::OutcomeAmbiguous(_) => "in-doubt",
+        Rejection::AlreadyRan => "ran-already",
+        Rejection::OutcomeUnknown => "not-known",
+        Rejection::RequestedElsewhere => "asked-elsewhere",
+        Rejection::TaskInUse(_) => "task-taken",
+        Rejection::NoSuchJob => "no-such-job",
+        Rejection::InvalidState(_) => "wrong-state",
     }
 }
 
-fn turned_away(shell: &Shell, why: TurnedAway, control: Option<Control>) -> Fault {
+fn turned_away(shell: &Server, why: Rejection, control: Option<Control>) -> Fault {
     let micros = Duration::from_micros;
     match why {
-        TurnedAway::Full(after) => try_later(micros(after), "a bound is met"),
-        TurnedAway::Stopping(after) => try_later(micros(after), "the controller stops"),
-        TurnedAway::InDoubt(after) => {
+        Rejection::LimitReached(after) => try_later(micros(after), "a bound is met"),
+        Rejection::ShuttingDown(after) => try_later(micros(after), "the controller stops"),
+        Rejection::OutcomeAmbiguous(after) => {
             try_later(micros(after), "an earlier attempt of the task may run")
         }
-        TurnedAway::RanAlready => Fault::drmaa(
+        Rejection::AlreadyRan => Fault::drmaa(
             Errno::DeniedByDrm,
             "the task ran, or may have run, and must not be started twice",
         ),
-        TurnedAway::AskedElsewhere => {
+        Rejection::RequestedElsewhere => {
             let what = "another controller was asked for the task before and may have started it: ask that one";
             Fault::drmaa(Errno::DeniedByDrm, what)
         }
-        TurnedAway::NotKnown => {
+        Rejection::OutcomeUnknown => {
             let what = "the task was asked for before this controller started, which keeps no journal of what it sends";
             Fault::drmaa(Errno::DeniedByDrm, what)
         }
-        TurnedAway::TaskTaken(job) => {
+        Rejection::TaskInUse(job) => {
             let what = format!(
                 "the task is that of job {}, which is not finished",
                 shell.job_name(job)
             );
             Fault::drmaa(Errno::DeniedByDrm, what)
         }
-        TurnedAway::NoSuchJob => Fault::drmaa(Errno::InvalidJob, "there is no such job"),
-        TurnedAway::WrongState(state) => {
+        Rejection::NoSuchJob => Fault::drmaa(Errno::InvalidJob, "there is no such job"),
+        Rejection::InvalidState(state) => {
             let errno = match control {
                 Some(Control::Suspend) => Errno::SuspendInconsistentState,
                 Some(Control::Resume) => Errno::ResumeInconsistentState,
@@ -513,7 +513,7 @@
 }
 
 fn submit(
-    shell: &Rc<Shell>,
+    shell: &Rc<Server>,
     session: &str,
     key: &str,
     template: &rpc::JobTemplate,
@@ -523,7 +523,7 @@
     if let Some(job) = shell.core.borrow().jobs().by_key(session, key) {
         return Ok(job);
     }
-    let prepared = prepare(&shell.config, session, key, template, index)
+    let prepared = prepare_submission(&shell.config, session, key, template, index)
         .inspect_err(|_| shell.figures.add(names::TURNED_AWAY, &["invalid"], 1.0))?;
     let ticket = shell.ticket();
     let class = prepared.submission.class;
@@ -539,7 +539,10 @@
                 }
                 return Ok(job);
             }
-            Output::TurnedAway { ticket: t, why } if t == ticket => {
+            Output::Rejected {
+                ticket: t,
+                reason: why,
+            } if t == ticket => {
                 shell.figures.add(names::TURNED_AWAY, &[reason(why)], 1.0);
                 return Err(turned_away(shell, why, None));
             }
@@ -553,7 +556,7 @@
 }
 
 /// `drmaa_start_time`: the job is on hold until then.
-fn release_at(shell: &Rc<Shell>, job: JobId, at: i64) {
+fn release_at(shell: &Rc<Server>, job: JobId, at: i64) {
     let now = i64::try_from(shell.clock.now() / 1_000_000).unwrap_or(i64::MAX);
     let wait = Duration::from_secs(u64::try_from(at - now).unwrap_or(0));
     let shell = Rc::downgrade(shell);
@@ -570,7 +573,7 @@
     });
 }
 
-fn run_bulk(shell: &Rc<Shell>, session: &str, p: &rpc::RunBulkJobs) -> Result<Value, Fault> {
+fn run_bulk(shell: &Rc<Server>, session: &str, p: &rpc::RunBulkJobs) -> Result<Value, Fault> {
     let invalid = |what: String| Err(Fault::drmaa(Errno::InvalidArgument, what));
     if p.start < 1
         || p.incr == 0
@@ -589,7 +592,7 @@
             shell.config.limits.bulk
         ));
     }
-    if !shell.core.borrow().has_room(session, count as usize) {
+    if !shell.core.borrow().has_capacity(session, count as usize) {
         return Err(try_later(shell.config.limits.retry_after, "a bound is met"));
     }
     let mut jobs = Vec::new();
@@ -616,7 +619,7 @@
     Ok(json!({ "jobIds": names }))
 }
 
-fn control(shell: &Rc<Shell>, session: &str, p: &rpc::ControlJob) -> Result<Value, Fault> {
+fn control(shell: &Rc<Server>, session: &str, p: &rpc::ControlJob) -> Result<Value, Fault> {
     let action = Action::from_name(&p.action).ok_or_else(|| {
         Fault::drmaa(
             Errno::InvalidArgument,
@@ -649,7 +652,10 @@
             job,
             control,
         }) {
-            if let Output::TurnedAway { ticket: t, why } = output
+            if let Output::Rejected {
+                ticket: t,
+                reason: why,
+            } = output
                 && t == ticket
                 && first_fault.is_none()
             {
@@ -662,7 +668,7 @@
 
 // ---- Calls that wait ----
 
-async fn answer_waiting(shell: &Shell, connection: u64, call: &Call) -> Result<Value, Fault> {
+async fn answer_waiting(shell: &Server, connection: u64, call: &Call) -> Result<Value, Fault> {
     let session = session_of(shell, connection)?;
     match call.method.as_str() {
         "wait" => {
@@ -705,7 +711,7 @@
     Fault::drmaa(Errno::ExitTimeout, "the time is over")
 }
 
-async fn wait(shell: &Shell, session: &str, p: &rpc::Wait) -> Result<Value, Fault> {
+async fn wait(shell: &Server, session: &str, p: &rpc::Wait) -> Result<Value, Fault> {
     let until = until(p.timeout_ms);
     if p.job_id != ANY_JOB {
         let job = own_job(shell, session, &p.job_id)?;
@@ -744,7 +750,7 @@
 }
 
 /// Gives what is known of a finished job, and forgets it: a job is waited for once.
-fn reap(shell: &Shell, job: JobId) -> Result<Value, Fault> {
+fn reap(shell: &Server, job: JobId) -> Result<Value, Fault> {
     let finished = shell
         .core
         .borrow()
@@ -761,7 +767,7 @@
     }
 }
 
-async fn until_finished(shell: &Shell, job: JobId, until: Option<Instant>) -> Result<(), Fault> {
+async fn until_finished(shell: &Server, job: JobId, until: Option<Instant>) -> Result<(), Fault> {
     // A job that is gone was reaped, so it was finished.
     let finished = || {
         shell
@@ -780,7 +786,7 @@
     Ok(())
 }
 
-async fn outcome(shell: &Shell, session: &str, p: &rpc::Wait) -> Result<Value, Fault> {
+async fn outcome(shell: &Server, session: &str, p: &rpc::Wait) -> Result<Value, Fault> {
     let (job, until) = (own_job(shell, session, &p.job_id)?, until(p.timeout_ms));
     loop {
         let answer = || shell.core.borrow().jobs().get(job).map(|j| j.answer);
@@ -805,7 +811,7 @@
     }
 }
 
-async fn synchronize(shell: &Shell, session: &str, p: &rpc::Synchronize) -> Result<Value, Fault> {
+async fn synchronize(shell: &Server, session: &str, p: &rpc::Synchronize) -> Result<Value, Fault> {
     let until = until(p.timeout_ms);
     let all = p.job_ids.iter().any(|j| j == ALL_JOBS);
     let jobs: Vec<JobId> = if all {
--- a/crates/controller/src/shell.rs
+++ b/crates/controller/src/shell.rs
@@ -1,16 +1,16 @@
 //! The core, and what is around it: where inputs come in and outputs go out.
 
 use crate::StartError;
-use crate::figures::Figures;
+use crate::figures::ControllerMetrics;
 use crate::journal::Journal;
 use crate::link;
 use crate::session::Sessions;
 use peppercove::{NodeId, Scheduler};
 use peppercove_config::Config;
-use peppercove_core::evidence::Entry;
-use peppercove_core::{Answer, Core, End, Input, Job, JobId, JobState, Output, record};
-use peppercove_exchange::{frame, limits};
-use peppercove_fleet::{Decider, View};
+use peppercove_core::evidence::JournalEntry;
+use peppercove_core::{Answer, Core, Input, Job, JobId, JobState, Output, TaskEnd, record};
+use peppercove_exchange::{core_limits, encode_output};
+use peppercove_fleet::{NodeSubset, SubsetScheduler};
 use peppercove_metrics as names;
 use peppercove_protocol::node::ToNode;
 use peppercove_protocol::rpc;
@@ -30,11 +30,11 @@
     task: AbortHandle,
 }
 
-pub(crate) struct Shell {
+pub(crate) struct Server {
     pub(crate) config: Config,
     pub(crate) life: u64,
     pub(crate) clock: Clock,
-    pub(crate) core: RefCell<Core<Decider>>,
+    pub(crate) core: RefCell<Core<SubsetScheduler>>,
     pub(crate) links: RefCell<BTreeMap<NodeId, LinkHandle>>,
     pub(crate) sessions: RefCell<Sessions>,
     /// The module asked for the list.
@@ -47,19 +47,19 @@
     pub(crate) peers: RefCell<Option<mpsc::Sender<Vec<u8>>>>,
     record: Option<RefCell<BufWriter<File>>>,
     journal: Option<RefCell<Journal>>,
-    pub(crate) figures: Figures,
-    me: RefCell<std::rc::Weak<Shell>>,
+    pub(crate) figures: ControllerMetrics,
+    me: RefCell<std::rc::Weak<Server>>,
 }
 
-impl Shell {
-    pub(crate) fn new(config: Config) -> Result<Shell, StartError> {
+impl Server {
+    pub(crate) fn new(config: Config) -> Result<Server, StartError> {
         let clock = Clock::start();
         let seed = config.seed.unwrap_or_else(|| fastrand::u64(..));
         // Lives only have to differ: the time of the start, scattered so that two in one microsecond do as well.
         let life = clock.now() ^ (fastrand::u64(..) & 0xfff) << 52;
-        let (limits, began) = (limits(&config, life), clock.now());
+        let (limits, began) = (core_limits(&config, life), clock.now());
         let mut core = Core::new(
-            View::new(Scheduler::new(config.module.clone(), seed), &config.module),
+            NodeSubset::new(Scheduler::new(config.module.clone(), seed), &config.module),
             limits,
         );
         let mut recovered = Vec::new();
@@ -76,7 +76,7 @@
                 journal.replace(&core.snapshot()).map_err(wrong)?;
                 tracing::info!(
                     entries = entries.len(),
-                    open = core.doubtful_tasks(),
+                    open = core.ambiguous_tasks(),
                     "journal read"
                 );
                 recovered = entries;
@@ -92,11 +92,11 @@
                 })?;
                 let mut file = BufWriter::new(file);
                 let schedulers = (config.module.schedulers, config.module.own_index);
-                let head = record::Head {
+                let head = record::RecordingHeader {
                     seed,
-                    life,
+                    incarnation: life,
                     schedulers,
-                    began,
+                    started_at: began,
                     journal: recovered,
                 };
                 let _ = writeln!(file, "{}", serde_json::to_string(&head).unwrap_or_default());
@@ -104,7 +104,7 @@
             }
             None => None,
         };
-        Ok(Shell {
+        Ok(Server {
             config,
             life,
             clock,
@@ -118,7 +118,7 @@
             peers: RefCell::default(),
             record,
             journal,
-            figures: Figures::new(began),
+            figures: ControllerMetrics::new(began),
             me: RefCell::default(),
         })
     }
@@ -136,7 +136,7 @@
         while let Some(input) = inputs.pop_front() {
             let now = self.clock.now();
             if let Some(record) = &self.record {
-                let _ = writeln!(record.borrow_mut(), "{}", record::write(now, &input));
+                let _ = writeln!(record.borrow_mut(), "{}", record::format_line(now, &input));
             }
             let outputs = self.core.borrow_mut().handle(now, input);
             for output in outputs {
@@ -150,17 +150,17 @@
 
     fn carry_out(&self, output: Output, inputs: &mut VecDeque<Input>, answers: &mut Vec<Output>) {
         match output {
-            Output::Accepted { .. } | Output::Done { .. } | Output::TurnedAway { .. } => {
+            Output::Accepted { .. } | Output::ControlAccepted { .. } | Output::Rejected { .. } => {
                 answers.push(output)
             }
-            Output::Settled { job, answer } => {
+            Output::Answered { job, answer } => {
                 self.settled.notify_one();
                 let core = self.core.borrow();
                 if let Some(j) = core.jobs().get(job) {
-                    let after = self.clock.now().saturating_sub(j.asked_at);
+                    let after = self.clock.now().saturating_sub(j.requested_at);
                     let class = self.class_name(j.submission.class);
                     self.figures
-                        .answered(class, answer, (j.asked_at > 0).then_some(after));
+                        .answered(class, answer, (j.requested_at > 0).then_some(after));
                     let settled = self.settled_of(j, answer);
                     self.sessions
                         .borrow_mut()
@@ -190,7 +190,7 @@
                     .insert(node, LinkHandle { queue: None, task });
                 if let Some(old) = old {
                     old.task.abort();
-                    inputs.push_back(Input::LinkDown(node));
+                    inputs.push_back(Input::NodeDisconnected(node));
                 }
             }
             Output::Disconnect(node) => {
@@ -199,7 +199,7 @@
                 }
             }
             Output::Journal(entries) => self.write_down(&entries),
-            Output::Offer {
+            Output::Dispatch {
                 node,
                 request,
                 attempt,
@@ -208,22 +208,22 @@
                 self.figures.add(names::ATTEMPTS, &[], 1.0);
                 // What is not written down does not leave: it would be unknown to the next life.
                 if !self.is_written() || !self.send_output(&output) {
-                    inputs.push_back(Input::Unsent {
+                    inputs.push_back(Input::DispatchFailed {
                         node,
                         request,
                         attempt,
                     });
                 }
             }
-            Output::Withdraw { .. }
-            | Output::Act { .. }
+            Output::CancelAttempt { .. }
+            | Output::ControlTask { .. }
             | Output::Adopt { .. }
-            | Output::StopStanding { .. }
+            | Output::DiscardOrphan { .. }
             | Output::Probe(_) => {
                 self.send_output(&output);
             }
             Output::Watch => self.watch.notify_one(),
-            Output::Tell(message) => {
+            Output::Broadcast(message) => {
                 if let Some(peers) = self.peers.borrow().as_ref() {
                     let _ = peers.try_send(message);
                 }
@@ -232,7 +232,7 @@
         }
     }
 
-    fn write_down(&self, entries: &[Entry]) {
+    fn write_down(&self, entries: &[JournalEntry]) {
         let Some(journal) = &self.journal else { return };
         let mut journal = journal.borrow_mut();
         if let Err(error) = journal.write(entries) {
@@ -262,7 +262,7 @@
     /// Queues the frame that an output is; false where there is no link or its queue is full.
     fn send_output(&self, output: &Output) -> bool {
         let core = self.core.borrow();
-        let frame = frame(&self.config, self.clock.now(), output, |job| {
+        let frame = encode_output(&self.config, self.clock.now(), output, |job| {
             core.jobs().get(job)
         });
         frame.is_some_and(|(node, message)| self.send(node, message))
@@ -276,7 +276,7 @@
     }
 
     /// Its own handle, for the tasks that it starts.
-    pub(crate) fn set_self(self: &Rc<Shell>) {
+    pub(crate) fn set_self(self: &Rc<Server>) {
         *self.me.borrow_mut() = Rc::downgrade(self);
     }
 
@@ -305,9 +305,9 @@
     pub(crate) fn settled_of(&self, job: &Job, answer: Answer) -> rpc::Settled {
         let (outcome, node, retry_after) = match answer {
             Answer::Placed(node) => (rpc::Outcome::Placed, Some(node), None),
-            Answer::Refused(after) => (rpc::Outcome::Refused, None, after),
+            Answer::Rejected(after) => (rpc::Outcome::Refused, None, after),
             Answer::Failed => (rpc::Outcome::Failed, None, None),
-            Answer::Withdrawn => (rpc::Outcome::Withdrawn, None, None),
+            Answer::Cancelled => (rpc::Outcome::Withdrawn, None, None),
         };
         let name = |id: NodeId| {
             let known = self.core.borrow().nodes().get(id).map(|n| n.name.clone());
@@ -333,22 +333,22 @@
         };
         let outcome = match job.answer {
             Some(Answer::Placed(_)) => "placed",
-            Some(Answer::Refused(after)) => {
+            Some(Answer::Rejected(after)) => {
                 if let Some(after) = after {
                     usage("retry_after_ms", after.div_ceil(1000).to_string());
                 }
                 "refused"
             }
             Some(Answer::Failed) => "failed",
-            Some(Answer::Withdrawn) | None => "withdrawn",
+            Some(Answer::Cancelled) | None => "withdrawn",
         };
         usage("outcome", outcome.into());
         match job.end {
             Some(
-                End::Exited {
+                TaskEnd::Exited {
                     wall, cpu, memory, ..
                 }
-                | End::Signalled {
+                | TaskEnd::Signalled {
                     wall, cpu, memory, ..
                 },
             ) => {
@@ -356,14 +356,14 @@
                 usage("cpu_s", format!("{:.6}", cpu as f64 / 1e6));
                 usage("memory", format!("{memory:.3}"));
             }
-            Some(End::GivenUp) => usage("end", "given-up".into()),
-            Some(End::Lost) => usage("end", "lost".into()),
+            Some(TaskEnd::GivenUp) => usage("end", "given-up".into()),
+            Some(TaskEnd::Lost) => usage("end", "lost".into()),
             None => {}
         }
         match job.end {
-            Some(End::Exited { status, .. }) => finished.exit_status = Some(status),
-            Some(End::Signalled { signal, .. }) => finished.signal = Some(signal),
-            Some(End::GivenUp | End::Lost) => {}
+            Some(TaskEnd::Exited { status, .. }) => finished.exit_status = Some(status),
+            Some(TaskEnd::Signalled { signal, .. }) => finished.signal = Some(signal),
+            Some(TaskEnd::GivenUp | TaskEnd::Lost) => {}
             None => finished.aborted = job.state == JobState::Failed,
         }
         finished
@@ -390,7 +390,7 @@
 }
 
 /// Calls the core when it wants to be called.
-pub(crate) async fn keep_time(shell: Rc<Shell>) {
+pub(crate) async fn keep_time(shell: Rc<Server>) {
     let next = || shell.core.borrow().next_wake();
     let tick = |_| {
         shell.input(Input::Tick);
--- a/crates/controller/src/template.rs
+++ b/crates/controller/src/template.rs
@@ -14,7 +14,7 @@
 
 /// A job as it is submitted, and when it may start at the earliest.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Prepared {
+pub struct PreparedJob {
     /// What the core is told.
     pub submission: Submission,
     /// `drmaa_start_time`, in seconds since 1970; the job is on hold until then.
@@ -33,13 +33,13 @@
 ///
 /// # Errors
 /// The DRMAA error that the attribute calls for (GFD.133, section 3.2), with its name.
-pub fn prepare(
+pub fn prepare_submission(
     config: &Config,
     session: &str,
     key: &str,
     template: &JobTemplate,
     index: Option<i64>,
-) -> Result<Prepared, Fault> {
+) -> Result<PreparedJob, Fault> {
     if key.is_empty() || key.len() > LONGEST_NAME || key.contains('\n') {
         let what = format!("submissionKey must hold 1 to {LONGEST_NAME} bytes on one line");
         return Err(Fault::drmaa(Errno::InvalidArgument, what));
@@ -150,16 +150,16 @@
         cores,
         memory,
         deadline_in,
-        life_hint: native.life.map(micros),
-        again: native.again || native.asked.is_some(),
-        elsewhere: native
+        expected_duration: native.life.map(micros),
+        is_retry: native.again || native.asked.is_some(),
+        requested_elsewhere: native
             .asked
             .as_ref()
             .is_some_and(|name| *name != config.name),
-        held: held || start_at.is_some(),
+        on_hold: held || start_at.is_some(),
         program: program(template, command, &native, index),
     };
-    Ok(Prepared {
+    Ok(PreparedJob {
         submission,
         start_at: start_at.filter(|_| !held),
     })
@@ -390,14 +390,14 @@
                 "cores=2 memory=3 deadline=2s life=5s",
             ),
         ]);
-        let p = prepare(&config(), "s", "k", &t, None).unwrap();
+        let p = prepare_submission(&config(), "s", "k", &t, None).unwrap();
         let s = &p.submission;
         assert_eq!(
             (s.class, s.cores, s.memory, s.deadline_in),
             (1, 2.0, 3.0, 2_000_000)
         );
         assert_eq!(s.program.env, ["PEPPERCOVE_LIFE_US=5000000"]);
-        let again = prepare(&config(), "s", "k2", &t, None).unwrap();
+        let again = prepare_submission(&config(), "s", "k2", &t, None).unwrap();
         assert_eq!(again.submission.service, s.service);
         assert_ne!(again.submission.task, s.task);
     }
@@ -462,7 +462,7 @@
             let mut all = vec![("drmaa_remote_command", "sleep")];
             all.extend(*pairs);
             let t = template(if pairs.is_empty() { &[] } else { &all });
-            let fault = prepare(&config(), "s", "k", &t, None).unwrap_err();
+            let fault = prepare_submission(&config(), "s", "k", &t, None).unwrap_err();
             assert_eq!(fault.errno(), *errno, "{fault:?}");
             assert!(fault.message.contains(what), "{fault:?}");
         }
--- a/crates/controller/tests/front.rs
+++ b/crates/controller/tests/front.rs
@@ -42,7 +42,7 @@
     config.listen.node_list = list.address().into();
     change(&mut config);
     let controller = Controller::start(config).await.unwrap();
-    until(|| controller.status().nodes_up == 2).await;
+    until(|| controller.status().connected_nodes == 2).await;
     Rig {
         controller,
         nodes,
@@ -269,12 +269,12 @@
         );
         let reply = second.call(2, "wait", json!({ "jobId": job })).await;
         assert_eq!(reply["result"]["exitStatus"], 0, "{reply}");
-        assert_eq!(rig.controller.status().counters.offers, 1);
+        assert_eq!(rig.controller.status().counters.dispatched, 1);
         // Reaped, and asked for once more: it ran, and is not run again. How it ended is the answer.
         let job = second.run(3, "k", "update", "life=50ms").await["result"]["jobId"].clone();
         let reply = second.call(4, "wait", json!({ "jobId": job })).await;
         assert_eq!(reply["result"]["exitStatus"], 0, "{reply}");
-        assert_eq!(rig.controller.status().counters.offers, 1);
+        assert_eq!(rig.controller.status().counters.dispatched, 1);
     });
 }
 
@@ -297,7 +297,7 @@
         let mut config = Config::parse(embedded_default()).unwrap();
         config.listen.node_list = list.address().into();
         let controller = Controller::start(config).await.unwrap();
-        until(|| controller.status().nodes_up == 1).await;
+        until(|| controller.status().connected_nodes == 1).await;
         let mut client = Client::open(controller.address(), "s").await;
         for i in 0..8 {
             let reply = client.run(i, &format!("k{i}"), "fill", "life=10ms").await;
@@ -305,7 +305,7 @@
         }
         let answered = || {
             let c = controller.status().counters;
-            c.placed + c.refused + c.failed
+            c.placed + c.requests_rejected + c.failed
         };
         until(|| answered() == 8).await;
         // The impostor's greetings cost the honest node its link now and then, but not its use.
@@ -346,11 +346,18 @@
         let rig = rig(|c| c.stop_within = Duration::from_millis(300)).await;
         let mut client = Client::open(rig.controller.address(), "s").await;
         client.run(1, "runs", "fill", "life=1h").await;
-        until(|| rig.controller.status().running == 1).await;
+        until(|| rig.controller.status().running_tasks == 1).await;
         rig.nodes.iter().for_each(|n| n.fault(|f| f.hangs = true));
         client.run(2, "hangs", "update", "").await;
-        let left = rig.controller.stop().await;
-        assert_eq!((left.answered, left.running, left.doubtful), (1, 1, 1));
+        let left = rig.controller.shut_down().await;
+        assert_eq!(
+            (
+                left.forced_answers,
+                left.running_tasks,
+                left.ambiguous_tasks
+            ),
+            (1, 1, 1)
+        );
         while let Some(line) = client.line().await {
             client.1.push(line);
         }
@@ -372,12 +379,12 @@
         } = rig(|_| {}).await;
         let mut client = Client::open(controller.address(), "s").await;
         let job = client.run(1, "k", "update", "life=1h").await["result"]["jobId"].clone();
-        until(|| controller.status().running == 1).await;
+        until(|| controller.status().running_tasks == 1).await;
         drop(controller);
         let mut config = Config::parse(embedded_default()).unwrap();
         config.listen.node_list = _list.address().into();
         let controller = Controller::start(config).await.unwrap();
-        until(|| controller.status().running == 1).await;
+        until(|| controller.status().running_tasks == 1).await;
         let mut client = Client::open(controller.address(), "s").await;
         let found = client
             .call(1, "findJob", json!({ "submissionKey": "k" }))
@@ -412,11 +419,11 @@
             .call(2, "wait", json!({ "jobId": rig.controller.job_name(0) }))
             .await;
         client.run(3, "runs", "render", "life=1h").await;
-        until(|| rig.controller.status().running == 1).await;
+        until(|| rig.controller.status().running_tasks == 1).await;
         client.run(4, "wrong", "fill", "cores=x").await;
         rig._list.trouble(|t| t.down = true);
         let value = |name: &str, labels: &[&str]| {
-            let points = rig.controller.figures();
+            let points = rig.controller.gather_metrics();
             let fits = |p: &&peppercove_metrics::Point| {
                 p.name == name
                     && p.labels
@@ -447,7 +454,7 @@
         assert_eq!(value("peppercove_running_tasks", &[]), Some(1.0));
         assert_eq!(value("peppercove_nodes", &["up", "ready"]), Some(2.0));
         assert_eq!(value("peppercove_faults_total", &["overdue"]), Some(0.0));
-        let points = rig.controller.figures();
+        let points = rig.controller.gather_metrics();
         // What is told of the push has values only where there is one; its tests look at those.
         let pushes =
             |n: &str| n.starts_with("peppercove_push_") || n == peppercove_metrics::LOOP_LATE;
@@ -527,9 +534,9 @@
                 // Closed at once, not after what it promised has been waited for.
                 let closed = tokio::time::timeout(Duration::from_secs(20), link.next()).await;
                 assert!(matches!(closed, Ok(None)));
-                assert_eq!(controller.status().nodes_up, 0);
+                assert_eq!(controller.status().connected_nodes, 0);
             } else {
-                until(|| controller.status().nodes_up == 1).await;
+                until(|| controller.status().connected_nodes == 1).await;
             }
         }
     });
--- a/crates/controller/tests/push.rs
+++ b/crates/controller/tests/push.rs
@@ -54,7 +54,7 @@
 }
 
 fn figure(controller: &Controller, name: &str, label: &str) -> f64 {
-    let points = controller.figures();
+    let points = controller.gather_metrics();
     let fits =
         |p: &&peppercove_metrics::Point| p.name == name && p.labels.iter().any(|(_, v)| v == label);
     points.iter().find(fits).map_or(0.0, |p| p.value)
@@ -87,7 +87,7 @@
         receiver.trouble(|t| t.slow = Duration::ZERO);
         let made = pushed(&c, "made");
         until(|| pushed(&c, "pushed") >= made).await;
-        let points = c.figures();
+        let points = c.gather_metrics();
         for name in [
             names::PUSHED,
             names::PUSHES,
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,11 +1,13 @@
 //! The core: inputs in, the decision module asked, its actions carried out, outputs out.
 
 use crate::Decide;
-use crate::alarms::Alarms;
-use crate::evidence::{Copy, Entry, Evidence, Of, Past, Stray, Trace, Verdict};
-use crate::jobs::{Answer, End, JobId, JobState, Jobs, Submission};
-use crate::life::{After, Ask, Attempt, Life};
-use crate::nodes::{Link, NodeLine, Nodes};
+use crate::alarms::Timers;
+use crate::evidence::{
+    AttemptId, Completion, Evidence, JournalEntry, Of, Stray, TaskCopy, Verdict,
+};
+use crate::jobs::{Answer, JobId, JobState, Jobs, Submission, TaskEnd};
+use crate::life::{After, Ask, Attempt, RequestState};
+use crate::nodes::{ConnectionState, ListedNode, Nodes};
 use peppercove::{
     Action, AttemptOutcome, EndReason, Event, Idempotency, ListUpdateKind, LoadReport, Micros,
     NodeId, NodeStatus, PlacementAck, PlacementRequest, RequestId, TaskClass, TaskKey, TaskUpdate,
@@ -60,7 +62,7 @@
     /// The task, as far as the node knows it.
     pub submission: Submission,
     /// It ended while nobody could be told.
-    pub ended: Option<End>,
+    pub ended: Option<TaskEnd>,
     /// Why, where its node gave it up.
     pub why: EndReason,
 }
@@ -77,7 +79,7 @@
     /// The node answers with an error.
     Error,
     /// The task ended.
-    Ended(End, EndReason),
+    Ended(TaskEnd, EndReason),
     /// News of the running task.
     Note(TaskUpdate),
 }
@@ -103,16 +105,18 @@
     /// Time has passed.
     Tick,
     /// News of the node list.
-    List {
+    #[serde(rename = "List")]
+    NodeList {
         /// How it relates to the list held.
         scope: ListUpdateKind,
         /// Its version.
         generation: u64,
         /// The lines.
-        lines: Vec<NodeLine>,
+        lines: Vec<ListedNode>,
     },
     /// A call to the list failed or the subscription broke.
-    ListFailed,
+    #[serde(rename = "ListFailed")]
+    NodeListFailed,
     /// A job is submitted.
     Submit {
         /// Comes back with the answer.
@@ -132,7 +136,8 @@
     /// A finished job's client has taken note of it.
     Dispose(JobId),
     /// The link to a node stands, and the node has told what it holds.
-    LinkUp {
+    #[serde(rename = "LinkUp")]
+    NodeConnected {
         /// The node.
         node: NodeId,
         /// Its life.
@@ -143,7 +148,8 @@
         standing: Vec<Standing>,
     },
     /// The link to a node broke.
-    LinkDown(NodeId),
+    #[serde(rename = "LinkDown")]
+    NodeDisconnected(NodeId),
     /// A node speaks of an attempt.
     News {
         /// The node.
@@ -167,7 +173,8 @@
         load: Option<LoadReport>,
     },
     /// An offer could not be written: it never left.
-    Unsent {
+    #[serde(rename = "Unsent")]
+    DispatchFailed {
         /// The node.
         node: NodeId,
         /// The ask.
@@ -176,39 +183,42 @@
         attempt: u16,
     },
     /// A message of another controller.
-    Peer {
+    #[serde(rename = "Peer")]
+    PeerMessage {
         /// Its number.
         from: u32,
         /// The message.
         message: Vec<u8>,
     },
     /// Take nothing new.
-    Stop,
+    #[serde(rename = "Stop")]
+    BeginShutdown,
     /// The grace of the stop is over: answer all that is open.
-    Abandon,
+    #[serde(rename = "Abandon")]
+    ShutdownTimeout,
 }
 
 /// Why a submission or a control was turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TurnedAway {
+pub enum Rejection {
     /// A bound is met; come again after this long.
-    Full(Micros),
+    LimitReached(Micros),
     /// The controller stops; come again after this long, or ask another.
-    Stopping(Micros),
+    ShuttingDown(Micros),
     /// An earlier attempt of the task may run; come again after this long.
-    InDoubt(Micros),
+    OutcomeAmbiguous(Micros),
     /// The task ran, or may have: it will not be started again.
-    RanAlready,
+    AlreadyRan,
     /// The task was asked for before, and what became of it is not known here: without a journal, not by this life.
-    NotKnown,
+    OutcomeUnknown,
     /// Another controller was asked for the task before and may have started it: that one can tell.
-    AskedElsewhere,
+    RequestedElsewhere,
     /// The task is another job's, which is not finished.
-    TaskTaken(JobId),
+    TaskInUse(JobId),
     /// There is no such job.
     NoSuchJob,
     /// The job's state does not allow it.
-    WrongState(JobState),
+    InvalidState(JobState),
 }
 
 /// Something to do.
@@ -222,19 +232,19 @@
         job: JobId,
     },
     /// The control is carried out or on its way.
-    Done {
+    ControlAccepted {
         /// Of the control.
         ticket: u64,
     },
     /// The submission or control is turned away.
-    TurnedAway {
+    Rejected {
         /// Of the call.
         ticket: u64,
         /// Why.
-        why: TurnedAway,
+        reason: Rejection,
     },
     /// The one final answer to the job's ask.
-    Settled {
+    Answered {
         /// The job.
         job: JobId,
         /// The answer.
@@ -254,7 +264,7 @@
     /// Keep it no longer.
     Disconnect(NodeId),
     /// Offer a task.
-    Offer {
+    Dispatch {
         /// The node.
         node: NodeId,
         /// The ask.
@@ -267,7 +277,7 @@
         job: JobId,
     },
     /// Wait for an attempt no longer.
-    Withdraw {
+    CancelAttempt {
         /// The node.
         node: NodeId,
         /// The ask.
@@ -276,7 +286,7 @@
         attempt: u16,
     },
     /// Act on a task that runs.
-    Act {
+    ControlTask {
         /// The node.
         node: NodeId,
         /// The ask.
@@ -300,7 +310,7 @@
         request: RequestId,
     },
     /// Stop a standing task of an earlier life that nobody knows, or take note of its end.
-    StopStanding {
+    DiscardOrphan {
         /// The node.
         node: NodeId,
         /// Life of the controller that placed it.
@@ -311,13 +321,13 @@
         attempt: u16,
     },
     /// Write these down before anything that follows is sent.
-    Journal(Vec<Entry>),
+    Journal(Vec<JournalEntry>),
     /// Subscribe to the node list.
     Watch,
     /// Ask a node for its load.
     Probe(NodeId),
     /// Tell all other controllers something.
-    Tell(Vec<u8>),
+    Broadcast(Vec<u8>),
     /// A line for the people on call.
     Log(String),
 }
@@ -328,17 +338,21 @@
     /// Jobs taken in.
     pub submitted: u64,
     /// Submissions turned away at the door.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub submissions_rejected: u64,
     /// Asks placed.
     pub placed: u64,
     /// Asks refused.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub requests_rejected: u64,
     /// Asks failed.
     pub failed: u64,
     /// Asks ended by their owner before they were placed.
-    pub withdrawn: u64,
+    #[serde(rename = "withdrawn")]
+    pub cancelled: u64,
     /// Offers made.
-    pub offers: u64,
+    #[serde(rename = "offers")]
+    pub dispatched: u64,
     /// Offers that found no link.
     pub unreachable: u64,
     /// Attempts that nobody answered in time.
@@ -346,17 +360,23 @@
     /// Tasks taken over from an earlier life or a doubtful attempt.
     pub adopted: u64,
     /// Copies stopped that nobody waited for.
-    pub strays: u64,
+    #[serde(rename = "strays")]
+    pub orphans_stopped: u64,
     /// What nodes said of attempts that they were never sent, or that were over.
-    pub out_of_place: u64,
+    #[serde(rename = "out_of_place")]
+    pub unexpected_messages: u64,
     /// Asks that the module left without an answer at their deadline: always a fault.
-    pub overdue: u64,
+    #[serde(rename = "overdue")]
+    pub missed_deadlines: u64,
     /// Actions of the module that could not be carried out.
-    pub void_actions: u64,
+    #[serde(rename = "void_actions")]
+    pub ignored_actions: u64,
     /// Refusals that could not be promised and went out as failures: always a fault.
-    pub broken_promises: u64,
+    #[serde(rename = "broken_promises")]
+    pub unsafe_rejections: u64,
     /// Steps of a life that did not follow: always a fault.
-    pub illegal_steps: u64,
+    #[serde(rename = "illegal_steps")]
+    pub invalid_transitions: u64,
 }
 
 impl Counters {
@@ -364,21 +384,21 @@
     pub fn plus(&self, other: &Counters) -> Counters {
         Counters {
             submitted: self.submitted + other.submitted,
-            turned_away: self.turned_away + other.turned_away,
+            submissions_rejected: self.submissions_rejected + other.submissions_rejected,
             placed: self.placed + other.placed,
-            refused: self.refused + other.refused,
+            requests_rejected: self.requests_rejected + other.requests_rejected,
             failed: self.failed + other.failed,
-            withdrawn: self.withdrawn + other.withdrawn,
-            offers: self.offers + other.offers,
+            cancelled: self.cancelled + other.cancelled,
+            dispatched: self.dispatched + other.dispatched,
             unreachable: self.unreachable + other.unreachable,
             timed_out: self.timed_out + other.timed_out,
             adopted: self.adopted + other.adopted,
-            strays: self.strays + other.strays,
-            out_of_place: self.out_of_place + other.out_of_place,
-            overdue: self.overdue + other.overdue,
-            void_actions: self.void_actions + other.void_actions,
-            broken_promises: self.broken_promises + other.broken_promises,
-            illegal_steps: self.illegal_steps + other.illegal_steps,
+            orphans_stopped: self.orphans_stopped + other.orphans_stopped,
+            unexpected_messages: self.unexpected_messages + other.unexpected_messages,
+            missed_deadlines: self.missed_deadlines + other.missed_deadlines,
+            ignored_actions: self.ignored_actions + other.ignored_actions,
+            unsafe_rejections: self.unsafe_rejections + other.unsafe_rejections,
+            invalid_transitions: self.invalid_transitions + other.invalid_transitions,
         }
     }
 }
@@ -401,12 +421,12 @@
     nodes: Nodes,
     evidence: Evidence,
     /// Copies that may run and that the module counts as standing, by the ask that it was told of.
-    ghosts: BTreeMap<Copy, RequestId>,
+    ghosts: BTreeMap<TaskCopy, RequestId>,
     /// Copies that were adopted, by the number that their nodes know until they have heard of the new one.
-    former: BTreeMap<Copy, Trace>,
+    former: BTreeMap<TaskCopy, AttemptId>,
     /// Tasks that this life saw asked for the first time; the oldest are forgotten.
     first_seen: (BTreeSet<TaskKey>, VecDeque<TaskKey>),
-    alarms: Alarms<Alarm>,
+    alarms: Timers<Alarm>,
     next_request: u64,
     now: Micros,
     born: Option<Micros>,
@@ -436,7 +456,7 @@
             asks: BTreeMap::new(),
             open: 0,
             nodes: Nodes::default(),
-            alarms: Alarms::default(),
+            alarms: Timers::default(),
             next_request: 0,
             now: 0,
             born: None,
@@ -471,12 +491,12 @@
     }
 
     /// Asks without a final answer.
-    pub fn open_asks(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open
     }
 
     /// So many more jobs of a session stay within the bounds.
-    pub fn has_room(&self, session: &str, more: usize) -> bool {
+    pub fn has_capacity(&self, session: &str, more: usize) -> bool {
         self.open + more <= self.limits.most_open
             && self.jobs.unfinished(session) + more <= self.limits.most_session_jobs
             && self.jobs.all_unfinished() + more <= self.limits.most_jobs
@@ -486,23 +506,23 @@
     pub fn placed_tasks(&self) -> usize {
         self.asks
             .values()
-            .filter(|a| matches!(a.life, Life::Placed(_)))
+            .filter(|a| matches!(a.life, RequestState::Placed(_)))
             .count()
     }
 
     /// Tasks whose fate is in doubt.
-    pub fn doubtful_tasks(&self) -> usize {
+    pub fn ambiguous_tasks(&self) -> usize {
         self.evidence.doubtful()
     }
 
     /// Nodes that hold, or may hold, a copy of a task that is followed.
-    pub fn in_doubt_at(&self) -> Vec<NodeId> {
+    pub fn nodes_with_open_copies(&self) -> Vec<NodeId> {
         self.evidence.nodes().into_iter().collect()
     }
 
     /// When it wants to be called at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
-        [self.alarms.next(), self.evidence.next()]
+        [self.alarms.next_deadline(), self.evidence.next()]
             .into_iter()
             .flatten()
             .min()
@@ -543,22 +563,22 @@
     }
 
     /// Takes in what earlier lives wrote down, before anything else: their copies may run, and are counted.
-    pub fn recover(&mut self, now: Micros, entries: &[Entry]) {
+    pub fn recover(&mut self, now: Micros, entries: &[JournalEntry]) {
         self.now = self.now.max(now);
         self.evidence.recover(self.now, entries);
-        let open: Vec<(Copy, Of)> = self.evidence.open().collect();
+        let open: Vec<(TaskCopy, Of)> = self.evidence.open().collect();
         for (copy, of) in open {
             self.haunt(copy, of);
         }
     }
 
     /// All that the next life must know, in as few entries as can say it.
-    pub fn snapshot(&self) -> Vec<Entry> {
+    pub fn snapshot(&self) -> Vec<JournalEntry> {
         self.evidence.snapshot()
     }
 
     fn ring(&mut self) {
-        while let Some(alarm) = self.alarms.due(self.now) {
+        while let Some(alarm) = self.alarms.pop_due(self.now) {
             match alarm {
                 Alarm::Module(label) => self.events.push(Event::Timer(label)),
                 Alarm::Attempt(request, attempt) => self.on_expired(request, attempt),
@@ -570,15 +590,15 @@
         for copy in due.stop {
             self.stop_copy(copy);
         }
-        for Copy { at, .. } in due.recall {
+        for TaskCopy { attempt: at, .. } in due.recall {
             if self.nodes.is_up(at.node) {
                 // Its node answers with what it knows of the attempt, or refuses it for ever.
-                let Trace {
+                let AttemptId {
                     node,
                     request,
-                    attempt,
+                    number: attempt,
                 } = at;
-                self.out.push(Output::Withdraw {
+                self.out.push(Output::CancelAttempt {
                     node,
                     request,
                     attempt,
@@ -590,12 +610,12 @@
     fn take_in(&mut self, input: Input) {
         match input {
             Input::Tick => {}
-            Input::List {
+            Input::NodeList {
                 scope,
                 generation,
                 lines,
             } => self.on_list(scope, generation, &lines),
-            Input::ListFailed => {
+            Input::NodeListFailed => {
                 let (scope, version) = (ListUpdateKind::Failed, self.nodes.generation);
                 self.events.push(Event::NodeList {
                     kind: scope,
@@ -612,13 +632,13 @@
             Input::Dispose(job) => {
                 self.jobs.remove(job);
             }
-            Input::LinkUp {
+            Input::NodeConnected {
                 node,
                 life,
                 whole,
                 standing,
             } => self.on_link_up(node, life, whole, standing),
-            Input::LinkDown(node) => self.on_link_down(node),
+            Input::NodeDisconnected(node) => self.on_link_down(node),
             Input::News {
                 node,
                 request,
@@ -627,10 +647,10 @@
                 load,
             } => {
                 self.on_news(
-                    Trace {
+                    AttemptId {
                         node,
                         request,
-                        attempt,
+                        number: attempt,
                     },
                     news,
                     load,
@@ -647,15 +667,15 @@
                     load,
                 });
             }
-            Input::Unsent {
+            Input::DispatchFailed {
                 node,
                 request,
                 attempt,
             } => {
-                if self.out_at(Trace {
+                if self.out_at(AttemptId {
                     node,
                     request,
-                    attempt,
+                    number: attempt,
                 }) {
                     self.counters.unreachable += 1;
                     self.end_attempt(
@@ -667,15 +687,15 @@
                     );
                 }
             }
-            Input::Peer { from, message } => self.events.push(Event::Peer { from, message }),
-            Input::Stop => self.stopping = true,
-            Input::Abandon => self.on_abandon(),
+            Input::PeerMessage { from, message } => self.events.push(Event::Peer { from, message }),
+            Input::BeginShutdown => self.stopping = true,
+            Input::ShutdownTimeout => self.on_abandon(),
         }
     }
 
     // ---- The node list ----
 
-    fn on_list(&mut self, scope: ListUpdateKind, generation: u64, lines: &[NodeLine]) {
+    fn on_list(&mut self, scope: ListUpdateKind, generation: u64, lines: &[ListedNode]) {
         let (told, changes) = self.nodes.take_in(self.now, scope, generation, lines);
         self.events.push(Event::NodeList {
             kind: scope,
@@ -744,7 +764,7 @@
             self.out.push(Output::Accepted { ticket, job });
             if let Some(Answer::Placed(node)) = self.jobs.get(job).and_then(|j| j.answer) {
                 self.counters.placed += 1;
-                self.out.push(Output::Settled {
+                self.out.push(Output::Answered {
                     job,
                     answer: Answer::Placed(node),
                 });
@@ -755,13 +775,16 @@
         let verdict = self.evidence.ask(submission.task, strict);
         if let Some(why) = self.turned_away(&submission, verdict) {
             self.remember_first(&submission);
-            self.counters.turned_away += 1;
-            self.out.push(Output::TurnedAway { ticket, why });
+            self.counters.submissions_rejected += 1;
+            self.out.push(Output::Rejected {
+                ticket,
+                reason: why,
+            });
             return;
         }
         self.remember_first(&submission);
         self.counters.submitted += 1;
-        let held = submission.held && matches!(verdict, Verdict::Free);
+        let held = submission.on_hold && matches!(verdict, Verdict::Free);
         let state = if held {
             JobState::OnHold
         } else {
@@ -798,7 +821,7 @@
     }
 
     fn remember_first(&mut self, submission: &Submission) {
-        if submission.again || self.limits.journal || !self.is_strict(submission.class) {
+        if submission.is_retry || self.limits.journal || !self.is_strict(submission.class) {
             return;
         }
         let (seen, order) = &mut self.first_seen;
@@ -814,9 +837,9 @@
 
     /// Without a journal a life does not know what earlier ones sent. A task that was asked for before, and not first
     /// in this life, waits until each node has told what it holds; after that it is found among that, or nobody knows.
-    fn not_known(&self, submission: &Submission) -> Option<TurnedAway> {
+    fn not_known(&self, submission: &Submission) -> Option<Rejection> {
         let known = self.limits.journal
-            || !submission.again
+            || !submission.is_retry
             || !self.is_strict(submission.class)
             || self.first_seen.0.contains(&submission.task)
             || self.evidence.copies(submission.task).next().is_some();
@@ -824,31 +847,30 @@
             return None;
         }
         let told = self.nodes.generation > 0
-            && self
-                .nodes
-                .iter()
-                .all(|(_, n)| n.link == Link::Up || n.line.state == NodeStatus::Gone);
+            && self.nodes.iter().all(|(_, n)| {
+                n.link == ConnectionState::Connected || n.line.state == NodeStatus::Gone
+            });
         Some(if told {
-            TurnedAway::NotKnown
+            Rejection::OutcomeUnknown
         } else {
-            TurnedAway::InDoubt(self.limits.settle)
+            Rejection::OutcomeAmbiguous(self.limits.settle)
         })
     }
 
-    fn turned_away(&self, submission: &Submission, verdict: Verdict) -> Option<TurnedAway> {
+    fn turned_away(&self, submission: &Submission, verdict: Verdict) -> Option<Rejection> {
         let unfinished = self.jobs.unfinished(&submission.session);
         if self.stopping {
-            return Some(TurnedAway::Stopping(self.limits.retry_after));
+            return Some(Rejection::ShuttingDown(self.limits.retry_after));
         }
         if let Some(job) = self.jobs.by_task(submission.task) {
-            return Some(TurnedAway::TaskTaken(job));
+            return Some(Rejection::TaskInUse(job));
         }
         match verdict {
-            Verdict::Later(after) => return Some(TurnedAway::InDoubt(after)),
-            Verdict::Never => return Some(TurnedAway::RanAlready),
+            Verdict::Later(after) => return Some(Rejection::OutcomeAmbiguous(after)),
+            Verdict::Never => return Some(Rejection::AlreadyRan),
             // Controllers share no evidence, and a start elsewhere could not be told from none.
-            Verdict::Free if submission.elsewhere && self.is_strict(submission.class) => {
-                return Some(TurnedAway::AskedElsewhere);
+            Verdict::Free if submission.requested_elsewhere && self.is_strict(submission.class) => {
+                return Some(Rejection::RequestedElsewhere);
             }
             Verdict::Free => {
                 if let Some(why) = self.not_known(submission) {
@@ -861,7 +883,7 @@
             || !self.jobs.has_room()
             || unfinished >= self.limits.most_session_jobs
             || (self.is_kept(submission.class) && self.evidence.is_full());
-        full.then_some(TurnedAway::Full(self.limits.retry_after))
+        full.then_some(Rejection::LimitReached(self.limits.retry_after))
     }
 
     /// Asks the module to place a job's task.
@@ -871,7 +893,7 @@
         };
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        (j.ask, j.state, j.asked_at) = (Some(request), JobState::Queued, self.now);
+        (j.ask, j.state, j.requested_at) = (Some(request), JobState::Queued, self.now);
         let deadline_in = j.submission.deadline_in;
         let request = request_of(
             &j.submission,
@@ -883,10 +905,10 @@
             request: request.clone(),
             job,
             deadline,
-            life: Life::Waiting,
+            life: RequestState::Pending,
             attempts: Vec::new(),
         };
-        self.alarms.set(deadline, Alarm::Deadline(request.id));
+        self.alarms.schedule(deadline, Alarm::Deadline(request.id));
         self.asks.insert(request.id, ask);
         self.open += 1;
         self.events.push(Event::Place(request));
@@ -894,9 +916,9 @@
 
     fn on_control(&mut self, ticket: u64, job: JobId, control: Control) {
         let Some(j) = self.jobs.get(job) else {
-            self.out.push(Output::TurnedAway {
+            self.out.push(Output::Rejected {
                 ticket,
-                why: TurnedAway::NoSuchJob,
+                reason: Rejection::NoSuchJob,
             });
             return;
         };
@@ -905,7 +927,7 @@
         let ok = match (control, state) {
             (Control::Hold, JobState::Queued) => {
                 // What may run cannot be held back any more.
-                let held_back = |a: &Ask| a.life == Life::Waiting && a.never_ran();
+                let held_back = |a: &Ask| a.life == RequestState::Pending && a.never_ran();
                 let waiting = ask.filter(|r| self.asks.get(r).is_some_and(held_back));
                 if let Some(request) = waiting {
                     self.call_off(request);
@@ -936,7 +958,7 @@
                 }
             }
             (Control::Terminate, JobState::OnHold) => {
-                self.settle_job(job, Answer::Withdrawn);
+                self.settle_job(job, Answer::Cancelled);
                 true
             }
             (Control::Terminate, JobState::Queued) => {
@@ -955,19 +977,22 @@
             }
             _ => false,
         };
-        let wrong = Output::TurnedAway {
+        let wrong = Output::Rejected {
             ticket,
-            why: TurnedAway::WrongState(state),
+            reason: Rejection::InvalidState(state),
         };
-        self.out
-            .push(if ok { Output::Done { ticket } } else { wrong });
+        self.out.push(if ok {
+            Output::ControlAccepted { ticket }
+        } else {
+            wrong
+        });
     }
 
     /// An ask that never left is forgotten, unanswered: its job makes another one later.
     fn call_off(&mut self, request: RequestId) {
         self.events.push(Event::RequestCancelled(request));
         self.leave(request, false);
-        self.step(request, Life::Over);
+        self.step(request, RequestState::Completed);
         self.forget_if_done(request);
     }
 
@@ -978,9 +1003,9 @@
         let (life, job) = (ask.life, ask.job);
         self.events.push(Event::RequestCancelled(request));
         self.leave(request, false);
-        self.step(request, Life::Over);
-        self.settle_job(job, Answer::Withdrawn);
-        if let Life::Offered(attempt) = life {
+        self.step(request, RequestState::Completed);
+        self.settle_job(job, Answer::Cancelled);
+        if let RequestState::Dispatched(attempt) = life {
             self.withdraw(request, attempt);
         }
         self.forget_if_done(request);
@@ -1000,18 +1025,18 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => self.answer(request, Answer::Refused(retry_after)),
+            } => self.answer(request, Answer::Rejected(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::Migrate(request) => match self.asks.get(&request).and_then(placed_at) {
                 Some(at) if self.nodes.is_up(at.node) => {
                     self.moving.insert(request, ());
                     self.out.push(act(at, Control::Terminate));
                 }
-                _ => self.counters.void_actions += 1,
+                _ => self.counters.ignored_actions += 1,
             },
-            Action::SetTimer { label, at } => {
-                self.alarms.set(at.max(self.now + 1), Alarm::Module(label))
-            }
+            Action::SetTimer { label, at } => self
+                .alarms
+                .schedule(at.max(self.now + 1), Alarm::Module(label)),
             Action::Probe(node) => {
                 if self.nodes.is_up(node) {
                     self.out.push(Output::Probe(node));
@@ -1023,7 +1048,7 @@
                     });
                 }
             }
-            Action::Broadcast(message) => self.out.push(Output::Tell(message)),
+            Action::Broadcast(message) => self.out.push(Output::Broadcast(message)),
             Action::Log(line) => self.out.push(Output::Log(line)),
         }
     }
@@ -1031,14 +1056,14 @@
     fn bind(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
         let up = self.nodes.is_up(node);
         let Some(ask) = self.asks.get_mut(&request) else {
-            self.counters.void_actions += 1;
+            self.counters.ignored_actions += 1;
             return;
         };
         let number = u16::try_from(ask.attempts.len()).unwrap_or(u16::MAX);
         let until = ask.deadline.saturating_sub(self.limits.answer_reserve);
         let expires_at = until.min(timeout.map_or(until, |t| self.now.saturating_add(t)));
         let spent = ask.attempts.len() >= self.limits.max_attempts as usize;
-        let sent = ask.life == Life::Waiting && !spent && until > self.now;
+        let sent = ask.life == RequestState::Pending && !spent && until > self.now;
         let attempt = Attempt {
             node,
             sent_at: self.now,
@@ -1049,7 +1074,7 @@
         };
         ask.attempts.push(attempt);
         if !sent {
-            self.counters.void_actions += 1;
+            self.counters.ignored_actions += 1;
             self.end_attempt(
                 request,
                 number,
@@ -1060,7 +1085,7 @@
             return;
         }
         let job = ask.job;
-        self.step(request, Life::Offered(number));
+        self.step(request, RequestState::Dispatched(number));
         if !up {
             self.counters.unreachable += 1;
             self.end_attempt(
@@ -1072,18 +1097,19 @@
             );
             return;
         }
-        self.counters.offers += 1;
+        self.counters.dispatched += 1;
         self.intend(
             request,
-            Trace {
+            AttemptId {
                 node,
                 request,
-                attempt: number,
+                number: number,
             },
         );
-        self.alarms.set(expires_at, Alarm::Attempt(request, number));
+        self.alarms
+            .schedule(expires_at, Alarm::Attempt(request, number));
         let expires_in = expires_at - self.now;
-        self.out.push(Output::Offer {
+        self.out.push(Output::Dispatch {
             node,
             request,
             attempt: number,
@@ -1093,7 +1119,7 @@
     }
 
     /// What is about to be sent is known, and written down, before it leaves.
-    fn intend(&mut self, request: RequestId, at: Trace) {
+    fn intend(&mut self, request: RequestId, at: AttemptId) {
         let Some(of) = self.asks.get(&request).map(|a| of(&a.request)) else {
             return;
         };
@@ -1112,10 +1138,10 @@
     /// Stops waiting for an attempt; the node may still have started it.
     fn withdraw(&mut self, request: RequestId, attempt: u16) {
         let Some(at) = self.out_trace(request, attempt) else {
-            self.counters.void_actions += 1;
+            self.counters.ignored_actions += 1;
             return;
         };
-        self.out.push(Output::Withdraw {
+        self.out.push(Output::CancelAttempt {
             node: at.node,
             request,
             attempt,
@@ -1133,7 +1159,7 @@
     fn answer(&mut self, request: RequestId, answer: Answer) {
         let open = self.asks.get(&request).filter(|a| a.life.is_open());
         let Some(ask) = open else {
-            self.counters.void_actions += 1;
+            self.counters.ignored_actions += 1;
             return;
         };
         let harmful = !ask.never_ran()
@@ -1141,21 +1167,21 @@
                 .class(ask.request.class)
                 .is_none_or(|c| c.idempotency == Idempotency::NonIdempotent);
         let (job, mut answer) = (ask.job, answer);
-        if harmful && matches!(answer, Answer::Refused(_)) {
+        if harmful && matches!(answer, Answer::Rejected(_)) {
             // Guard of the second rule: a refusal promises that a retry does no harm.
-            self.counters.broken_promises += 1;
+            self.counters.unsafe_rejections += 1;
             answer = Answer::Failed;
         }
         self.leave(request, true);
-        self.step(request, Life::Over);
+        self.step(request, RequestState::Completed);
         self.settle_job(job, answer);
         self.forget_if_done(request);
     }
 
-    fn copy(&self, at: Trace) -> Copy {
-        Copy {
-            life: self.limits.life,
-            at,
+    fn copy(&self, at: AttemptId) -> TaskCopy {
+        TaskCopy {
+            incarnation: self.limits.life,
+            attempt: at,
         }
     }
 
@@ -1169,11 +1195,11 @@
             .iter()
             .enumerate()
             .filter(|(_, a)| !a.never_ran());
-        let traces: Vec<Trace> = traces
-            .map(|(i, a)| Trace {
+        let traces: Vec<AttemptId> = traces
+            .map(|(i, a)| AttemptId {
                 node: a.node,
                 request,
-                attempt: i as u16,
+                number: i as u16,
             })
             .collect();
         for at in traces {
@@ -1186,7 +1212,7 @@
 
     /// A copy may run that no open attempt stands for: the module counts it as standing until it is known to be over,
     /// so that neither spread nor room is given away twice.
-    fn haunt(&mut self, copy: Copy, of: Of) {
+    fn haunt(&mut self, copy: TaskCopy, of: Of) {
         if self
             .class(of.class)
             .is_none_or(|c| c.topology_spread == TopologySpread::Off)
@@ -1219,16 +1245,20 @@
         self.ghosts.insert(copy, id);
         self.events.push(Event::RunningTask {
             request,
-            node: copy.at.node,
+            node: copy.attempt.node,
         });
     }
 
     /// The copy is over, or somebody's again.
-    fn lay(&mut self, copy: Copy) {
+    fn lay(&mut self, copy: TaskCopy) {
         let Some(request) = self.ghosts.remove(&copy) else {
             return;
         };
-        let (machine, outcome, why) = (copy.at.node, AttemptOutcome::Cancelled, EndReason::Unknown);
+        let (machine, outcome, why) = (
+            copy.attempt.node,
+            AttemptOutcome::Cancelled,
+            EndReason::Unknown,
+        );
         let (attempt, over, load) = (0, true, None);
         self.events.push(Event::AttemptEnded {
             request,
@@ -1242,22 +1272,24 @@
     }
 
     /// It is proved that the copy never ran, or was stopped before its end.
-    fn copy_closed(&mut self, copy: Copy) {
+    fn copy_closed(&mut self, copy: TaskCopy) {
         self.evidence.closed(copy);
         self.lay(copy);
     }
 
-    fn copy_over(&mut self, copy: Copy, past: Past) {
+    fn copy_over(&mut self, copy: TaskCopy, past: Completion) {
         self.evidence.over(self.now, copy, past);
         self.lay(copy);
     }
 
     /// The node told how an attempt ended.
-    fn copy_ended(&mut self, copy: Copy, end: End, why: EndReason) {
+    fn copy_ended(&mut self, copy: TaskCopy, end: TaskEnd, why: EndReason) {
         match end {
-            End::Exited { .. } => self.copy_over(copy, Past::Ended(copy.at.node, end)),
+            TaskEnd::Exited { .. } => {
+                self.copy_over(copy, Completion::Ended(copy.attempt.node, end))
+            }
             // Its node says that it gave it up before its end, and why.
-            End::GivenUp
+            TaskEnd::GivenUp
                 if matches!(
                     why,
                     EndReason::Evicted | EndReason::Preempted | EndReason::Drained
@@ -1265,8 +1297,8 @@
             {
                 self.copy_closed(copy);
             }
-            End::Signalled { .. } | End::GivenUp | End::Lost => {
-                self.copy_over(copy, Past::MayHaveRun)
+            TaskEnd::Signalled { .. } | TaskEnd::GivenUp | TaskEnd::Lost => {
+                self.copy_over(copy, Completion::MayHaveRun)
             }
         }
     }
@@ -1288,11 +1320,11 @@
             j.answer = Some(answer);
             match answer {
                 Answer::Placed(_) => self.counters.placed += 1,
-                Answer::Refused(_) => self.counters.refused += 1,
+                Answer::Rejected(_) => self.counters.requests_rejected += 1,
                 Answer::Failed => self.counters.failed += 1,
-                Answer::Withdrawn => self.counters.withdrawn += 1,
+                Answer::Cancelled => self.counters.cancelled += 1,
             }
-            self.out.push(Output::Settled { job, answer });
+            self.out.push(Output::Answered { job, answer });
         }
         match answer {
             Answer::Placed(_) => j.state = JobState::Running,
@@ -1311,37 +1343,37 @@
         self.limits.classes.get(usize::from(class))
     }
 
-    fn step(&mut self, request: RequestId, to: Life) -> bool {
+    fn step(&mut self, request: RequestId, to: RequestState) -> bool {
         let Some(ask) = self.asks.get_mut(&request) else {
             return false;
         };
         let was_open = ask.life.is_open();
-        let legal = ask.life.step(to);
+        let legal = ask.life.transition_to(to);
         self.open -= usize::from(was_open && !ask.life.is_open());
         if let Err(step) = &legal {
             debug_assert!(false, "{step}");
-            self.counters.illegal_steps += 1;
+            self.counters.invalid_transitions += 1;
             self.out.push(Output::Log(format!("fault: {step}")));
         }
         legal.is_ok()
     }
 
-    fn out_trace(&self, request: RequestId, attempt: u16) -> Option<Trace> {
+    fn out_trace(&self, request: RequestId, attempt: u16) -> Option<AttemptId> {
         let a = self
             .asks
             .get(&request)?
             .attempts
             .get(usize::from(attempt))?;
-        let placed = self.asks.get(&request)?.life == Life::Placed(attempt);
-        (a.ended.is_none() && !placed).then_some(Trace {
+        let placed = self.asks.get(&request)?.life == RequestState::Placed(attempt);
+        (a.ended.is_none() && !placed).then_some(AttemptId {
             node: a.node,
             request,
-            attempt,
+            number: attempt,
         })
     }
 
-    fn out_at(&self, trace: Trace) -> bool {
-        self.out_trace(trace.request, trace.attempt)
+    fn out_at(&self, trace: AttemptId) -> bool {
+        self.out_trace(trace.request, trace.number)
             .is_some_and(|t| t.node == trace.node)
     }
 
@@ -1366,10 +1398,10 @@
         };
         a.ended = Some(outcome);
         let (machine, life, of) = (a.node, ask.life, of(&ask.request));
-        let copy = self.copy(Trace {
+        let copy = self.copy(AttemptId {
             node: machine,
             request,
-            attempt,
+            number: attempt,
         });
         if matches!(
             outcome,
@@ -1378,12 +1410,12 @@
             self.copy_closed(copy);
         } else if self.evidence.is_open(copy) {
             self.haunt(copy, of);
-            if matches!(life, Life::Over) {
+            if matches!(life, RequestState::Completed) {
                 self.evidence.left(self.now, copy, true);
             }
         }
-        if life == Life::Offered(attempt) {
-            self.step(request, Life::Waiting);
+        if life == RequestState::Dispatched(attempt) {
+            self.step(request, RequestState::Pending);
         }
         self.settle_by_what_was_found(request);
         let over = self.asks.get(&request).is_none_or(|a| !a.life.is_open());
@@ -1411,7 +1443,7 @@
             return;
         };
         self.counters.timed_out += 1;
-        self.out.push(Output::Withdraw {
+        self.out.push(Output::CancelAttempt {
             node: at.node,
             request,
             attempt,
@@ -1431,16 +1463,16 @@
             return;
         };
         let (job, life) = (ask.job, ask.life);
-        self.counters.overdue += 1;
+        self.counters.missed_deadlines += 1;
         self.out.push(Output::Log(format!(
             "fault: ask {} was left without an answer",
             request.0
         )));
         self.events.push(Event::RequestCancelled(request));
         self.leave(request, true);
-        self.step(request, Life::Over);
+        self.step(request, RequestState::Completed);
         self.settle_job(job, Answer::Failed);
-        if let Life::Offered(attempt) = life {
+        if let RequestState::Dispatched(attempt) = life {
             self.withdraw(request, attempt);
         }
         self.forget_if_done(request);
@@ -1455,7 +1487,7 @@
 
     // ---- What nodes say ----
 
-    fn on_news(&mut self, at: Trace, news: NodeNews, load: Option<LoadReport>) {
+    fn on_news(&mut self, at: AttemptId, news: NodeNews, load: Option<LoadReport>) {
         // A node that uses the new number has heard of it.
         self.former.retain(|_, named| *named != at);
         let at = self.former.get(&self.copy(at)).copied().unwrap_or(at);
@@ -1467,13 +1499,16 @@
         }
     }
 
-    fn on_news_of_offer(&mut self, at: Trace, news: NodeNews, load: Option<LoadReport>) {
-        let Trace {
+    fn on_news_of_offer(&mut self, at: AttemptId, news: NodeNews, load: Option<LoadReport>) {
+        let AttemptId {
             node,
             request,
-            attempt,
+            number: attempt,
         } = at;
-        let over = self.asks.get(&request).is_none_or(|a| a.life == Life::Over);
+        let over = self
+            .asks
+            .get(&request)
+            .is_none_or(|a| a.life == RequestState::Completed);
         match news {
             NodeNews::Accepted => {
                 if let Some(a) = self
@@ -1559,13 +1594,13 @@
         }
     }
 
-    fn on_confirmed(&mut self, at: Trace) {
-        let Trace {
+    fn on_confirmed(&mut self, at: AttemptId) {
+        let AttemptId {
             node,
             request,
-            attempt,
+            number: attempt,
         } = at;
-        if !self.step(request, Life::Placed(attempt)) {
+        if !self.step(request, RequestState::Placed(attempt)) {
             return;
         }
         let copy = self.copy(at);
@@ -1582,11 +1617,11 @@
         }
     }
 
-    fn on_news_of_placed(&mut self, at: Trace, news: NodeNews, load: Option<LoadReport>) {
-        let Trace {
+    fn on_news_of_placed(&mut self, at: AttemptId, news: NodeNews, load: Option<LoadReport>) {
+        let AttemptId {
             node,
             request,
-            attempt,
+            number: attempt,
         } = at;
         let (outcome, end, why) = match news {
             NodeNews::Accepted => return self.report(node, load),
@@ -1610,8 +1645,10 @@
                 });
                 return;
             }
-            NodeNews::Ended(end @ End::Exited { .. }, why) => (AttemptOutcome::Completed, end, why),
-            NodeNews::Ended(end @ End::Signalled { .. }, why) => {
+            NodeNews::Ended(end @ TaskEnd::Exited { .. }, why) => {
+                (AttemptOutcome::Completed, end, why)
+            }
+            NodeNews::Ended(end @ TaskEnd::Signalled { .. }, why) => {
                 (AttemptOutcome::Cancelled, end, why)
             }
             NodeNews::Ended(end, why) => (AttemptOutcome::Lost, end, why),
@@ -1619,14 +1656,14 @@
                 // Handed back before it ran.
                 let copy = self.copy(at);
                 self.copy_closed(copy);
-                (AttemptOutcome::Lost, End::GivenUp, why)
+                (AttemptOutcome::Lost, TaskEnd::GivenUp, why)
             }
-            NodeNews::Error => (AttemptOutcome::Error, End::Lost, EndReason::Unknown),
+            NodeNews::Error => (AttemptOutcome::Error, TaskEnd::Lost, EndReason::Unknown),
         };
         if let NodeNews::Ended(..) = news {
             let copy = self.copy(at);
             // What was stopped to be placed anew is known to be stopped.
-            match self.moving.contains_key(&request) && matches!(end, End::Signalled { .. }) {
+            match self.moving.contains_key(&request) && matches!(end, TaskEnd::Signalled { .. }) {
                 true => self.copy_closed(copy),
                 false => self.copy_ended(copy, end, why),
             }
@@ -1636,16 +1673,16 @@
 
     fn end_placed(
         &mut self,
-        at: Trace,
+        at: AttemptId,
         outcome: AttemptOutcome,
-        end: End,
+        end: TaskEnd,
         why: EndReason,
         load: Option<LoadReport>,
     ) {
-        let Trace {
+        let AttemptId {
             node,
             request,
-            attempt,
+            number: attempt,
         } = at;
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
@@ -1654,7 +1691,7 @@
         if let Some(a) = ask.attempts.get_mut(usize::from(attempt)) {
             a.ended = Some(outcome);
         }
-        self.step(request, Life::Over);
+        self.step(request, RequestState::Completed);
         let copy = self.copy(at);
         if self.evidence.is_open(copy) {
             // Lost sight of, not known to be over.
@@ -1672,7 +1709,7 @@
             load,
         });
         // Moved, it is asked for again only where it is known to be stopped before its end.
-        let stopped = !matches!(end, End::Exited { .. })
+        let stopped = !matches!(end, TaskEnd::Exited { .. })
             && (!self.is_strict(of.class) || self.evidence.ask(of.task, true) == Verdict::Free);
         let moved = self.moving.remove(&request).is_some() && stopped;
         self.forget_if_done(request);
@@ -1682,7 +1719,7 @@
             if let Some(j) = self.jobs.get_mut(job) {
                 j.end = Some(end);
             }
-            let done = matches!(end, End::Exited { .. } | End::Signalled { .. });
+            let done = matches!(end, TaskEnd::Exited { .. } | TaskEnd::Signalled { .. });
             self.finish(
                 job,
                 if done {
@@ -1697,13 +1734,13 @@
 
     /// News of an attempt that is over, was another node's, or never was. It settles doubts; a copy that runs and
     /// that nobody waits for is stopped, so that it does not hold its room.
-    fn on_news_out_of_place(&mut self, at: Trace, news: &NodeNews) {
-        self.counters.out_of_place += 1;
+    fn on_news_out_of_place(&mut self, at: AttemptId, news: &NodeNews) {
+        self.counters.unexpected_messages += 1;
         // A node that names another's attempt is not to be told anything about it.
         let known = self
             .asks
             .get(&at.request)
-            .and_then(|a| a.attempts.get(usize::from(at.attempt)));
+            .and_then(|a| a.attempts.get(usize::from(at.number)));
         if known.is_some_and(|a| a.node != at.node) {
             self.out.push(Output::Log(format!(
                 "node {:x} speaks of an attempt that is not its own",
@@ -1732,7 +1769,7 @@
                     match self.evidence.ask(of.task, self.is_strict(of.class)) {
                         Verdict::Ran(..) | Verdict::Never => true,
                         // A second run of what does no harm is not needed either.
-                        _ => matches!(end, End::Exited { .. }),
+                        _ => matches!(end, TaskEnd::Exited { .. }),
                     }
                 });
                 if went_on {
@@ -1753,14 +1790,14 @@
     }
 
     /// The attempt was given up or its link broke, and its ask is still to be placed.
-    fn went_on(&self, at: Trace) -> bool {
+    fn went_on(&self, at: AttemptId) -> bool {
         let ask = self.asks.get(&at.request).filter(|a| a.life.is_open());
-        let attempt = ask.and_then(|a| a.attempts.get(usize::from(at.attempt)));
+        let attempt = ask.and_then(|a| a.attempts.get(usize::from(at.number)));
         attempt.is_some_and(|a| a.node == at.node && a.ended.is_some())
     }
 
     /// News of an attempt that was given up: what its ask waits for runs after all, or has run.
-    fn found(&mut self, at: Trace, after: After) {
+    fn found(&mut self, at: AttemptId, after: After) {
         let copy = self.copy(at);
         if after == After::Runs {
             self.evidence.confirmed(copy);
@@ -1768,7 +1805,7 @@
         let Some(ask) = self.asks.get_mut(&at.request) else {
             return;
         };
-        if let Some(a) = ask.attempts.get_mut(usize::from(at.attempt)) {
+        if let Some(a) = ask.attempts.get_mut(usize::from(at.number)) {
             a.after = after;
         }
         self.settle_by_what_was_found(at.request);
@@ -1778,7 +1815,11 @@
     /// told that it is no longer wanted, and of the standing task in its place. While another attempt is out, that one
     /// comes to its end first: two answers must not be in the making.
     fn settle_by_what_was_found(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request).filter(|a| a.life == Life::Waiting) else {
+        let Some(ask) = self
+            .asks
+            .get(&request)
+            .filter(|a| a.life == RequestState::Pending)
+        else {
             return;
         };
         let found = ask
@@ -1789,10 +1830,10 @@
         let Some((i, a)) = found else { return };
         let (job, at, after) = (
             ask.job,
-            Trace {
+            AttemptId {
                 node: a.node,
                 request,
-                attempt: i as u16,
+                number: i as u16,
             },
             a.after,
         );
@@ -1800,7 +1841,7 @@
         match after {
             After::Runs => self.take_over(job, self.copy(at)),
             After::Ended(end) => {
-                let exited = matches!(end, End::Exited { .. });
+                let exited = matches!(end, TaskEnd::Exited { .. });
                 self.settle_job(
                     job,
                     if exited {
@@ -1820,14 +1861,14 @@
         }
     }
 
-    fn stop_copy(&mut self, copy: Copy) {
-        if copy.life == self.limits.life {
-            self.stop_stray(copy.at);
+    fn stop_copy(&mut self, copy: TaskCopy) {
+        if copy.incarnation == self.limits.life {
+            self.stop_stray(copy.attempt);
         }
     }
 
-    fn stop_stray(&mut self, at: Trace) {
-        self.counters.strays += 1;
+    fn stop_stray(&mut self, at: AttemptId) {
+        self.counters.orphans_stopped += 1;
         self.out.push(act(at, Control::Terminate));
     }
 
@@ -1841,7 +1882,7 @@
         let Some(n) = self.nodes.get_mut(node) else {
             return;
         };
-        (n.link, n.own_life) = (Link::Up, Some(life));
+        (n.link, n.own_life) = (ConnectionState::Connected, Some(life));
         // The list tells of a restart seconds later; until then all controllers would push a cold node over.
         if let Some(line) = n.restarted(self.now, life) {
             let (scope, version) = (ListUpdateKind::Incremental, self.nodes.generation);
@@ -1856,23 +1897,23 @@
             .filter_map(|s| self.by_its_present_number(node, s))
             .collect();
         let own = |s: &&Standing| s.life == self.limits.life;
-        let trace = |s: &Standing| Trace {
+        let trace = |s: &Standing| AttemptId {
             node,
             request: s.request,
-            attempt: s.attempt,
+            number: s.attempt,
         };
-        let held: Vec<Trace> = standing.iter().filter(own).map(trace).collect();
-        let named: Vec<Copy> = standing
+        let held: Vec<AttemptId> = standing.iter().filter(own).map(trace).collect();
+        let named: Vec<TaskCopy> = standing
             .iter()
-            .map(|s| Copy {
-                life: s.life,
-                at: trace(s),
+            .map(|s| TaskCopy {
+                incarnation: s.life,
+                attempt: trace(s),
             })
             .collect();
         for copy in self.evidence.greeted(self.now, node, life, whole, &named) {
             self.lay(copy);
         }
-        let placed: Vec<Trace> = self
+        let placed: Vec<AttemptId> = self
             .asks
             .values()
             .filter_map(placed_at)
@@ -1882,7 +1923,7 @@
             self.end_placed(
                 at,
                 AttemptOutcome::Lost,
-                End::Lost,
+                TaskEnd::Lost,
                 EndReason::Unknown,
                 None,
             );
@@ -1907,19 +1948,19 @@
     /// one, and the job would be taken for lost and the copy for a stray: stopped, and counted no more while it goes on.
     fn by_its_present_number(&mut self, node: NodeId, s: Standing) -> Option<Standing> {
         let (life, was, attempt) = (s.life, s.request, s.attempt);
-        let copy = Copy {
-            life,
-            at: Trace {
+        let copy = TaskCopy {
+            incarnation: life,
+            attempt: AttemptId {
                 node,
                 request: was,
-                attempt,
+                number: attempt,
             },
         };
         let Some(&named) = self.former.get(&copy) else {
             return Some(s);
         };
         if let Some(end) = s.ended {
-            self.out.push(Output::StopStanding {
+            self.out.push(Output::DiscardOrphan {
                 node,
                 life,
                 was,
@@ -1938,7 +1979,7 @@
         Some(Standing {
             life: self.limits.life,
             request: named.request,
-            attempt: named.attempt,
+            attempt: named.number,
             ..s
         })
     }
@@ -1956,38 +1997,38 @@
             let stands = asks.get(&named.request).and_then(placed_at) == Some(*named);
             named.node != node
                 || stands
-                || evidence.is_open(Copy {
-                    life: limits.life,
-                    at: *named,
+                || evidence.is_open(TaskCopy {
+                    incarnation: limits.life,
+                    attempt: *named,
                 })
         });
     }
 
     /// A task of an earlier life ran and ended: its job is known again under its key, and one that must not run
     /// twice is not started again for an owner who never heard of it.
-    fn learn_of_past(&mut self, node: NodeId, s: Standing, end: End) {
-        let ran = matches!(end, End::Exited { .. } | End::Signalled { .. });
+    fn learn_of_past(&mut self, node: NodeId, s: Standing, end: TaskEnd) {
+        let ran = matches!(end, TaskEnd::Exited { .. } | TaskEnd::Signalled { .. });
         let (life, was, attempt) = (s.life, s.request, s.attempt);
-        let copy = Copy {
-            life,
-            at: Trace {
+        let copy = TaskCopy {
+            incarnation: life,
+            attempt: AttemptId {
                 node,
                 request: was,
-                attempt,
+                number: attempt,
             },
         };
         if self.evidence.is_open(copy) {
             self.copy_ended(copy, end, s.why);
         } else if self.is_strict(s.submission.class) && ran {
-            let past = if matches!(end, End::Exited { .. }) {
-                Past::Ended(node, end)
+            let past = if matches!(end, TaskEnd::Exited { .. }) {
+                Completion::Ended(node, end)
             } else {
-                Past::MayHaveRun
+                Completion::MayHaveRun
             };
             self.evidence.ran(self.now, s.submission.task, past);
         }
         self.write_down();
-        self.out.push(Output::StopStanding {
+        self.out.push(Output::DiscardOrphan {
             node,
             life,
             was,
@@ -2028,21 +2069,21 @@
             submission,
             ..
         } = s;
-        let copy = Copy {
-            life,
-            at: Trace {
+        let copy = TaskCopy {
+            incarnation: life,
+            attempt: AttemptId {
                 node,
                 request: was,
-                attempt,
+                number: attempt,
             },
         };
         let known = self.class(submission.class).is_some();
         let taken = self.jobs.by_task(submission.task).is_some();
         if !known || taken || !self.jobs.has_room() {
-            self.counters.strays += 1;
-            self.copy_over(copy, Past::MayHaveRun);
+            self.counters.orphans_stopped += 1;
+            self.copy_over(copy, Completion::MayHaveRun);
             self.write_down();
-            self.out.push(Output::StopStanding {
+            self.out.push(Output::DiscardOrphan {
                 node,
                 life,
                 was,
@@ -2066,13 +2107,13 @@
     }
 
     /// A doubtful copy was found running and its owner asks again: that copy is the new job's.
-    fn take_over(&mut self, job: JobId, copy: Copy) {
+    fn take_over(&mut self, job: JobId, copy: TaskCopy) {
         let request = self.stand(job, copy);
-        self.settle_job(job, Answer::Placed(copy.at.node));
+        self.settle_job(job, Answer::Placed(copy.attempt.node));
         self.write_down();
-        let (life, was, attempt) = (copy.life, copy.at.request, copy.at.attempt);
+        let (life, was, attempt) = (copy.incarnation, copy.attempt.request, copy.attempt.number);
         self.out.push(Output::Adopt {
-            node: copy.at.node,
+            node: copy.attempt.node,
             life,
             was,
             attempt,
@@ -2080,8 +2121,8 @@
         });
     }
 
-    fn stand(&mut self, job: JobId, copy: Copy) -> RequestId {
-        let (id, node) = (self.new_request(), copy.at.node);
+    fn stand(&mut self, job: JobId, copy: TaskCopy) -> RequestId {
+        let (id, node) = (self.new_request(), copy.attempt.node);
         self.counters.adopted += 1;
         self.lay(copy);
         let Some(j) = self.jobs.get_mut(job) else {
@@ -2089,19 +2130,19 @@
         };
         j.ask = Some(id);
         let request = request_of(&j.submission, id, 0);
-        let named = self.copy(Trace {
+        let named = self.copy(AttemptId {
             node,
             request: id,
-            attempt: 0,
+            number: 0,
         });
         for later in self
             .former
             .values_mut()
-            .filter(|n| **n == copy.at && copy.life == self.limits.life)
+            .filter(|n| **n == copy.attempt && copy.incarnation == self.limits.life)
         {
-            *later = named.at;
+            *later = named.attempt;
         }
-        self.former.insert(copy, named.at);
+        self.former.insert(copy, named.attempt);
         if self.evidence.is_open(copy) {
             self.evidence.renamed(copy, named);
         } else if self.is_kept(request.class) {
@@ -2122,12 +2163,12 @@
             request: request.clone(),
             job,
             deadline,
-            life: Life::Waiting,
+            life: RequestState::Pending,
             attempts,
         };
         self.asks.insert(id, ask);
         self.open += 1;
-        self.step(id, Life::Placed(0));
+        self.step(id, RequestState::Placed(0));
         self.events.push(Event::RunningTask {
             request,
             node: node,
@@ -2139,9 +2180,9 @@
         let Some(n) = self.nodes.get_mut(node) else {
             return;
         };
-        if n.link == Link::Up {
-            n.link = Link::Down(self.now);
-            self.alarms.set(
+        if n.link == ConnectionState::Connected {
+            n.link = ConnectionState::Disconnected(self.now);
+            self.alarms.schedule(
                 self.now.saturating_add(self.limits.lost_after),
                 Alarm::Lost(node),
             );
@@ -2156,7 +2197,7 @@
                     .map(move |(i, t)| (*r, a, i as u16, t))
             })
             .filter(|(_, a, i, t)| {
-                t.node == node && t.ended.is_none() && a.life != Life::Placed(*i)
+                t.node == node && t.ended.is_none() && a.life != RequestState::Placed(*i)
             })
             .map(|(r, _, i, _)| (r, i))
             .collect();
@@ -2179,7 +2220,8 @@
     }
 
     fn on_lost(&mut self, node: NodeId) {
-        let Some(Link::Down(since)) = self.nodes.get(node).map(|n| n.link) else {
+        let Some(ConnectionState::Disconnected(since)) = self.nodes.get(node).map(|n| n.link)
+        else {
             return;
         };
         if since.saturating_add(self.limits.lost_after) <= self.now {
@@ -2190,7 +2232,7 @@
     /// Tasks on a node that is gone, or was out of reach for too long, count as lost; whether they still run
     /// stays in doubt until the node is heard again or gone for good.
     fn lose_placed(&mut self, node: NodeId) {
-        let placed: Vec<Trace> = self
+        let placed: Vec<AttemptId> = self
             .asks
             .values()
             .filter_map(placed_at)
@@ -2200,7 +2242,7 @@
             self.end_placed(
                 at,
                 AttemptOutcome::Lost,
-                End::Lost,
+                TaskEnd::Lost,
                 EndReason::Unknown,
                 None,
             );
@@ -2225,7 +2267,7 @@
             self.answer(
                 request,
                 if harmless {
-                    Answer::Refused(retry_after)
+                    Answer::Rejected(retry_after)
                 } else {
                     Answer::Failed
                 },
@@ -2234,23 +2276,23 @@
     }
 }
 
-fn placed_at(ask: &Ask) -> Option<Trace> {
-    let Life::Placed(attempt) = ask.life else {
+fn placed_at(ask: &Ask) -> Option<AttemptId> {
+    let RequestState::Placed(attempt) = ask.life else {
         return None;
     };
     let node = ask.attempts.get(usize::from(attempt))?.node;
-    Some(Trace {
+    Some(AttemptId {
         node,
         request: ask.id(),
-        attempt,
+        number: attempt,
     })
 }
 
-fn act(at: Trace, control: Control) -> Output {
-    Output::Act {
+fn act(at: AttemptId, control: Control) -> Output {
+    Output::ControlTask {
         node: at.node,
         request: at.request,
-        attempt: at.attempt,
+        attempt: at.number,
         control,
     }
 }
@@ -2284,8 +2326,8 @@
         tenant,
         cores,
         memory,
-        life_hint,
-        again,
+        expected_duration: life_hint,
+        is_retry: again,
         ..
     } = s.clone();
     PlacementRequest {
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -10,29 +10,32 @@
 //! is never forgotten. Copies of classes with a spread limit are kept here as well, since each counts until it is known
 //! to be over.
 
-use crate::jobs::End;
+use crate::jobs::TaskEnd;
 use peppercove::{Micros, NodeId, RequestId, ServiceId, TaskKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// An attempt at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Trace {
+pub struct AttemptId {
     /// The node.
     pub node: NodeId,
     /// The ask.
     pub request: RequestId,
     /// The number of the attempt.
-    pub attempt: u16,
+    #[serde(rename = "attempt")]
+    pub number: u16,
 }
 
 /// An attempt of this or an earlier life of the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Copy {
+pub struct TaskCopy {
     /// Life of the controller that made it.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The attempt in that life.
-    pub at: Trace,
+    #[serde(rename = "at")]
+    pub attempt: AttemptId,
 }
 
 /// What a copy is of.
@@ -54,33 +57,34 @@
 
 /// How a task that has run came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Past {
+pub enum Completion {
     /// By itself, on this node.
-    Ended(NodeId, End),
+    Ended(NodeId, TaskEnd),
     /// It ran or may have run, and nobody can tell how it ended.
     MayHaveRun,
 }
 
 /// One line of the journal: what the next life must know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum JournalEntry {
     /// A copy is about to be offered.
     Sent {
         /// The copy.
-        copy: Copy,
+        copy: TaskCopy,
         /// Life of the node, as it told it.
         node_life: u64,
         /// What it is of.
         of: Of,
     },
     /// A copy is no more: it never ran, or was stopped before its end by its node.
-    Closed(Copy),
+    Closed(TaskCopy),
     /// The task ran, or may have.
-    Ran(TaskKey, Past),
+    #[serde(rename = "Ran")]
+    Completed(TaskKey, Completion),
     /// A copy goes by another number from now on.
-    Renamed(Copy, Copy),
+    Renamed(TaskCopy, TaskCopy),
     /// A copy runs.
-    Runs(Copy),
+    Runs(TaskCopy),
 }
 
 /// What is known of an open copy.
@@ -115,9 +119,9 @@
     /// Come again after this long: a node has not told yet.
     Later(Micros),
     /// Take over the copy that runs.
-    TakeOver(Copy),
+    TakeOver(TaskCopy),
     /// It has run to its end on this node: that is the answer.
-    Ran(NodeId, End),
+    Ran(NodeId, TaskEnd),
     /// Never: it ran, or may have.
     Never,
 }
@@ -137,9 +141,9 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Due {
     /// Copies that run and that nobody asked for again in time, to be stopped.
-    pub stop: Vec<Copy>,
+    pub stop: Vec<TaskCopy>,
     /// Copies to ask their nodes about.
-    pub recall: Vec<Copy>,
+    pub recall: Vec<TaskCopy>,
 }
 
 /// Tasks that have run are remembered in full up to the bound, and by name alone up to so many times it.
@@ -151,16 +155,16 @@
     settle: Micros,
     memory: Micros,
     most: usize,
-    open: BTreeMap<Copy, Open>,
-    tasks: BTreeMap<TaskKey, BTreeSet<Copy>>,
+    open: BTreeMap<TaskCopy, Open>,
+    tasks: BTreeMap<TaskKey, BTreeSet<TaskCopy>>,
     left: usize,
     /// Nothing is due before this.
     due_at: Micros,
-    ran: BTreeMap<TaskKey, Past>,
+    ran: BTreeMap<TaskKey, Completion>,
     by_name: BTreeSet<TaskKey>,
     ran_order: VecDeque<(Micros, TaskKey)>,
     ran_detailed: VecDeque<TaskKey>,
-    journal: Vec<Entry>,
+    journal: Vec<JournalEntry>,
 }
 
 impl Evidence {
@@ -177,26 +181,29 @@
     }
 
     /// What is to be written down, in order, since this was called last.
-    pub fn take_journal(&mut self) -> Vec<Entry> {
+    pub fn take_journal(&mut self) -> Vec<JournalEntry> {
         std::mem::take(&mut self.journal)
     }
 
     /// All that the next life must know, in as few entries as can say it.
-    pub fn snapshot(&self) -> Vec<Entry> {
-        let ran = self.ran.iter().map(|(task, past)| Entry::Ran(*task, *past));
+    pub fn snapshot(&self) -> Vec<JournalEntry> {
+        let ran = self
+            .ran
+            .iter()
+            .map(|(task, past)| JournalEntry::Completed(*task, *past));
         let by_name = self
             .by_name
             .iter()
-            .map(|task| Entry::Ran(*task, Past::MayHaveRun));
+            .map(|task| JournalEntry::Completed(*task, Completion::MayHaveRun));
         let open = self.open.iter().flat_map(|(copy, open)| {
-            let sent = Entry::Sent {
+            let sent = JournalEntry::Sent {
                 copy: *copy,
                 node_life: open.node_life,
                 of: open.of,
             };
             [
                 Some(sent),
-                (open.known == Known::Runs).then_some(Entry::Runs(*copy)),
+                (open.known == Known::Runs).then_some(JournalEntry::Runs(*copy)),
             ]
             .into_iter()
             .flatten()
@@ -205,18 +212,18 @@
     }
 
     /// Takes in what an earlier life wrote down; nobody waits for what it left open.
-    pub fn recover(&mut self, now: Micros, entries: &[Entry]) {
+    pub fn recover(&mut self, now: Micros, entries: &[JournalEntry]) {
         for entry in entries {
             match entry {
-                Entry::Sent {
+                JournalEntry::Sent {
                     copy,
                     node_life,
                     of,
                 } => self.add(*copy, *node_life, *of),
-                Entry::Closed(copy) => drop(self.close(*copy)),
-                Entry::Ran(task, past) => self.has_run(now, *task, *past),
-                Entry::Renamed(from, to) => self.rename(*from, *to),
-                Entry::Runs(copy) => {
+                JournalEntry::Closed(copy) => drop(self.close(*copy)),
+                JournalEntry::Completed(task, past) => self.has_run(now, *task, *past),
+                JournalEntry::Renamed(from, to) => self.rename(*from, *to),
+                JournalEntry::Runs(copy) => {
                     if let Some(open) = self.open.get_mut(copy) {
                         open.known = Known::Runs;
                     }
@@ -242,26 +249,26 @@
     }
 
     /// Copies that are open, and what they are of.
-    pub fn open(&self) -> impl Iterator<Item = (Copy, Of)> + '_ {
+    pub fn open(&self) -> impl Iterator<Item = (TaskCopy, Of)> + '_ {
         self.open.iter().map(|(copy, open)| (*copy, open.of))
     }
 
     /// The copy is open.
-    pub fn is_open(&self, copy: Copy) -> bool {
+    pub fn is_open(&self, copy: TaskCopy) -> bool {
         self.open.contains_key(&copy)
     }
 
     /// A copy is about to be offered to a node of that life.
-    pub fn sent(&mut self, copy: Copy, node_life: u64, of: Of) {
+    pub fn sent(&mut self, copy: TaskCopy, node_life: u64, of: Of) {
         self.add(copy, node_life, of);
-        self.journal.push(Entry::Sent {
+        self.journal.push(JournalEntry::Sent {
             copy,
             node_life,
             of,
         });
     }
 
-    fn add(&mut self, copy: Copy, node_life: u64, of: Of) {
+    fn add(&mut self, copy: TaskCopy, node_life: u64, of: Of) {
         let open = Open {
             of,
             node_life,
@@ -281,7 +288,7 @@
         self.tasks.entry(of.task).or_default().insert(copy);
     }
 
-    fn close(&mut self, copy: Copy) -> Option<Open> {
+    fn close(&mut self, copy: TaskCopy) -> Option<Open> {
         let open = self.open.remove(&copy)?;
         self.left -= usize::from(open.left.is_some());
         if let Some(copies) = self.tasks.get_mut(&open.of.task) {
@@ -294,22 +301,22 @@
     }
 
     /// It is proved that the copy never ran, or its node stopped it before its end and says so.
-    pub fn closed(&mut self, copy: Copy) {
+    pub fn closed(&mut self, copy: TaskCopy) {
         if self.close(copy).is_some() {
-            self.journal.push(Entry::Closed(copy));
+            self.journal.push(JournalEntry::Closed(copy));
         }
     }
 
     /// Its node says that the copy is accepted or runs, and its job waits for that.
-    pub fn confirmed(&mut self, copy: Copy) {
+    pub fn confirmed(&mut self, copy: TaskCopy) {
         if let Some(open) = self.open.get_mut(&copy).filter(|o| o.known != Known::Runs) {
             open.known = Known::Runs;
-            self.journal.push(Entry::Runs(copy));
+            self.journal.push(JournalEntry::Runs(copy));
         }
     }
 
     /// The copy that its job waited for runs: it is not left to itself, whatever was said of the others.
-    pub fn claimed(&mut self, copy: Copy) {
+    pub fn claimed(&mut self, copy: TaskCopy) {
         self.confirmed(copy);
         if let Some(open) = self.open.get_mut(&copy)
             && open.left.take().is_some()
@@ -320,7 +327,7 @@
     }
 
     /// The job of a copy is over while the copy is open; `wanted` unless its owner ended the job.
-    pub fn left(&mut self, now: Micros, copy: Copy, wanted: bool) {
+    pub fn left(&mut self, now: Micros, copy: TaskCopy, wanted: bool) {
         let Some(open) = self.open.get_mut(&copy) else {
             return;
         };
@@ -331,28 +338,31 @@
     }
 
     /// The copies of a task that are open.
-    pub fn copies(&self, task: TaskKey) -> impl Iterator<Item = Copy> + '_ {
+    pub fn copies(&self, task: TaskKey) -> impl Iterator<Item = TaskCopy> + '_ {
         self.tasks.get(&task).into_iter().flatten().copied()
     }
 
     /// The copy is over, as its node says, or nobody can tell.
-    pub fn over(&mut self, now: Micros, copy: Copy, past: Past) {
+    pub fn over(&mut self, now: Micros, copy: TaskCopy, past: Completion) {
         if let Some(open) = self.close(copy) {
             self.ran(now, open.of.task, past);
-            self.journal.push(Entry::Closed(copy));
+            self.journal.push(JournalEntry::Closed(copy));
         }
     }
 
     /// The task has run.
-    pub fn ran(&mut self, now: Micros, task: TaskKey, past: Past) {
+    pub fn ran(&mut self, now: Micros, task: TaskKey, past: Completion) {
         self.has_run(now, task, past);
-        self.journal.push(Entry::Ran(task, past));
+        self.journal.push(JournalEntry::Completed(task, past));
     }
 
-    fn has_run(&mut self, now: Micros, task: TaskKey, past: Past) {
+    fn has_run(&mut self, now: Micros, task: TaskKey, past: Completion) {
         let known = self.ran.get(&task).copied();
         // How it ended is told once; a later doubt about another copy does not erase it.
-        if matches!((known, past), (Some(Past::Ended(..)), Past::MayHaveRun)) {
+        if matches!(
+            (known, past),
+            (Some(Completion::Ended(..)), Completion::MayHaveRun)
+        ) {
             return;
         }
         let new = known.is_none() && !self.by_name.contains(&task);
@@ -384,7 +394,7 @@
             copies().find(|(_, o)| o.known == Known::Runs && !o.unwanted && o.left.is_some());
         if strict {
             match self.ran.get(&task) {
-                Some(Past::Ended(node, end @ End::Exited { .. })) => {
+                Some(Completion::Ended(node, end @ TaskEnd::Exited { .. })) => {
                     return Verdict::Ran(*node, *end);
                 }
                 Some(_) => return Verdict::Never,
@@ -410,14 +420,14 @@
     }
 
     /// The node says that a copy runs that nobody waits for.
-    pub fn runs(&mut self, now: Micros, copy: Copy) -> Stray {
+    pub fn runs(&mut self, now: Micros, copy: TaskCopy) -> Stray {
         let Some(open) = self.open.get_mut(&copy) else {
             return Stray::Unknown;
         };
         let news = open.known != Known::Runs;
         if news {
             open.known = Known::Runs;
-            self.journal.push(Entry::Runs(copy));
+            self.journal.push(JournalEntry::Runs(copy));
         }
         if open.unwanted {
             return Stray::Unwanted;
@@ -435,14 +445,14 @@
     }
 
     /// A copy is somebody's again, under another number.
-    pub fn renamed(&mut self, from: Copy, to: Copy) {
+    pub fn renamed(&mut self, from: TaskCopy, to: TaskCopy) {
         if self.open.contains_key(&from) {
             self.rename(from, to);
-            self.journal.push(Entry::Renamed(from, to));
+            self.journal.push(JournalEntry::Renamed(from, to));
         }
     }
 
-    fn rename(&mut self, from: Copy, to: Copy) {
+    fn rename(&mut self, from: TaskCopy, to: TaskCopy) {
         let Some(open) = self.close(from) else { return };
         self.add(to, open.node_life, open.of);
         if let Some(new) = self.open.get_mut(&to) {
@@ -459,19 +469,19 @@
         node: NodeId,
         life: u64,
         whole: bool,
-        held: &[Copy],
-    ) -> Vec<Copy> {
-        let over: Vec<(Copy, Open)> = self
+        held: &[TaskCopy],
+    ) -> Vec<TaskCopy> {
+        let over: Vec<(TaskCopy, Open)> = self
             .open
             .iter()
-            .filter(|(c, _)| c.at.node == node && !held.contains(c))
+            .filter(|(c, _)| c.attempt.node == node && !held.contains(c))
             .map(|(c, o)| (*c, *o))
             .collect();
         for (copy, open) in &over {
             if whole && open.node_life == life && open.known == Known::Out {
                 self.closed(*copy);
             } else {
-                self.over(now, *copy, Past::MayHaveRun);
+                self.over(now, *copy, Completion::MayHaveRun);
             }
         }
         over.into_iter().map(|(copy, _)| copy).collect()
@@ -479,9 +489,9 @@
 
     /// The list names a node no more, and no link to it stands. That proves nothing about its copies: they stay open
     /// until it comes back and tells, or until that is given up. Gives them.
-    pub fn gone(&mut self, now: Micros, node: NodeId) -> Vec<Copy> {
+    pub fn gone(&mut self, now: Micros, node: NodeId) -> Vec<TaskCopy> {
         let mut there = Vec::new();
-        for (copy, open) in self.open.iter_mut().filter(|(c, _)| c.at.node == node) {
+        for (copy, open) in self.open.iter_mut().filter(|(c, _)| c.attempt.node == node) {
             open.gone.get_or_insert(now);
             self.due_at = self.due_at.min(now.saturating_add(self.memory));
             there.push(*copy);
@@ -490,8 +500,8 @@
     }
 
     /// The list names a node again: its copies count. Gives them.
-    pub fn back(&mut self, node: NodeId) -> Vec<(Copy, Of)> {
-        let there = self.open.iter_mut().filter(|(c, _)| c.at.node == node);
+    pub fn back(&mut self, node: NodeId) -> Vec<(TaskCopy, Of)> {
+        let there = self.open.iter_mut().filter(|(c, _)| c.attempt.node == node);
         there
             .map(|(copy, open)| (open.gone.take(), (*copy, open.of)).1)
             .collect()
@@ -499,7 +509,7 @@
 
     /// Nodes that hold an open copy.
     pub fn nodes(&self) -> BTreeSet<NodeId> {
-        self.open.keys().map(|c| c.at.node).collect()
+        self.open.keys().map(|c| c.attempt.node).collect()
     }
 
     /// What is due: copies to stop, copies to ask about again. Tasks that ran long ago are forgotten.
@@ -522,14 +532,14 @@
         }
         let (settle, memory) = (self.settle, self.memory);
         let given_up = |o: &Open| o.gone.is_some_and(|at| at.saturating_add(memory) <= now);
-        let lost: Vec<Copy> = self
+        let lost: Vec<TaskCopy> = self
             .open
             .iter()
             .filter(|(_, o)| given_up(o))
             .map(|(c, _)| *c)
             .collect();
         for copy in lost {
-            self.over(now, copy, Past::MayHaveRun);
+            self.over(now, copy, Completion::MayHaveRun);
         }
         for (copy, open) in &mut self.open {
             let Some(left) = open.left.filter(|_| open.gone.is_none()) else {
@@ -538,7 +548,7 @@
             if open.known == Known::Runs && left <= now && !open.unwanted {
                 open.unwanted = true;
                 due.stop.push(*copy);
-            } else if copy.life == life && next_recall(settle, open) <= now {
+            } else if copy.incarnation == life && next_recall(settle, open) <= now {
                 // Its node's answer may be lost, or be late: it is asked again after growing waits.
                 open.asked = (now, open.asked.1.saturating_add(1));
                 if open.unwanted && open.known == Known::Runs {
@@ -548,7 +558,7 @@
                 }
             }
         }
-        let next = |(copy, open): (&Copy, &Open)| match open.gone {
+        let next = |(copy, open): (&TaskCopy, &Open)| match open.gone {
             Some(at) => Some(at.saturating_add(memory)),
             None => next_due(settle, copy, open, life),
         };
@@ -573,10 +583,10 @@
     }
 }
 
-fn next_due(settle: Micros, copy: &Copy, open: &Open, life: u64) -> Option<Micros> {
+fn next_due(settle: Micros, copy: &TaskCopy, open: &Open, life: u64) -> Option<Micros> {
     let left = open.left?;
     let stop = (open.known == Known::Runs && !open.unwanted && left != Micros::MAX).then_some(left);
-    let recall = (copy.life == life).then(|| next_recall(settle, open));
+    let recall = (copy.incarnation == life).then(|| next_recall(settle, open));
     [stop, recall].into_iter().flatten().min()
 }
 
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -43,14 +43,18 @@
     /// How long its owner waits for the answer.
     pub deadline_in: Micros,
     /// How long it is expected to run.
-    pub life_hint: Option<Micros>,
+    #[serde(rename = "life_hint")]
+    pub expected_duration: Option<Micros>,
     /// It was asked for before.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub is_retry: bool,
     /// Another controller was asked for it before, and may have started it.
     #[serde(default)]
-    pub elsewhere: bool,
+    #[serde(rename = "elsewhere")]
+    pub requested_elsewhere: bool,
     /// It starts on hold (`drmaa_js_state`).
-    pub held: bool,
+    #[serde(rename = "held")]
+    pub on_hold: bool,
     /// What to run.
     pub program: Program,
 }
@@ -61,16 +65,18 @@
     /// The task is placed on this node.
     Placed(NodeId),
     /// Turned away; a retry is harmless, best after this long.
-    Refused(Option<Micros>),
+    #[serde(rename = "Refused")]
+    Rejected(Option<Micros>),
     /// No promise about its effect.
     Failed,
     /// Its owner ended it before it was placed.
-    Withdrawn,
+    #[serde(rename = "Withdrawn")]
+    Cancelled,
 }
 
 /// How a placed job's task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum End {
+pub enum TaskEnd {
     /// By itself, with a status.
     Exited {
         /// Exit status.
@@ -135,11 +141,11 @@
     /// The ask that is made for it.
     pub ask: Option<RequestId>,
     /// When the last ask was made for it.
-    pub asked_at: Micros,
+    pub requested_at: Micros,
     /// The answer, once it is given.
     pub answer: Option<Answer>,
     /// How its task ended.
-    pub end: Option<End>,
+    pub end: Option<TaskEnd>,
     /// Found running after a restart; no client of this life has asked for it.
     pub unclaimed: bool,
     /// The key of an earlier life, where the job was claimed under another.
@@ -248,7 +254,7 @@
             submission,
             state,
             ask: None,
-            asked_at: 0,
+            requested_at: 0,
             answer: None,
             end: None,
             unclaimed: false,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,11 +17,11 @@
 pub mod record;
 mod retry;
 
-pub use alarms::Alarms;
-pub use engine::{Control, Core, Counters, Input, Limits, NodeNews, Output, Standing, TurnedAway};
-pub use jobs::{Answer, End, Job, JobId, JobState, Program, Submission};
+pub use alarms::Timers;
+pub use engine::{Control, Core, Counters, Input, Limits, NodeNews, Output, Rejection, Standing};
+pub use jobs::{Answer, Job, JobId, JobState, Program, Submission, TaskEnd};
 
-pub use retry::Retry;
+pub use retry::Backoff;
 
 use peppercove::{Action, Event, Micros, Scheduler};
 
--- a/crates/core/src/life.rs
+++ b/crates/core/src/life.rs
@@ -7,30 +7,30 @@
 //!    +------------------------------------ answer ---------+
 //! ```
 
-use crate::jobs::{End, JobId};
+use crate::jobs::{JobId, TaskEnd};
 use peppercove::{AttemptOutcome, Micros, NodeId, PlacementRequest, RequestId};
 use std::fmt;
 
 /// Where an ask stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum RequestState {
     /// Taken in, no attempt is out.
-    Waiting,
+    Pending,
     /// This attempt is out, not confirmed yet.
-    Offered(u16),
+    Dispatched(u16),
     /// This attempt placed it: the final answer is given.
     Placed(u16),
     /// Answered otherwise, or its task has ended.
-    Over,
+    Completed,
 }
 
 /// A step of a life that does not follow from where it stands: a fault of the program, never of its input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IllegalStep {
     /// Where it stood.
-    pub from: Life,
+    pub from: RequestState,
     /// Where it should have gone.
-    pub to: Life,
+    pub to: RequestState,
 }
 
 impl fmt::Display for IllegalStep {
@@ -45,23 +45,27 @@
 
 impl std::error::Error for IllegalStep {}
 
-impl Life {
+impl RequestState {
     /// The final answer is still owed.
     pub fn is_open(self) -> bool {
-        matches!(self, Life::Waiting | Life::Offered(_))
+        matches!(self, RequestState::Pending | RequestState::Dispatched(_))
     }
 
     /// Steps to `to`, where that follows.
     ///
     /// # Errors
     /// [`IllegalStep`] leaves the life as it was.
-    pub fn step(&mut self, to: Life) -> Result<(), IllegalStep> {
+    pub fn transition_to(&mut self, to: RequestState) -> Result<(), IllegalStep> {
         let legal = match (*self, to) {
-            (Life::Waiting, Life::Offered(_)) | (Life::Offered(_), Life::Waiting) => true,
-            (Life::Offered(out), Life::Placed(confirmed)) => out == confirmed,
+            (RequestState::Pending, RequestState::Dispatched(_))
+            | (RequestState::Dispatched(_), RequestState::Pending) => true,
+            (RequestState::Dispatched(out), RequestState::Placed(confirmed)) => out == confirmed,
             // A task found running is placed without an offer of this life.
-            (Life::Waiting, Life::Placed(0)) => true,
-            (Life::Waiting | Life::Offered(_) | Life::Placed(_), Life::Over) => true,
+            (RequestState::Pending, RequestState::Placed(0)) => true,
+            (
+                RequestState::Pending | RequestState::Dispatched(_) | RequestState::Placed(_),
+                RequestState::Completed,
+            ) => true,
             _ => false,
         };
         if !legal {
@@ -98,7 +102,7 @@
     /// Its task runs.
     Runs,
     /// Its task ran, and ended so.
-    Ended(End),
+    Ended(TaskEnd),
 }
 
 impl Attempt {
@@ -121,7 +125,7 @@
     /// When its owner gives up.
     pub deadline: Micros,
     /// Where it stands.
-    pub life: Life,
+    pub life: RequestState,
     /// Its attempts, in the order of the module's binds.
     pub attempts: Vec<Attempt>,
 }
@@ -139,7 +143,7 @@
 
     /// It can be forgotten: it is over and no attempt is out.
     pub fn is_done(&self) -> bool {
-        self.life == Life::Over && self.attempts.iter().all(|a| a.ended.is_some())
+        self.life == RequestState::Completed && self.attempts.iter().all(|a| a.ended.is_some())
     }
 }
 
@@ -150,34 +154,38 @@
     #[test]
     fn an_ask_is_answered_once_and_never_revived() {
         let all = [
-            Life::Waiting,
-            Life::Offered(0),
-            Life::Offered(1),
-            Life::Placed(0),
-            Life::Placed(1),
-            Life::Over,
+            RequestState::Pending,
+            RequestState::Dispatched(0),
+            RequestState::Dispatched(1),
+            RequestState::Placed(0),
+            RequestState::Placed(1),
+            RequestState::Completed,
         ];
         for to in all {
-            let mut over = Life::Over;
+            let mut over = RequestState::Completed;
             assert_eq!(
-                over.step(to),
+                over.transition_to(to),
                 Err(IllegalStep {
-                    from: Life::Over,
+                    from: RequestState::Completed,
                     to
                 })
             );
-            let mut placed = Life::Placed(1);
-            assert_eq!(placed.step(to).is_ok(), to == Life::Over, "{to:?}");
+            let mut placed = RequestState::Placed(1);
+            assert_eq!(
+                placed.transition_to(to).is_ok(),
+                to == RequestState::Completed,
+                "{to:?}"
+            );
         }
-        let mut offered = Life::Offered(0);
+        let mut offered = RequestState::Dispatched(0);
         assert!(
-            offered.step(Life::Placed(1)).is_err(),
+            offered.transition_to(RequestState::Placed(1)).is_err(),
             "another attempt cannot confirm"
         );
         assert!(
-            offered.step(Life::Offered(1)).is_err(),
+            offered.transition_to(RequestState::Dispatched(1)).is_err(),
             "two attempts cannot be out"
         );
-        assert!(offered.step(Life::Placed(0)).is_ok());
+        assert!(offered.transition_to(RequestState::Placed(0)).is_ok());
     }
 }
--- a/crates/core/src/nodes.rs
+++ b/crates/core/src/nodes.rs
@@ -7,7 +7,7 @@
 
 /// One line of the node list as it arrived.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NodeLine {
+pub struct ListedNode {
     /// Where the node listens.
     pub address: SocketAddrV4,
     /// The name it must answer to.
@@ -31,17 +31,17 @@
 }
 
 /// The id of a node: its address, as the bench's wire has it.
-pub fn id_of(address: SocketAddrV4) -> NodeId {
+pub fn node_id_of(address: SocketAddrV4) -> NodeId {
     NodeId((u64::from(u32::from(*address.ip())) << 16) | u64::from(address.port()))
 }
 
 /// What is known of the link to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub enum ConnectionState {
     /// Not connected since then.
-    Down(Micros),
+    Disconnected(Micros),
     /// Connected, and the node has told what it holds.
-    Up,
+    Connected,
 }
 
 /// One node.
@@ -54,7 +54,7 @@
     /// The name it must answer to.
     pub name: String,
     /// The link to it.
-    pub link: Link,
+    pub link: ConnectionState,
     /// Life that the list told, and when it began by this controller's clock.
     listed_life: (u64, Micros),
     /// Life that the node itself told last.
@@ -108,7 +108,9 @@
 
     /// The node can be sent to now.
     pub fn is_up(&self, id: NodeId) -> bool {
-        self.nodes.get(&id).is_some_and(|n| n.link == Link::Up)
+        self.nodes
+            .get(&id)
+            .is_some_and(|n| n.link == ConnectionState::Connected)
     }
 
     /// Takes in a list and gives the lines in the decision module's terms.
@@ -117,7 +119,7 @@
         now: Micros,
         scope: ListUpdateKind,
         generation: u64,
-        lines: &[NodeLine],
+        lines: &[ListedNode],
     ) -> (Vec<NodeEntry>, Changes) {
         let mut changes = Changes::default();
         // The module ignores a list older than the one held, and the links must not follow it either.
@@ -126,7 +128,7 @@
         }
         self.generation = generation;
         if scope != ListUpdateKind::Incremental {
-            let named: BTreeSet<NodeId> = lines.iter().map(|l| id_of(l.address)).collect();
+            let named: BTreeSet<NodeId> = lines.iter().map(|l| node_id_of(l.address)).collect();
             for (id, node) in self.nodes.iter_mut().filter(|(id, _)| !named.contains(id)) {
                 if node.line.state != NodeStatus::Gone {
                     node.line.state = NodeStatus::Gone;
@@ -141,8 +143,8 @@
         (told, changes)
     }
 
-    fn take_line(&mut self, now: Micros, line: &NodeLine, changes: &mut Changes) -> NodeEntry {
-        let id = id_of(line.address);
+    fn take_line(&mut self, now: Micros, line: &ListedNode, changes: &mut Changes) -> NodeEntry {
+        let id = node_id_of(line.address);
         let known = self.nodes.get(&id);
         // Ages are read against this controller's own clock once a life, so that neither another clock nor the
         // lateness of each list makes the start seem to move, which the module takes for a restart.
@@ -170,7 +172,9 @@
             (false, NodeStatus::Ready | NodeStatus::Draining) => changes.added.push(id),
             _ => {}
         }
-        let (link, own_life) = known.map_or((Link::Down(now), None), |n| (n.link, n.own_life));
+        let (link, own_life) = known.map_or((ConnectionState::Disconnected(now), None), |n| {
+            (n.link, n.own_life)
+        });
         let listed_life = (life, began);
         let node = Node {
             line: told.clone(),
@@ -202,8 +206,8 @@
 mod tests {
     use super::*;
 
-    fn line(port: u16, life: u64, age: Option<Micros>) -> NodeLine {
-        NodeLine {
+    fn line(port: u16, life: u64, age: Option<Micros>) -> ListedNode {
+        ListedNode {
             address: SocketAddrV4::new([127, 0, 0, 1].into(), port),
             name: format!("n{port}"),
             state: NodeStatus::Ready,
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -1,29 +1,31 @@
 //! A record of what a core was told, line by line, and its replay: the same inputs give the same outputs.
 
 use crate::engine::{Core, Input, Output};
-use crate::evidence::Entry;
+use crate::evidence::JournalEntry;
 use crate::{Decide, Limits};
 use peppercove::Micros;
 use serde::{Deserialize, Serialize};
 
 /// The first line of a record: what the core was made with, beside its settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct RecordingHeader {
     /// Seed of the decision module.
     pub seed: u64,
     /// Life of the controller.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// How many controllers shared the nodes, and its number among them.
     pub schedulers: (u32, u32),
     /// When it began.
     #[serde(default)]
-    pub began: Micros,
+    #[serde(rename = "began")]
+    pub started_at: Micros,
     /// What it read of earlier lives.
     #[serde(default)]
-    pub journal: Vec<Entry>,
+    pub journal: Vec<JournalEntry>,
 }
 
-impl Head {
+impl RecordingHeader {
     /// The settings of the module as they were.
     pub fn module(&self, settings: &peppercove::Settings) -> peppercove::Settings {
         let (schedulers, own_number) = self.schedulers;
@@ -37,7 +39,7 @@
 
 /// One line: when, and what.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct RecordedInput {
     /// Time by the clock of the controller.
     pub at: Micros,
     /// What it was told.
@@ -55,8 +57,8 @@
 }
 
 /// Writes one line, without its end.
-pub fn write(at: Micros, input: &Input) -> String {
-    serde_json::to_string(&Line {
+pub fn format_line(at: Micros, input: &Input) -> String {
+    serde_json::to_string(&RecordedInput {
         at,
         input: input.clone(),
     })
@@ -68,20 +70,20 @@
 /// # Errors
 /// [`RecordError`] at the first line that cannot be read; what came before it has been played.
 pub fn replay<D: Decide>(
-    head: &Head,
+    head: &RecordingHeader,
     text: &str,
     decider: D,
     limits: Limits,
-    mut each: impl FnMut(&Line, &[Output]),
+    mut each: impl FnMut(&RecordedInput, &[Output]),
 ) -> Result<Core<D>, RecordError> {
     let mut core = Core::new(decider, limits);
-    core.recover(head.began, &head.journal);
+    core.recover(head.started_at, &head.journal);
     for (i, text) in text
         .lines()
         .enumerate()
         .filter(|(_, text)| !text.is_empty())
     {
-        let line: Line = serde_json::from_str(text).map_err(|source| RecordError {
+        let line: RecordedInput = serde_json::from_str(text).map_err(|source| RecordError {
             number: i + 1,
             source,
         })?;
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -4,10 +4,10 @@
     Action, AttemptOutcome, EndReason, Event, Idempotency, ListUpdateKind, Micros, NodeId,
     NodeStatus, RequestId, Scheduler, ServiceId, Settings, TaskKey,
 };
-use peppercove_core::nodes::{NodeLine, id_of};
+use peppercove_core::nodes::{ListedNode, node_id_of};
 use peppercove_core::{
-    Answer, Control, Core, Decide, End, Input, JobId, JobState, Limits, NodeNews, Output, Program,
-    Standing, Submission, TurnedAway, record,
+    Answer, Control, Core, Decide, Input, JobId, JobState, Limits, NodeNews, Output, Program,
+    Rejection, Standing, Submission, TaskEnd, record,
 };
 use proptest::prelude::*;
 use std::cell::RefCell;
@@ -52,15 +52,15 @@
 }
 
 fn node(i: u16) -> NodeId {
-    id_of(address(i))
+    node_id_of(address(i))
 }
 
 fn address(i: u16) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), 1000 + i)
 }
 
-fn line(i: u16, state: NodeStatus) -> NodeLine {
-    NodeLine {
+fn line(i: u16, state: NodeStatus) -> ListedNode {
+    ListedNode {
         address: address(i),
         name: format!("n{i}"),
         state,
@@ -74,8 +74,8 @@
     }
 }
 
-fn list(generation: u64, lines: Vec<NodeLine>) -> Input {
-    Input::List {
+fn list(generation: u64, lines: Vec<ListedNode>) -> Input {
+    Input::NodeList {
         scope: ListUpdateKind::Full,
         generation,
         lines,
@@ -93,10 +93,10 @@
         cores: 1.0,
         memory: 2.0,
         deadline_in: 5 * SECOND,
-        life_hint: None,
-        again: false,
-        elsewhere: false,
-        held: false,
+        expected_duration: None,
+        is_retry: false,
+        requested_elsewhere: false,
+        on_hold: false,
         program: Program::default(),
     }
 }
@@ -120,7 +120,7 @@
 
 fn exited() -> NodeNews {
     NodeNews::Ended(
-        End::Exited {
+        TaskEnd::Exited {
             status: 0,
             wall: 1,
             cpu: 1,
@@ -145,7 +145,7 @@
         for i in 0..2 {
             core.handle(
                 0,
-                Input::LinkUp {
+                Input::NodeConnected {
                     node: node(i),
                     life: 1,
                     whole: true,
@@ -192,7 +192,7 @@
 
 fn answers(outputs: &[Output]) -> Vec<Answer> {
     let settled = outputs.iter().filter_map(|o| match o {
-        Output::Settled { answer, .. } => Some(*answer),
+        Output::Answered { answer, .. } => Some(*answer),
         _ => None,
     });
     settled.collect()
@@ -212,7 +212,7 @@
     // Only the first rule makes the core speak, and it counts that as a fault.
     let outputs = rig.step(6 * SECOND, Input::Tick, vec![]);
     assert_eq!(answers(&outputs), [Answer::Failed]);
-    assert_eq!(rig.core.counters().overdue, 1);
+    assert_eq!(rig.core.counters().missed_deadlines, 1);
 }
 
 #[test]
@@ -222,9 +222,9 @@
     let outputs = rig.step(0, submit(submission("a", 0)), actions);
     let offers: Vec<&Output> = outputs
         .iter()
-        .filter(|o| matches!(o, Output::Offer { .. }))
+        .filter(|o| matches!(o, Output::Dispatch { .. }))
         .collect();
-    let wanted = Output::Offer {
+    let wanted = Output::Dispatch {
         node: node(1),
         request: RequestId(0),
         attempt: 0,
@@ -246,7 +246,10 @@
     rig.step(0, submit(submission("a", 0)), actions);
     rig.told();
     let outputs = rig.step(SECOND, Input::Tick, vec![]);
-    assert!(matches!(outputs[..], [Output::Withdraw { attempt: 0, .. }]));
+    assert!(matches!(
+        outputs[..],
+        [Output::CancelAttempt { attempt: 0, .. }]
+    ));
     assert_eq!(ended(&rig.told()), [(0, AttemptOutcome::TimedOut, false)]);
     // A refusal that comes after it changes nothing.
     rig.step(
@@ -272,7 +275,7 @@
     assert_eq!(answers(&outputs).len(), 1, "{outputs:?}");
     let outputs = rig.step(6 * SECOND, Input::Tick, vec![Action::Fail(RequestId(0))]);
     assert!(answers(&outputs).is_empty());
-    assert_eq!(rig.core.counters().overdue, 0);
+    assert_eq!(rig.core.counters().missed_deadlines, 0);
 }
 
 #[test]
@@ -287,29 +290,29 @@
     assert_eq!(
         outputs
             .iter()
-            .filter(|o| matches!(o, Output::Offer { .. }))
+            .filter(|o| matches!(o, Output::Dispatch { .. }))
             .count(),
         1,
         "never two out at once"
     );
     assert_eq!(ended(&rig.told()), [(1, AttemptOutcome::NotSent, false)]);
-    assert_eq!(rig.core.counters().void_actions, 2);
+    assert_eq!(rig.core.counters().ignored_actions, 2);
 }
 
 #[test]
 fn a_node_without_a_link_is_unreachable_and_proves_that_nothing_ran() {
     let mut rig = Rig::new();
-    rig.step(0, Input::LinkDown(node(0)), vec![]);
+    rig.step(0, Input::NodeDisconnected(node(0)), vec![]);
     let actions = vec![rig.bind(0, 0, None)];
     let outputs = rig.step(1, submit(submission("a", 2)), actions);
-    assert!(!outputs.iter().any(|o| matches!(o, Output::Offer { .. })));
+    assert!(!outputs.iter().any(|o| matches!(o, Output::Dispatch { .. })));
     assert_eq!(
         ended(&rig.told()),
         [(0, AttemptOutcome::Unreachable, false)]
     );
     let outputs = rig.step(
         2,
-        Input::ListFailed,
+        Input::NodeListFailed,
         vec![Action::Reject {
             request: RequestId(0),
             retry_after: None,
@@ -317,7 +320,7 @@
     );
     assert_eq!(
         answers(&outputs),
-        [Answer::Refused(None)],
+        [Answer::Rejected(None)],
         "harmless, so the refusal stands"
     );
 }
@@ -331,21 +334,21 @@
     let actions = vec![rig.bind(1, 0, None)];
     rig.step(2, submit(submission("b", 2)), actions);
     rig.told();
-    rig.step(3, Input::LinkDown(node(0)), vec![]);
+    rig.step(3, Input::NodeDisconnected(node(0)), vec![]);
     assert_eq!(ended(&rig.told()), [(0, AttemptOutcome::Lost, false)]);
     assert_eq!(rig.core.placed_tasks(), 1);
     // The module would refuse; that cannot be promised, so it goes out as a failure.
     let outputs = rig.step(
         4,
-        Input::ListFailed,
+        Input::NodeListFailed,
         vec![Action::Reject {
             request: RequestId(1),
             retry_after: None,
         }],
     );
     assert_eq!(answers(&outputs), [Answer::Failed]);
-    assert_eq!(rig.core.counters().broken_promises, 1);
-    assert_eq!(rig.core.doubtful_tasks(), 1);
+    assert_eq!(rig.core.counters().unsafe_rejections, 1);
+    assert_eq!(rig.core.ambiguous_tasks(), 1);
     // The same task again must wait, until its node tells that it never ran.
     let again = Submission {
         key: "b2".into(),
@@ -355,8 +358,8 @@
     assert!(
         matches!(
             outputs[..],
-            [Output::TurnedAway {
-                why: TurnedAway::InDoubt(_),
+            [Output::Rejected {
+                reason: Rejection::OutcomeAmbiguous(_),
                 ..
             }]
         ),
@@ -372,7 +375,7 @@
     }];
     rig.step(
         6,
-        Input::LinkUp {
+        Input::NodeConnected {
             node: node(0),
             life: 1,
             whole: true,
@@ -406,7 +409,7 @@
         request: RequestId(1),
     };
     assert!(outputs.contains(&adopted), "{outputs:?}");
-    assert!(!outputs.iter().any(|o| matches!(o, Output::Offer { .. })));
+    assert!(!outputs.iter().any(|o| matches!(o, Output::Dispatch { .. })));
     rig.step(4 * SECOND, news(0, 1, 0, exited()), vec![]);
     let third = Submission {
         key: "b3".into(),
@@ -417,7 +420,7 @@
     assert_eq!(answers(&outputs), [Answer::Placed(node(0))]);
     assert!(
         outputs.contains(&Output::Finished(JobId(2)))
-            && !outputs.iter().any(|o| matches!(o, Output::Offer { .. }))
+            && !outputs.iter().any(|o| matches!(o, Output::Dispatch { .. }))
     );
 }
 
@@ -433,7 +436,7 @@
         ended,
         why: EndReason::Unknown,
     };
-    let up = |standing| Input::LinkUp {
+    let up = |standing| Input::NodeConnected {
         node: node(0),
         life: 1,
         whole: true,
@@ -461,7 +464,7 @@
         }
         rig.told();
         for at in 3..6 {
-            rig.step(at * SECOND, Input::LinkDown(node(0)), vec![]);
+            rig.step(at * SECOND, Input::NodeDisconnected(node(0)), vec![]);
             let outputs = rig.step(at * SECOND, up(former(life, 0, None)), vec![]);
             assert_eq!(
                 outputs,
@@ -471,7 +474,7 @@
             assert_eq!((ended(&rig.told()), rig.core.placed_tasks()), (vec![], 1));
         }
         // What its node says under the former number is said of it.
-        rig.step(6 * SECOND, Input::LinkDown(node(0)), vec![]);
+        rig.step(6 * SECOND, Input::NodeDisconnected(node(0)), vec![]);
         let outputs = if life == 77 {
             rig.step(7 * SECOND, news(0, 0, 0, exited()), vec![])
         } else {
@@ -516,12 +519,16 @@
     rig.told();
     let outputs = rig.step(1, news(1, 0, 0, NodeNews::Running), vec![]);
     assert!(answers(&outputs).is_empty() && rig.told().is_empty());
-    assert!(!outputs.iter().any(|o| matches!(o, Output::Act { .. })));
+    assert!(
+        !outputs
+            .iter()
+            .any(|o| matches!(o, Output::ControlTask { .. }))
+    );
     // An attempt that never was: the copy is stopped, nothing else.
     let outputs = rig.step(2, news(1, 40, 7, NodeNews::Running), vec![]);
     assert!(matches!(
         outputs[..],
-        [Output::Act {
+        [Output::ControlTask {
             control: Control::Terminate,
             ..
         }]
@@ -540,8 +547,8 @@
     let outputs = rig.step(2, submit(other), vec![]);
     assert!(matches!(
         outputs[..],
-        [Output::TurnedAway {
-            why: TurnedAway::TaskTaken(JobId(0)),
+        [Output::Rejected {
+            reason: Rejection::TaskInUse(JobId(0)),
             ..
         }]
     ));
@@ -558,17 +565,17 @@
         ended,
         why: EndReason::Unknown,
     };
-    let end = End::Exited {
+    let end = TaskEnd::Exited {
         status: 4,
         wall: 1,
         cpu: 1,
         memory: 0.0,
     };
-    rig.step(1, Input::LinkDown(node(0)), vec![]);
+    rig.step(1, Input::NodeDisconnected(node(0)), vec![]);
     let both = vec![standing(8, "runs", None), standing(9, "ran", Some(end))];
     let outputs = rig.step(
         2,
-        Input::LinkUp {
+        Input::NodeConnected {
             node: node(0),
             life: 1,
             whole: true,
@@ -600,16 +607,16 @@
         [Answer::Placed(node(0))],
         "it ran to its end: that is the answer"
     );
-    assert!(!outputs.iter().any(|o| matches!(o, Output::Offer { .. })));
+    assert!(!outputs.iter().any(|o| matches!(o, Output::Dispatch { .. })));
 }
 
 #[test]
 fn a_node_that_restarts_by_itself_is_cold_before_the_list_says_so() {
     let mut rig = Rig::new();
-    rig.step(1, Input::LinkDown(node(0)), vec![]);
+    rig.step(1, Input::NodeDisconnected(node(0)), vec![]);
     rig.step(
         9 * SECOND,
-        Input::LinkUp {
+        Input::NodeConnected {
             node: node(0),
             life: 2,
             whole: true,
@@ -624,7 +631,7 @@
     });
     assert_eq!(started, Some(9 * SECOND));
     // A list that still names the earlier life does not make it warm again.
-    let late = Input::List {
+    let late = Input::NodeList {
         scope: ListUpdateKind::Incremental,
         generation: 2,
         lines: vec![line(0, NodeStatus::Ready)],
@@ -665,8 +672,8 @@
     let outputs = core.handle(1, submit(submission("b", 0)));
     assert!(matches!(
         outputs[..],
-        [Output::TurnedAway {
-            why: TurnedAway::Full(SECOND),
+        [Output::Rejected {
+            reason: Rejection::LimitReached(SECOND),
             ..
         }]
     ));
@@ -690,21 +697,21 @@
     rig.step(0, submit(submission("waits", 2)), vec![]);
     let actions = vec![rig.bind(1, 0, None)];
     rig.step(0, submit(submission("offered", 2)), actions);
-    rig.step(1, Input::Stop, vec![]);
+    rig.step(1, Input::BeginShutdown, vec![]);
     let outputs = rig.step(2, submit(submission("late", 0)), vec![]);
     assert!(matches!(
         outputs[..],
-        [Output::TurnedAway {
-            why: TurnedAway::Stopping(_),
+        [Output::Rejected {
+            reason: Rejection::ShuttingDown(_),
             ..
         }]
     ));
-    let outputs = rig.step(3, Input::Abandon, vec![]);
+    let outputs = rig.step(3, Input::ShutdownTimeout, vec![]);
     assert_eq!(
         answers(&outputs),
-        [Answer::Refused(Some(SECOND)), Answer::Failed]
+        [Answer::Rejected(Some(SECOND)), Answer::Failed]
     );
-    assert_eq!(rig.core.open_asks(), 0);
+    assert_eq!(rig.core.open_requests(), 0);
 }
 
 #[test]
@@ -718,7 +725,7 @@
     rig.step(
         0,
         submit(Submission {
-            held: true,
+            on_hold: true,
             ..submission("a", 0)
         }),
         vec![],
@@ -727,8 +734,8 @@
     let outputs = rig.step(1, control(Control::Hold), vec![]);
     assert!(matches!(
         outputs[..],
-        [Output::TurnedAway {
-            why: TurnedAway::WrongState(JobState::OnHold),
+        [Output::Rejected {
+            reason: Rejection::InvalidState(JobState::OnHold),
             ..
         }]
     ));
@@ -741,9 +748,9 @@
     rig.step(10 * SECOND, control(Control::Hold), vec![]);
     assert!(matches!(rig.told()[..], [Event::RequestCancelled(_)]));
     let outputs = rig.step(20 * SECOND, control(Control::Terminate), vec![]);
-    assert_eq!(answers(&outputs), [Answer::Withdrawn]);
+    assert_eq!(answers(&outputs), [Answer::Cancelled]);
     assert_eq!(
-        rig.core.counters().overdue,
+        rig.core.counters().missed_deadlines,
         0,
         "the deadline stood still on hold"
     );
@@ -785,7 +792,7 @@
     inputs.extend((0..4).map(|i| {
         (
             1,
-            Input::LinkUp {
+            Input::NodeConnected {
                 node: node(i),
                 life: 1,
                 whole: true,
@@ -806,7 +813,7 @@
                 let tries = format!("{key}{}", if again { i } else { 0 });
                 submit(Submission {
                     key: tries,
-                    again,
+                    is_retry: again,
                     ..submission(&key, class)
                 })
             }
@@ -818,14 +825,14 @@
                     4 => NodeNews::Refused(EndReason::QueueFull),
                     5 => NodeNews::Error,
                     6 => exited(),
-                    _ => NodeNews::Ended(End::GivenUp, EndReason::Evicted),
+                    _ => NodeNews::Ended(TaskEnd::GivenUp, EndReason::Evicted),
                 };
                 news(n, request.into(), 0, what)
             }
-            Step::Down(n) => Input::LinkDown(node(n)),
+            Step::Down(n) => Input::NodeDisconnected(node(n)),
             Step::Up(n, new) => {
                 lives[usize::from(n)] += u64::from(new);
-                Input::LinkUp {
+                Input::NodeConnected {
                     node: node(n),
                     life: lives[usize::from(n)],
                     whole: true,
@@ -844,7 +851,7 @@
                     lines.filter(|l| l.state != NodeStatus::Gone).collect(),
                 )
             }
-            Step::Failed => Input::ListFailed,
+            Step::Failed => Input::NodeListFailed,
             Step::Terminate(job) => Input::Control {
                 ticket: 0,
                 job: JobId(job.into()),
@@ -903,15 +910,15 @@
                 out.remove(request);
             }
             // A second link stands for the first, which is down with it.
-            if let Input::LinkDown(_) | Input::LinkUp { .. } = &input {
+            if let Input::NodeDisconnected(_) | Input::NodeConnected { .. } = &input {
                 out.clear();
             }
             for output in core.handle(now, input.clone()) {
                 match output {
                     Output::Accepted { job, .. } => { taken.insert(job, ()); }
-                    Output::Settled { job, answer } => settled.entry(job).or_default().push(answer),
-                    Output::Withdraw { request, .. } => { out.remove(&request); }
-                    Output::Offer { request, attempt, .. } => {
+                    Output::Answered { job, answer } => settled.entry(job).or_default().push(answer),
+                    Output::CancelAttempt { request, .. } => { out.remove(&request); }
+                    Output::Dispatch { request, attempt, .. } => {
                         prop_assert!(!out.contains_key(&request), "two attempts of {request:?} out");
                         out.insert(request, attempt);
                     }
@@ -924,8 +931,8 @@
             prop_assert_eq!(answers, 1, "job {:?}", job);
         }
         let c = core.counters();
-        prop_assert_eq!((c.overdue, c.illegal_steps, c.broken_promises), (0, 0, 0));
-        prop_assert_eq!(core.open_asks(), 0);
+        prop_assert_eq!((c.missed_deadlines, c.invalid_transitions, c.unsafe_rejections), (0, 0, 0));
+        prop_assert_eq!(core.open_requests(), 0);
     }
 
     #[test]
@@ -934,12 +941,12 @@
         let mut core = Core::new(Scheduler::new(settings.clone(), 7), limits.clone());
         let (mut text, mut first) = (String::new(), Vec::new());
         for (now, input) in inputs(&steps) {
-            text += &record::write(now, &input);
+            text += &record::format_line(now, &input);
             text.push('\n');
             first.push(core.handle(now, input));
         }
         let mut second = Vec::new();
-        let again = record::replay(&record::Head::default(), &text, Scheduler::new(settings, 7), limits, |_, outputs| second.push(outputs.to_vec()));
+        let again = record::replay(&record::RecordingHeader::default(), &text, Scheduler::new(settings, 7), limits, |_, outputs| second.push(outputs.to_vec()));
         prop_assert!(again.is_ok());
         prop_assert_eq!(first, second);
     }
@@ -956,18 +963,18 @@
                 && let Some(task) = asks.get(&(*request, *node))
             {
                 match news {
-                    NodeNews::Refused(_) | NodeNews::Ended(End::GivenUp, _) => may_run.insert(*task, false),
+                    NodeNews::Refused(_) | NodeNews::Ended(TaskEnd::GivenUp, _) => may_run.insert(*task, false),
                     _ => None,
                 };
             }
             // A node that comes back without the task proves that it never ran, or lost it with its life.
-            if let Input::LinkUp { node, .. } = &input {
+            if let Input::NodeConnected { node, .. } = &input {
                 for ((_, n), task) in &asks {
                     if n == node { may_run.insert(*task, false); }
                 }
             }
             for output in core.handle(now, input.clone()) {
-                if let Output::Offer { node, request, job, .. } = output {
+                if let Output::Dispatch { node, request, job, .. } = output {
                     let Some(j) = core.jobs().get(job) else { continue };
                     if settings.classes.get(usize::from(j.submission.class)).is_some_and(|c| c.idempotency == Idempotency::NonIdempotent) {
                         let task = j.submission.task;
@@ -985,16 +992,16 @@
 fn a_task_that_another_controller_may_have_started_is_denied() {
     let mut rig = Rig::new();
     let moved = |class| Submission {
-        again: true,
-        elsewhere: true,
+        is_retry: true,
+        requested_elsewhere: true,
         ..submission("m", class)
     };
     let outputs = rig.step(1, submit(moved(2)), vec![]);
     assert!(
         matches!(
             outputs[..],
-            [Output::TurnedAway {
-                why: TurnedAway::AskedElsewhere,
+            [Output::Rejected {
+                reason: Rejection::RequestedElsewhere,
                 ..
             }]
         ),
@@ -1010,7 +1017,7 @@
 #[test]
 fn a_task_of_an_earlier_life_is_announced_to_nobody_and_claimed_by_the_next_ask() {
     let mut rig = Rig::new();
-    rig.step(1, Input::LinkDown(node(0)), vec![]);
+    rig.step(1, Input::NodeDisconnected(node(0)), vec![]);
     let standing = Standing {
         life: 5,
         request: RequestId(8),
@@ -1019,7 +1026,7 @@
         ended: None,
         why: EndReason::Unknown,
     };
-    let up = Input::LinkUp {
+    let up = Input::NodeConnected {
         node: node(0),
         life: 1,
         whole: true,
@@ -1029,7 +1036,7 @@
     assert_eq!(answers(&outputs), [], "nobody of this life has asked");
     let again = Submission {
         key: "new".into(),
-        again: true,
+        is_retry: true,
         ..submission("old", 2)
     };
     let outputs = rig.step(3, submit(again.clone()), vec![]);
@@ -1047,8 +1054,8 @@
     let outputs = rig.step(4, submit(third), vec![]);
     assert!(matches!(
         outputs[..],
-        [Output::TurnedAway {
-            why: TurnedAway::TaskTaken(_),
+        [Output::Rejected {
+            reason: Rejection::TaskInUse(_),
             ..
         }]
     ));
@@ -1073,10 +1080,10 @@
     );
     assert_eq!(answers(&outputs), [Answer::Placed(node(0))]);
     assert!(
-        !outputs.iter().any(|o| matches!(o, Output::Offer { .. })),
+        !outputs.iter().any(|o| matches!(o, Output::Dispatch { .. })),
         "{outputs:?}"
     );
-    assert_eq!(rig.core.open_asks(), 0);
+    assert_eq!(rig.core.open_requests(), 0);
 }
 
 #[test]
@@ -1087,7 +1094,7 @@
     let place = |f: fn(&Output) -> bool| outputs.iter().position(f).unwrap();
     let (written, offered) = (
         place(|o| matches!(o, Output::Journal(_))),
-        place(|o| matches!(o, Output::Offer { .. })),
+        place(|o| matches!(o, Output::Dispatch { .. })),
     );
     assert!(written < offered, "{outputs:?}");
     // The next life reads it, and holds the task until the node has told.
@@ -1104,14 +1111,14 @@
     next.recover(SECOND, entries);
     let again = Submission {
         key: "u2".into(),
-        again: true,
+        is_retry: true,
         ..submission("u", 2)
     };
     let outputs = next.handle(SECOND, submit(again));
     assert!(outputs.iter().any(|o| matches!(
         o,
-        Output::TurnedAway {
-            why: TurnedAway::InDoubt(_),
+        Output::Rejected {
+            reason: Rejection::OutcomeAmbiguous(_),
             ..
         }
     )));
@@ -1130,13 +1137,13 @@
     core.handle(0, list(1, vec![line(0, NodeStatus::Ready)]));
     let again = |key: &str| {
         submit(Submission {
-            again: true,
+            is_retry: true,
             ..submission(key, 2)
         })
     };
     let why = |outputs: Vec<Output>| {
         outputs.into_iter().find_map(|o| {
-            if let Output::TurnedAway { why, .. } = o {
+            if let Output::Rejected { reason: why, .. } = o {
                 Some(why)
             } else {
                 None
@@ -1146,13 +1153,13 @@
     assert!(
         matches!(
             why(core.handle(1, again("old"))),
-            Some(TurnedAway::InDoubt(_))
+            Some(Rejection::OutcomeAmbiguous(_))
         ),
         "a node may tell"
     );
     core.handle(
         2,
-        Input::LinkUp {
+        Input::NodeConnected {
             node: node(0),
             life: 1,
             whole: true,
@@ -1161,6 +1168,6 @@
     );
     assert_eq!(
         why(core.handle(3, again("old"))),
-        Some(TurnedAway::NotKnown)
+        Some(Rejection::OutcomeUnknown)
     );
 }
