--- a/crates/core/tests/evidence.rs
+++ b/crates/core/tests/evidence.rs
@@ -1,27 +1,29 @@
 //! What is known of copies: by hand, and by property against nodes whose truth the test knows.
 
 use peppercove::{Micros, NodeId, RequestId, ServiceId, TaskKey};
-use peppercove_core::End;
-use peppercove_core::evidence::{Copy, Due, Entry, Evidence, Of, Past, Stray, Trace, Verdict};
+use peppercove_core::TaskEnd;
+use peppercove_core::evidence::{
+    AttemptId, Completion, Due, Evidence, JournalEntry, Of, Stray, TaskCopy, Verdict,
+};
 use proptest::prelude::*;
 
 const SECOND: Micros = 1_000_000;
 const TASK: TaskKey = TaskKey(5);
 const NODE: NodeId = NodeId(1);
-const EXITED: End = End::Exited {
+const EXITED: TaskEnd = TaskEnd::Exited {
     status: 0,
     wall: 1,
     cpu: 1,
     memory: 0.0,
 };
 
-fn copy(life: u64, node: u64, request: u64) -> Copy {
-    Copy {
-        life,
-        at: Trace {
+fn copy(life: u64, node: u64, request: u64) -> TaskCopy {
+    TaskCopy {
+        incarnation: life,
+        attempt: AttemptId {
             node: NodeId(node),
             request: RequestId(request),
-            attempt: 0,
+            number: 0,
         },
     }
 }
@@ -42,7 +44,7 @@
 }
 
 /// One copy, sent in life 1 of the controller to node 1 in its life 7, whose job is over.
-fn doubtful() -> (Evidence, Copy) {
+fn doubtful() -> (Evidence, TaskCopy) {
     let mut evidence = empty();
     let sent = copy(1, 1, 2);
     evidence.sent(sent, 7, of(5));
@@ -129,7 +131,7 @@
         Verdict::Later(3 * SECOND),
         "being stopped is not stopped"
     );
-    evidence.over(6 * SECOND, sent, Past::MayHaveRun);
+    evidence.over(6 * SECOND, sent, Completion::MayHaveRun);
     assert_eq!(evidence.ask(TASK, true), Verdict::Never);
 }
 
@@ -160,7 +162,11 @@
     let mut evidence = empty();
     for task in 0..6 {
         evidence.sent(copy(1, 1, task), 7, of(task));
-        evidence.over(SECOND * task, copy(1, 1, task), Past::Ended(NODE, EXITED));
+        evidence.over(
+            SECOND * task,
+            copy(1, 1, task),
+            Completion::Ended(NODE, EXITED),
+        );
     }
     assert_eq!(evidence.ask(TaskKey(5), true), Verdict::Ran(NODE, EXITED));
     assert_eq!(
@@ -169,7 +175,7 @@
         "older ones are known by name"
     );
     // A later doubt does not erase what was told.
-    evidence.ran(7 * SECOND, TaskKey(5), Past::MayHaveRun);
+    evidence.ran(7 * SECOND, TaskKey(5), Completion::MayHaveRun);
     assert_eq!(evidence.ask(TaskKey(5), true), Verdict::Ran(NODE, EXITED));
     evidence.due(60 * SECOND, 1);
     assert_eq!(
@@ -212,7 +218,7 @@
 fn the_next_life_knows_what_was_written_down() {
     let (mut evidence, sent) = doubtful();
     evidence.sent(copy(1, 2, 3), 7, of(6));
-    evidence.over(0, copy(1, 2, 3), Past::Ended(NodeId(2), EXITED));
+    evidence.over(0, copy(1, 2, 3), Completion::Ended(NodeId(2), EXITED));
     evidence.sent(copy(1, 2, 4), 7, of(8));
     evidence.closed(copy(1, 2, 4));
     for entries in [evidence.take_journal(), evidence.snapshot()] {
@@ -273,17 +279,17 @@
     /// Whenever a task is free, no copy of it has run or can still run; and no copy is sent beside another.
     #[test]
     fn free_means_that_nothing_ran_or_can_run(steps in steps()) {
-        let (mut evidence, mut disk) = (empty(), Vec::<Entry>::new());
+        let (mut evidence, mut disk) = (empty(), Vec::<JournalEntry>::new());
         let (mut life, mut now) = (1, 0);
         // Copies with their task and truth, and the life of the node that each was sent to.
-        let mut copies: Vec<(Copy, u64, Truth)> = Vec::new();
+        let mut copies: Vec<(TaskCopy, u64, Truth)> = Vec::new();
         let (mut lives, mut linked) = ([1u64; 2], [true; 2]);
         for step in steps {
             match step {
                 Step::Ask(task) => {
                     let node = (copies.len() % 2) as u64;
                     if evidence.ask(TaskKey(task), true) == Verdict::Free && linked[node as usize] {
-                        let bad = |(_, t, truth): &&(Copy, u64, Truth)| *t == task && *truth != Truth::Nothing;
+                        let bad = |(_, t, truth): &&(TaskCopy, u64, Truth)| *t == task && *truth != Truth::Nothing;
                         prop_assert!(!copies.iter().any(|c| bad(&c)), "task {} is free: {:?}", task, copies);
                         let new = copy(life, node, copies.len() as u64);
                         evidence.sent(new, lives[node as usize], of(task));
@@ -302,11 +308,11 @@
                     }
                 }
                 Step::Told(i) => match copies.get_mut(i) {
-                    Some((c, _, truth)) if linked[c.at.node.0 as usize] && c.life == life => match truth {
+                    Some((c, _, truth)) if linked[c.attempt.node.0 as usize] && c.incarnation == life => match truth {
                         Truth::Runs => { evidence.runs(now, *c); }
                         Truth::Ended { told } => {
                             *told = true;
-                            evidence.over(now, *c, Past::Ended(c.at.node, EXITED));
+                            evidence.over(now, *c, Completion::Ended(c.attempt.node, EXITED));
                         }
                         // It is refused for ever: its node says so and keeps to it.
                         Truth::UnderWay => {
@@ -321,7 +327,7 @@
                 Step::Greets(node) => {
                     linked[node as usize] = true;
                     let mut held = Vec::new();
-                    for (c, _, truth) in copies.iter_mut().filter(|(c, ..)| c.at.node.0 == node) {
+                    for (c, _, truth) in copies.iter_mut().filter(|(c, ..)| c.attempt.node.0 == node) {
                         match truth {
                             // The fence: what is under way on an older link is not acted on.
                             Truth::UnderWay => *truth = Truth::Nothing,
@@ -331,7 +337,7 @@
                             }
                             Truth::Ended { told } => {
                                 *told = true;
-                                evidence.over(now, *c, Past::Ended(c.at.node, EXITED));
+                                evidence.over(now, *c, Completion::Ended(c.attempt.node, EXITED));
                             }
                             Truth::Nothing => {}
                         }
@@ -343,7 +349,7 @@
                     linked[node as usize] = false;
                     // Its process is gone: what ran there may have had its effect, and its record is lost. What is
                     // under way may still arrive at the new one.
-                    for (_, _, truth) in copies.iter_mut().filter(|(c, ..)| c.at.node.0 == node) {
+                    for (_, _, truth) in copies.iter_mut().filter(|(c, ..)| c.attempt.node.0 == node) {
                         if *truth == Truth::Runs {
                             *truth = Truth::Ended { told: false };
                         }
--- a/crates/day/src/cluster.rs
+++ b/crates/day/src/cluster.rs
@@ -94,12 +94,12 @@
         }
         config.listen.node_list = list.address().into();
         let controller = Controller::start(config).await?;
-        while controller.status().nodes_up < nodes {
+        while controller.status().connected_nodes < nodes {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let _ = ready.send(Ok(controller.address()));
         let _ = stopped.await;
-        controller.stop().await;
+        controller.shut_down().await;
         Ok(())
     })
 }
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -269,7 +269,7 @@
     /// Waits until every controller has a link to every node.
     async fn ready(&self) {
         let all = |s: &Rc<Seat>| match s.running.borrow().as_ref() {
-            Some(Running::Here(c)) => c.status().nodes_up == self.nodes.len(),
+            Some(Running::Here(c)) => c.status().connected_nodes == self.nodes.len(),
             Some(Running::Apart(_)) => self.book.greeted() >= self.nodes.len() * self.seats.len(),
             None => false,
         };
--- a/crates/day/tests/days.rs
+++ b/crates/day/tests/days.rs
@@ -34,7 +34,7 @@
         );
         let c = report.counters;
         assert_eq!(
-            (c.illegal_steps, c.broken_promises),
+            (c.invalid_transitions, c.unsafe_rejections),
             (0, 0),
             "{}",
             report.day
@@ -42,9 +42,9 @@
     }
     // A day that shows nothing of its fault would prove nothing.
     let of = |name: &str| reports.iter().find(|r| r.day == name).unwrap();
-    assert!(of("cut").counters.adopted + of("cut").counters.strays + of("cut").again > 0);
+    assert!(of("cut").counters.adopted + of("cut").counters.orphans_stopped + of("cut").again > 0);
     assert!(of("controller-killed").verdict.excused > 0 || of("controller-killed").again > 0);
-    assert!(of("liars").counters.out_of_place > 0);
+    assert!(of("liars").counters.unexpected_messages > 0);
     assert!(of("update-in-doubt").counters.adopted > 0);
     assert!(of("never-confirms").verdict.unsafe_starts > 0);
 }
@@ -105,13 +105,13 @@
     for i in 0..script.controllers {
         let text = std::fs::read_to_string(folder.join(format!("controller-{i}.jsonl"))).unwrap();
         let (first, rest) = text.split_once('\n').unwrap();
-        let head: record::Head = serde_json::from_str(first).unwrap();
-        let limits = peppercove_controller::limits(&script.config, head.life);
+        let head: record::RecordingHeader = serde_json::from_str(first).unwrap();
+        let limits = peppercove_controller::core_limits(&script.config, head.incarnation);
         let scheduler =
             || peppercove::Scheduler::new(head.module(&script.config.module), head.seed);
         let mut outputs = [Vec::new(), Vec::new()];
         for outputs in &mut outputs {
-            let each = |_: &record::Line, o: &[_]| outputs.extend_from_slice(o);
+            let each = |_: &record::RecordedInput, o: &[_]| outputs.extend_from_slice(o);
             let core = record::replay(&head, rest, scheduler(), limits.clone(), each).unwrap();
             replayed = if outputs.is_empty() {
                 replayed
--- a/crates/exchange/src/greeting.rs
+++ b/crates/exchange/src/greeting.rs
@@ -1,6 +1,6 @@
 //! The greeting of a node: what it says of itself, and then all that it holds of this controller.
 
-use crate::nodes::{Heard, heard, past, request_of, submission_of};
+use crate::nodes::{DecodedMessage, decode_message, past, request_id_of, submission_of};
 use peppercove::{EndReason, NodeId};
 use peppercove_config::Config;
 use peppercove_core::{Input, Standing};
@@ -8,7 +8,7 @@
 
 /// Why a node's greeting was not accepted.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum GreetError {
+pub enum HandshakeError {
     /// The list names another node at its address.
     #[error("the node answers to the name {0}")]
     WrongName(String),
@@ -25,16 +25,16 @@
 
 /// What a message of the greeting leads to.
 #[derive(Debug, PartialEq)]
-pub enum Step {
+pub enum HandshakeProgress {
     /// More is to come; this is to be taken in meanwhile.
-    More(Option<Heard>),
+    Pending(Option<DecodedMessage>),
     /// The node has told all that it holds; what it told last is to be taken in before.
-    Up(Option<Heard>, Input),
+    Complete(Option<DecodedMessage>, Input),
 }
 
 /// A greeting under way on one link.
 #[derive(Debug)]
-pub struct Greeting {
+pub struct Handshake {
     node: NodeId,
     name: String,
     most: usize,
@@ -44,10 +44,10 @@
     standing: Vec<Standing>,
 }
 
-impl Greeting {
+impl Handshake {
     /// A greeting with the node that the list calls `name`; it may hold `most` tasks of this controller.
-    pub fn new(node: NodeId, name: &str, most: usize) -> Greeting {
-        Greeting {
+    pub fn new(node: NodeId, name: &str, most: usize) -> Handshake {
+        Handshake {
             node,
             name: name.into(),
             most,
@@ -73,8 +73,8 @@
     /// Takes one message of the node in.
     ///
     /// # Errors
-    /// [`GreetError`]: the link is of no use.
-    pub fn hear(&mut self, message: FromNode) -> Result<Step, GreetError> {
+    /// [`HandshakeError`]: the link is of no use.
+    pub fn on_message(&mut self, message: FromNode) -> Result<HandshakeProgress, HandshakeError> {
         let mut meanwhile = None;
         match (self.life, message) {
             (
@@ -87,17 +87,17 @@
                 },
             ) => {
                 if version != peppercove_protocol::VERSION {
-                    return Err(GreetError::WrongVersion(version));
+                    return Err(HandshakeError::WrongVersion(version));
                 }
                 if node.name != self.name {
-                    return Err(GreetError::WrongName(node.name));
+                    return Err(HandshakeError::WrongName(node.name));
                 }
                 if standing as usize > self.most {
-                    return Err(GreetError::TooMuch(standing));
+                    return Err(HandshakeError::TooMuch(standing));
                 }
                 (self.life, self.left, self.whole) = (Some(node.life), standing, whole);
             }
-            (None, _) => return Err(GreetError::NotGreeted),
+            (None, _) => return Err(HandshakeError::NotGreeted),
             (
                 Some(_),
                 FromNode::Standing {
@@ -107,7 +107,7 @@
                     ended,
                 },
             ) => {
-                let (request, submission) = (request_of(attempt), submission_of(work));
+                let (request, submission) = (request_id_of(attempt), submission_of(work));
                 let (ended, why) = ended.map_or((None, EndReason::Unknown), past);
                 let attempt = attempt.number;
                 self.standing.push(Standing {
@@ -122,22 +122,22 @@
             }
             // An end that was not acknowledged counts among what follows.
             (Some(_), other) => {
-                meanwhile = Some(heard(self.node, other));
+                meanwhile = Some(decode_message(self.node, other));
                 self.left = self.left.saturating_sub(1);
             }
         }
         match self.life {
             Some(life) if self.left == 0 => {
                 let standing = std::mem::take(&mut self.standing);
-                let up = Input::LinkUp {
+                let up = Input::NodeConnected {
                     node: self.node,
                     life,
                     whole: self.whole,
                     standing,
                 };
-                Ok(Step::Up(meanwhile, up))
+                Ok(HandshakeProgress::Complete(meanwhile, up))
             }
-            _ => Ok(Step::More(meanwhile)),
+            _ => Ok(HandshakeProgress::Pending(meanwhile)),
         }
     }
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -9,7 +9,10 @@
 mod listing;
 mod nodes;
 
-pub use greeting::{GreetError, Greeting, Step};
-pub use listing::list_input;
-pub use nodes::{Heard, frame, heard, limits, request_of, submission_of, work_of};
-pub use peppercove_core::Retry;
+pub use greeting::{Handshake, HandshakeError, HandshakeProgress};
+pub use listing::node_list_input;
+pub use nodes::{
+    DecodedMessage, core_limits, decode_message, encode_output, request_id_of, submission_of,
+    work_of,
+};
+pub use peppercove_core::Backoff;
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -2,11 +2,11 @@
 
 use peppercove::{ListUpdateKind, NodeStatus};
 use peppercove_core::Input;
-use peppercove_core::nodes::NodeLine;
+use peppercove_core::nodes::ListedNode;
 use peppercove_protocol::list::{FromList, Line, NodeState, Scope};
 
 /// The input that a message of the list is; `None` where it holds no news.
-pub fn list_input(news: FromList) -> Option<Input> {
+pub fn node_list_input(news: FromList) -> Option<Input> {
     let FromList::News {
         generation,
         scope,
@@ -19,16 +19,16 @@
         Scope::Delta => ListUpdateKind::Incremental,
         Scope::Full => ListUpdateKind::Full,
     };
-    Some(Input::List {
+    Some(Input::NodeList {
         scope,
         generation,
         lines: lines.into_iter().map(line).collect(),
     })
 }
 
-fn line(line: Line) -> NodeLine {
+fn line(line: Line) -> ListedNode {
     let finite = |x: Option<f64>| x.filter(|x| x.is_finite());
-    NodeLine {
+    ListedNode {
         address: line.address,
         name: line.name,
         state: match line.state {
--- a/crates/exchange/src/nodes.rs
+++ b/crates/exchange/src/nodes.rs
@@ -2,14 +2,14 @@
 
 use peppercove::{EndReason, LoadReport, NodeId, RequestId, TaskUpdate};
 use peppercove_config::Config;
-use peppercove_core::{Control, End, Input, Job, Limits, NodeNews, Output, Submission};
+use peppercove_core::{Control, Input, Job, Limits, NodeNews, Output, Submission, TaskEnd};
 use peppercove_protocol::node::{
     self, AttemptId, FromNode, Program, Reason, Report, TaskNote, ToNode, Work,
 };
 use std::time::Duration;
 
 /// What bounds a core, by the settings.
-pub fn limits(config: &Config, life: u64) -> Limits {
+pub fn core_limits(config: &Config, life: u64) -> Limits {
     let micros = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(u64::MAX);
     Limits {
         life,
@@ -74,10 +74,10 @@
         cores: work.cores,
         memory: work.memory,
         deadline_in: 0,
-        life_hint: None,
-        again: true,
-        elsewhere: false,
-        held: false,
+        expected_duration: None,
+        is_retry: true,
+        requested_elsewhere: false,
+        on_hold: false,
         program: peppercove_core::Program {
             command: work.program.command,
             args: work.program.args,
@@ -88,13 +88,13 @@
 }
 
 /// The ask that an attempt belongs to.
-pub fn request_of(attempt: AttemptId) -> RequestId {
+pub fn request_id_of(attempt: AttemptId) -> RequestId {
     RequestId(attempt.request)
 }
 
 /// The frame that an output is, and the node that it is for; `None` where it is for somebody else. `job` finds the job
 /// of an offer.
-pub fn frame<'a>(
+pub fn encode_output<'a>(
     config: &Config,
     nonce: u64,
     output: &Output,
@@ -105,7 +105,7 @@
         number,
     };
     Some(match *output {
-        Output::Offer {
+        Output::Dispatch {
             node,
             request,
             attempt,
@@ -122,7 +122,7 @@
                 },
             )
         }
-        Output::Withdraw {
+        Output::CancelAttempt {
             node,
             request,
             attempt,
@@ -132,7 +132,7 @@
                 attempt: id(request, attempt),
             },
         ),
-        Output::Act {
+        Output::ControlTask {
             node,
             request,
             attempt,
@@ -165,7 +165,7 @@
                 named: id(request, 0),
             },
         ),
-        Output::StopStanding {
+        Output::DiscardOrphan {
             node,
             life,
             was,
@@ -184,7 +184,7 @@
 
 /// What a message of a node comes to.
 #[derive(Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct DecodedMessage {
     /// To be taken in.
     pub input: Option<Input>,
     /// To be answered once that is done.
@@ -192,7 +192,7 @@
 }
 
 /// Reads a message of a node that has greeted.
-pub fn heard(node: NodeId, message: FromNode) -> Heard {
+pub fn decode_message(node: NodeId, message: FromNode) -> DecodedMessage {
     let mut reply = None;
     let (attempt, news, load) = match message {
         FromNode::Accepted { attempt, load } => (attempt, NodeNews::Accepted, load),
@@ -214,12 +214,12 @@
                 answered: true,
                 load: load.map(loaded),
             });
-            return Heard { input, reply };
+            return DecodedMessage { input, reply };
         }
         // Out of turn: a node tells what it holds when it is greeted.
-        FromNode::Welcome { .. } | FromNode::Standing { .. } => return Heard::default(),
+        FromNode::Welcome { .. } | FromNode::Standing { .. } => return DecodedMessage::default(),
     };
-    let (request, attempt) = (request_of(attempt), attempt.number);
+    let (request, attempt) = (request_id_of(attempt), attempt.number);
     let input = Some(Input::News {
         node,
         request,
@@ -227,7 +227,7 @@
         news,
         load: load.map(loaded),
     });
-    Heard { input, reply }
+    DecodedMessage { input, reply }
 }
 
 fn loaded(report: Report) -> LoadReport {
@@ -256,7 +256,7 @@
 fn ended(end: node::End) -> NodeNews {
     match end {
         node::End::Exited { status, usage: u } => NodeNews::Ended(
-            End::Exited {
+            TaskEnd::Exited {
                 status,
                 wall: u.wall,
                 cpu: u.cpu,
@@ -265,7 +265,7 @@
             EndReason::Unknown,
         ),
         node::End::Signalled { signal, usage: u } => NodeNews::Ended(
-            End::Signalled {
+            TaskEnd::Signalled {
                 signal,
                 wall: u.wall,
                 cpu: u.cpu,
@@ -274,14 +274,14 @@
             EndReason::Unknown,
         ),
         node::End::Error => NodeNews::Error,
-        node::End::GivenUp(reason) => NodeNews::Ended(End::GivenUp, why(reason)),
+        node::End::GivenUp(reason) => NodeNews::Ended(TaskEnd::GivenUp, why(reason)),
     }
 }
 
-pub(crate) fn past(end: node::End) -> (Option<End>, EndReason) {
+pub(crate) fn past(end: node::End) -> (Option<TaskEnd>, EndReason) {
     match ended(end) {
         NodeNews::Ended(end, why) => (Some(end), why),
-        _ => (Some(End::Lost), EndReason::Unknown),
+        _ => (Some(TaskEnd::Lost), EndReason::Unknown),
     }
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -10,6 +10,6 @@
 mod slots;
 mod view;
 
-pub use places::LEAST_EACH;
-pub use slots::{COLD_SLOTS, cold_share, owner};
-pub use view::{Decider, SIZE, View};
+pub use places::MIN_NODES_PER_ZONE_AND_KIND;
+pub use slots::{COLD_START_SLOTS, cold_start_share, slot_owner};
+pub use view::{NodeSubset, SubsetScheduler, TARGET_SUBSET_SIZE};
--- a/crates/fleet/src/places.rs
+++ b/crates/fleet/src/places.rs
@@ -1,12 +1,12 @@
 //! The machines that the list names, counted by zone and kind, and how many slots put one into a view there.
 
-use crate::slots::COLD_SLOTS;
+use crate::slots::COLD_START_SLOTS;
 use peppercove::{NodeEntry, NodeStatus};
 use std::collections::BTreeMap;
 
 /// Machines of each kind in each zone that a view has in the mean, where there are so many: a keyed task whose group is its
 /// zone finds another one, and with a zone's loss no view loses a kind.
-pub const LEAST_EACH: u64 = 16;
+pub const MIN_NODES_PER_ZONE_AND_KIND: u64 = 16;
 
 /// Zone and kind.
 pub(crate) type Place = (u8, u8);
@@ -21,7 +21,7 @@
 /// Slots that put a machine into this share of the views; two slots may have one owner.
 fn slots_for(share: f64, schedulers: u32) -> u32 {
     let missed = (1.0 - 1.0 / f64::from(schedulers.max(1))).ln();
-    let least = f64::from(COLD_SLOTS);
+    let least = f64::from(COLD_START_SLOTS);
     let slots = if share < NEARLY_ALL {
         ((1.0 - share).ln() / missed).ceil().max(least)
     } else {
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -11,8 +11,8 @@
 //! What is outside is not told to the module. What leaves is told as gone, so that nothing new is sent there; tasks that
 //! stand there go on to be counted at their place.
 
-use crate::places::{LEAST_EACH, Places, place};
-use crate::slots::{cold_share, owner};
+use crate::places::{MIN_NODES_PER_ZONE_AND_KIND, Places, place};
+use crate::slots::{cold_start_share, slot_owner};
 use peppercove::{
     Action, AttemptOutcome, DedupScope, Event, Idempotency, ListUpdateKind, Micros, NodeEntry,
     NodeId, NodeStatus, RequestId, Scheduler, ServiceId, Settings, preferred_node_rank,
@@ -22,7 +22,7 @@
 use std::ops::Bound;
 
 /// Machines of a view, beside those that each zone and kind has at least. A fleet that is no larger is seen whole.
-pub const SIZE: u64 = 1024;
+pub const TARGET_SUBSET_SIZE: u64 = 1024;
 
 /// Homes of a service that are kept in view: four times those that the module begins with, which ranks as many again as
 /// stand-ins and learns to use more where starts are in time.
@@ -32,7 +32,7 @@
 const REMEMBERED: u64 = 8;
 
 /// What decides in a process: the module, and the view around it.
-pub type Decider = View<Scheduler>;
+pub type SubsetScheduler = NodeSubset<Scheduler>;
 
 /// Homes of a service, best first, and when a task of it came last.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 
 /// The decision module with a bounded view of the fleet.
 #[derive(Debug)]
-pub struct View<D> {
+pub struct NodeSubset<D> {
     module: D,
     settings: Settings,
     size: u64,
@@ -101,20 +101,25 @@
     outside: BTreeSet<NodeId>,
 }
 
-impl<D: Decide> View<D> {
+impl<D: Decide> NodeSubset<D> {
     /// Around a module that has just started with these settings.
-    pub fn new(module: D, settings: &Settings) -> View<D> {
-        View::with_size(module, settings, SIZE)
+    pub fn new(module: D, settings: &Settings) -> NodeSubset<D> {
+        NodeSubset::with_target_size(module, settings, TARGET_SUBSET_SIZE)
     }
 
     /// With views of another size, for tests and measurements.
-    pub fn with_size(module: D, settings: &Settings, size: u64) -> View<D> {
-        View::with_sizes(module, settings, size, LEAST_EACH)
+    pub fn with_target_size(module: D, settings: &Settings, size: u64) -> NodeSubset<D> {
+        NodeSubset::with_target_sizes(module, settings, size, MIN_NODES_PER_ZONE_AND_KIND)
     }
 
     /// With views of another size and another number of machines of each zone and kind, for small fleets.
-    pub fn with_sizes(module: D, settings: &Settings, size: u64, each: u64) -> View<D> {
-        View {
+    pub fn with_target_sizes(
+        module: D,
+        settings: &Settings,
+        size: u64,
+        each: u64,
+    ) -> NodeSubset<D> {
+        NodeSubset {
             module,
             settings: settings.clone(),
             size,
@@ -158,7 +163,7 @@
     }
 
     /// Whether the module works with a machine.
-    pub fn shows(&self, machine: NodeId) -> bool {
+    pub fn contains(&self, machine: NodeId) -> bool {
         if self.bounded {
             self.shown.contains(&machine)
         } else {
@@ -167,12 +172,12 @@
     }
 
     /// The module itself.
-    pub fn module(&self) -> &D {
+    pub fn inner(&self) -> &D {
         &self.module
     }
 
     /// How much is held beside the list, by name: for tests that it stays bounded.
-    pub fn held(&self) -> [(&'static str, usize); 7] {
+    pub fn table_sizes(&self) -> [(&'static str, usize); 7] {
         [
             ("shown", self.shown.len()),
             ("services", self.homes.len()),
@@ -198,7 +203,7 @@
     fn is_own(&self, line: &NodeEntry) -> bool {
         let (own, all) = (self.settings.own_index, self.settings.schedulers);
         let slots = self.places.slots(place(line));
-        slots == u32::MAX || (0..slots).any(|slot| owner(line.node, slot, all) == own)
+        slots == u32::MAX || (0..slots).any(|slot| slot_owner(line.node, slot, all) == own)
     }
 
     /// The line as the module is told it. Danger: the list named the room at its own time; told again later, it would
@@ -207,7 +212,10 @@
     fn told(&self, line: &NodeEntry, fresh: bool) -> NodeEntry {
         let (own, all) = (self.settings.own_index, self.settings.schedulers);
         let bears = self.settings.slow_start_budget.max(0.0) as u64;
-        let split = || self.bounded.then(|| cold_share(line.node, own, all, bears));
+        let split = || {
+            self.bounded
+                .then(|| cold_start_share(line.node, own, all, bears))
+        };
         let cold_share = if self.now < self.unsettled_until {
             Some(0)
         } else {
@@ -445,7 +453,7 @@
         let named: Vec<&NodeEntry> = list.iter().filter(named).collect();
         named
             .into_iter()
-            .filter(|line| !self.shows(line.node))
+            .filter(|line| !self.contains(line.node))
             .map(Self::gone)
             .collect()
     }
@@ -878,7 +886,7 @@
     }
 }
 
-impl<D: Decide> Decide for View<D> {
+impl<D: Decide> Decide for NodeSubset<D> {
     fn decide(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         // Times near the end of their type would overflow in sums.
         self.now = self.now.max(now.min(Micros::MAX / 4));
--- a/crates/fleet/tests/beyond.rs
+++ b/crates/fleet/tests/beyond.rs
@@ -5,7 +5,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::View;
+use peppercove_fleet::NodeSubset;
 
 const SIZE: u64 = 64;
 
@@ -29,7 +29,7 @@
 fn outside(driver: &Driver) -> impl Iterator<Item = NodeId> {
     (0..2_000)
         .map(NodeId)
-        .filter(|machine| !driver.view.shows(*machine))
+        .filter(|machine| !driver.view.contains(*machine))
 }
 
 /// Danger: machines that come into view without the room that the list named count as full as the mean of those in view,
@@ -38,7 +38,9 @@
 fn a_task_that_no_machine_in_view_can_take_finds_the_room_outside() {
     let mut driver = driver();
     let (mut worst, mut most) = (0, 0);
-    let own: Vec<bool> = (0..2_000).map(|m| driver.view.shows(NodeId(m))).collect();
+    let own: Vec<bool> = (0..2_000)
+        .map(|m| driver.view.contains(NodeId(m)))
+        .collect();
     for free in [1_999, 0, 1_000, 500, 1_234] {
         let free = (free..2_000)
             .chain(0..free)
@@ -101,7 +103,7 @@
         .collect();
     let before: Vec<bool> = rack
         .iter()
-        .map(|machine| driver.view.shows(*machine))
+        .map(|machine| driver.view.contains(*machine))
         .collect();
     if dies {
         let gone = NodeEntry {
@@ -121,7 +123,7 @@
     );
     assert!(
         rack.iter()
-            .all(|machine| driver.view.shows(*machine) || dies && *machine == first)
+            .all(|machine| driver.view.contains(*machine) || dies && *machine == first)
     );
     driver.tell(Event::Placed {
         request: RequestId(request),
@@ -132,7 +134,7 @@
     driver.tell(Event::Timer(9));
     let after: Vec<bool> = rack
         .iter()
-        .map(|machine| driver.view.shows(*machine))
+        .map(|machine| driver.view.contains(*machine))
         .collect();
     let same = (0..rack.len()).all(|i| before[i] == after[i] || dies && rack[i] == first);
     assert!(same, "the rack left the view with the window");
@@ -271,7 +273,7 @@
         answer: vec![bind],
         ..Told::default()
     };
-    let mut view = View::with_size(stand_in, &settings(100, 3), SIZE);
+    let mut view = NodeSubset::with_target_size(stand_in, &settings(100, 3), SIZE);
     view.decide(
         SECOND,
         &[
@@ -288,9 +290,9 @@
             ..
         },
         last,
-    ] = &view.module().events[..]
+    ] = &view.inner().events[..]
     else {
-        panic!("{:?}", view.module().events)
+        panic!("{:?}", view.inner().events)
     };
     let in_rack = lines
         .iter()
@@ -310,7 +312,7 @@
     view.decide(SECOND, &[list(ListUpdateKind::Full, 1, lines(0..2_000))]);
     let outside: Vec<NodeId> = (0..2_000)
         .map(NodeId)
-        .filter(|m| !view.shows(*m))
+        .filter(|m| !view.contains(*m))
         .take(200)
         .collect();
     let stands = |(i, machine): (u64, &NodeId)| Event::RunningTask {
@@ -320,7 +322,7 @@
     let mut events: Vec<Event> = (0..).zip(&outside).map(stands).collect();
     events.push(Event::Place(ask(1_000, 1, 7)));
     view.decide(2 * SECOND, &events);
-    let events = &view.module().events;
+    let events = &view.inner().events;
     let place = events
         .iter()
         .position(|e| matches!(e, Event::Place(_)))
--- a/crates/fleet/tests/cold.rs
+++ b/crates/fleet/tests/cold.rs
@@ -5,7 +5,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::{View, cold_share};
+use peppercove_fleet::{NodeSubset, cold_start_share};
 use std::collections::VecDeque;
 
 const SCHEDULERS: u32 = 24;
@@ -19,7 +19,7 @@
 /// One scheduler and what it may have sent to each machine lately.
 struct Member {
     own: u32,
-    view: View<Told>,
+    view: NodeSubset<Told>,
     born: Micros,
     lists: VecDeque<(Micros, u64, u64)>,
     recent: VecDeque<Vec<f64>>,
@@ -31,7 +31,7 @@
             slow_start_budget: BEARS,
             ..settings(SCHEDULERS, own)
         };
-        let view = View::with_size(Told::default(), &settings, SIZE);
+        let view = NodeSubset::with_target_size(Told::default(), &settings, SIZE);
         Member {
             own,
             view,
@@ -51,7 +51,7 @@
         }
         self.view.decide(now, &events);
         let window = 5 * SECOND / 2;
-        let share = |m: u64| match self.view.module().cold_share(NodeId(m)) {
+        let share = |m: u64| match self.view.inner().cold_share(NodeId(m)) {
             // Until it is a window old the module sends nothing to cold machines.
             _ if self.born > 0 && now < self.born + window => 0.0,
             None => BEARS / f64::from(SCHEDULERS),
@@ -146,7 +146,13 @@
 fn a_newcomer_that_no_other_knows_of_pushes_few_machines_over() {
     for (bears, most) in [(8_u64, 0), (28, 2), (100, 500)] {
         let over = |machine: &NodeId| {
-            let all = bears + u64::from(cold_share(*machine, SCHEDULERS, SCHEDULERS + 1, bears));
+            let all = bears
+                + u64::from(cold_start_share(
+                    *machine,
+                    SCHEDULERS,
+                    SCHEDULERS + 1,
+                    bears,
+                ));
             all as f64 > bears as f64 + 2.0 * (bears as f64).sqrt() + 2.0
         };
         let over = (0..13_000).map(NodeId).filter(over).count();
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::View;
+use peppercove_fleet::NodeSubset;
 use std::collections::BTreeMap;
 
 pub const SECOND: Micros = 1_000_000;
@@ -151,18 +151,18 @@
 }
 
 /// A view of this size around the stand-in.
-pub fn told(schedulers: u32, own: u32, size: u64) -> View<Told> {
-    View::with_size(Told::default(), &settings(schedulers, own), size)
+pub fn told(schedulers: u32, own: u32, size: u64) -> NodeSubset<Told> {
+    NodeSubset::with_target_size(Told::default(), &settings(schedulers, own), size)
 }
 
 /// A view of this size around the module.
-pub fn module(settings: &Settings, size: u64, seed: u64) -> View<Scheduler> {
-    View::with_size(Scheduler::new(settings.clone(), seed), settings, size)
+pub fn module(settings: &Settings, size: u64, seed: u64) -> NodeSubset<Scheduler> {
+    NodeSubset::with_target_size(Scheduler::new(settings.clone(), seed), settings, size)
 }
 
 /// A view around the module that is told things in order, with its timers.
 pub struct Driver {
-    pub view: View<Scheduler>,
+    pub view: NodeSubset<Scheduler>,
     pub now: Micros,
     pub version: u64,
     timers: Vec<(Micros, u64)>,
--- a/crates/fleet/tests/homes.rs
+++ b/crates/fleet/tests/homes.rs
@@ -5,7 +5,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::View;
+use peppercove_fleet::NodeSubset;
 
 /// The homes of a service, best first, from the whole list.
 fn homes(lines: &[NodeEntry], service: u64, kind: Option<u8>) -> Vec<NodeId> {
@@ -32,8 +32,9 @@
 #[test]
 fn all_schedulers_see_the_homes_that_the_whole_list_gives_as_it_changes() {
     let mut rng = fastrand::Rng::with_seed(4);
-    let view = |own| View::with_size(Told::default(), &of_kind(settings(100, own)), 64);
-    let mut views: Vec<View<Told>> = (0..4).map(view).collect();
+    let view =
+        |own| NodeSubset::with_target_size(Told::default(), &of_kind(settings(100, own)), 64);
+    let mut views: Vec<NodeSubset<Told>> = (0..4).map(view).collect();
     let mut truth = lines(0..1_000);
     let mut now = SECOND;
     let whole = list(ListUpdateKind::Full, 1, truth.clone());
@@ -79,7 +80,7 @@
                 let kind = (service % 2 == 1).then_some(1);
                 for home in homes(&truth, *service, kind) {
                     assert!(
-                        view.shows(home) && view.module().open(home),
+                        view.contains(home) && view.inner().open(home),
                         "{home:?} of {service} in {round}"
                     );
                 }
@@ -126,12 +127,12 @@
         let in_view = |service| {
             homes(&all, service, None)
                 .iter()
-                .all(|home| view.shows(*home))
+                .all(|home| view.contains(*home))
         };
         assert!(kept.into_iter().all(in_view), "after {service}");
         assert!(view.len() <= own + 64, "{} machines, {own} own", view.len());
         // The module is told of what comes and of what leaves.
-        let agree = |line: &NodeEntry| view.module().open(line.node) == view.shows(line.node);
+        let agree = |line: &NodeEntry| view.inner().open(line.node) == view.contains(line.node);
         assert!(service % 20 > 0 || all.iter().all(agree), "after {service}");
     }
 }
--- a/crates/fleet/tests/lists.rs
+++ b/crates/fleet/tests/lists.rs
@@ -5,7 +5,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::View;
+use peppercove_fleet::NodeSubset;
 
 /// Danger: a view that changes is no list, and the call for a list that failed is to be made again all the same.
 #[test]
@@ -42,7 +42,7 @@
         driver.list(ListUpdateKind::Full, all.clone());
         let filled = all
             .iter()
-            .filter(|l| l.zone == 0 && driver.view.shows(l.node))
+            .filter(|l| l.zone == 0 && driver.view.contains(l.node))
             .count();
         assert!(driver.view.is_bounded() && filled > 100, "{filled}");
         let (lost, left): (Vec<_>, Vec<_>) = all.iter().cloned().partition(|line| line.zone == 0);
@@ -85,7 +85,7 @@
         let mut probe = told(100, 3, 64);
         probe.decide(SECOND, &[list(ListUpdateKind::Full, 1, lines(0..2_000))]);
         (0..2_000)
-            .map(|m| probe.shows(NodeId(m)))
+            .map(|m| probe.contains(NodeId(m)))
             .collect::<Vec<bool>>()
     };
     let free = (1_000..2_000).find(|m| !own[*m as usize]).unwrap();
@@ -101,7 +101,7 @@
         }
     });
     driver.list(ListUpdateKind::Full, grown.collect());
-    assert!(driver.view.is_bounded() && !driver.view.shows(NodeId(free)));
+    assert!(driver.view.is_bounded() && !driver.view.contains(NodeId(free)));
     let actions = driver.wait(driver.now + 5 * SECOND);
     assert_eq!(binds(&actions), [(1, NodeId(free))]);
 }
@@ -131,8 +131,8 @@
         free_memory: Some(32.0),
         ..line(m)
     };
-    let room_told = |view: &View<Told>| -> Vec<u64> {
-        let lists = view.module().events.iter().filter_map(|event| match event {
+    let room_told = |view: &NodeSubset<Told>| -> Vec<u64> {
+        let lists = view.inner().events.iter().filter_map(|event| match event {
             Event::NodeList { entries: lines, .. } => Some(lines),
             _ => None,
         });
@@ -168,7 +168,7 @@
         "{room:?}"
     );
     view.decide(30 * SECOND, &[Event::Timer(0)]);
-    assert!(!view.module().events.is_empty() && room_told(&view).is_empty());
+    assert!(!view.inner().events.is_empty() && room_told(&view).is_empty());
     // Slots change with the fleet, and all that is in view is told.
     view.decide(
         31 * SECOND,
@@ -184,7 +184,7 @@
         "{room:?}"
     );
     // What comes into view after it was named brings its room, the first time.
-    let place = |view: &mut View<Told>, at: Micros, request: u64| {
+    let place = |view: &mut NodeSubset<Told>, at: Micros, request: u64| {
         let come_and_gone = [
             Event::Place(ask(request, 0, request)),
             Event::RequestCancelled(RequestId(request)),
@@ -196,7 +196,7 @@
     assert!(!first.is_empty(), "homes that were outside");
     (1..50).for_each(|other| drop(place(&mut view, 33 * SECOND, other)));
     assert!(
-        first.iter().any(|m| !view.shows(NodeId(*m))),
+        first.iter().any(|m| !view.contains(NodeId(*m))),
         "they have left the view"
     );
     assert!(
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -6,7 +6,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::{View, owner};
+use peppercove_fleet::{NodeSubset, slot_owner};
 use std::collections::BTreeMap;
 
 const SCHEDULERS: u32 = 40;
@@ -71,7 +71,7 @@
             .unwrap_or(u32::MAX);
         !self.bounded
             || slots == u32::MAX
-            || (0..slots).any(|s| owner(line.node, s, SCHEDULERS) == OWN)
+            || (0..slots).any(|s| slot_owner(line.node, s, SCHEDULERS) == OWN)
     }
 }
 
@@ -167,9 +167,9 @@
                 };
                 // Where no machine of its place takes tasks it does not matter who has it.
                 let shown = ready && model.shows(line);
-                assert_eq!(view.module().open(machine), shown, "{}", at());
-                assert!(!ready || view.shows(machine) == shown, "{}", at());
-                if let Some(told) = view.module().lines.get(&machine).filter(|_| shown) {
+                assert_eq!(view.inner().open(machine), shown, "{}", at());
+                assert!(!ready || view.contains(machine) == shown, "{}", at());
+                if let Some(told) = view.inner().lines.get(&machine).filter(|_| shown) {
                     let as_listed = NodeEntry {
                         slow_start_share: None,
                         ..told.clone()
@@ -179,7 +179,7 @@
                 outside += usize::from(ready && !shown);
             }
             let known = |machine: &NodeId| model.list.lines.contains_key(machine);
-            assert!(view.module().lines.keys().all(known));
+            assert!(view.inner().lines.keys().all(known));
         }
     }
     assert!(
@@ -188,7 +188,7 @@
     );
 }
 
-fn viewed(settings: &Settings, seed: u64) -> View<Scheduler> {
+fn viewed(settings: &Settings, seed: u64) -> NodeSubset<Scheduler> {
     module(settings, SIZE, seed)
 }
 
@@ -208,7 +208,11 @@
             site.restart(round % 2);
         }
         site.live(1, 8, 16, MACHINES);
-        for (name, held) in site.members.iter().flat_map(|member| member.module.held()) {
+        for (name, held) in site
+            .members
+            .iter()
+            .flat_map(|member| member.module.table_sizes())
+        {
             let most = most.entry(name).or_insert(0);
             *most = held.max(*most);
         }
@@ -220,7 +224,7 @@
     let left: BTreeMap<&str, usize> = site
         .members
         .iter()
-        .flat_map(|member| member.module.held())
+        .flat_map(|member| member.module.table_sizes())
         .collect();
     println!("{most:?}, then {left:?}");
     let size = SIZE as usize;
--- a/crates/fleet/tests/referee.rs
+++ b/crates/fleet/tests/referee.rs
@@ -6,9 +6,9 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::View;
+use peppercove_fleet::NodeSubset;
 
-fn viewed(settings: &Settings, seed: u64) -> View<Scheduler> {
+fn viewed(settings: &Settings, seed: u64) -> NodeSubset<Scheduler> {
     module(settings, 256, seed)
 }
 
@@ -58,12 +58,12 @@
     assert!(site.most_cold >= 7, "{} offers at most", site.most_cold);
 }
 
-fn viewed_small(settings: &Settings, seed: u64) -> View<Scheduler> {
+fn viewed_small(settings: &Settings, seed: u64) -> NodeSubset<Scheduler> {
     module(settings, 64, seed)
 }
 
 /// The module alone and in its view, told the same.
-struct Both(Scheduler, View<Scheduler>);
+struct Both(Scheduler, NodeSubset<Scheduler>);
 
 impl Decide for Both {
     fn decide(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
--- a/crates/fleet/tests/slots.rs
+++ b/crates/fleet/tests/slots.rs
@@ -5,7 +5,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::{COLD_SLOTS, cold_share, owner};
+use peppercove_fleet::{COLD_START_SLOTS, cold_start_share, slot_owner};
 use std::collections::BTreeSet;
 
 #[test]
@@ -13,7 +13,8 @@
     for schedulers in [1, 2, 3, 7, 24, 100] {
         for machine in (0..200).map(|m| NodeId(m * 7_919)) {
             for bears in [0, 1, 7, 8, 28, 1_001] {
-                let shares = (0..schedulers).map(|own| cold_share(machine, own, schedulers, bears));
+                let shares =
+                    (0..schedulers).map(|own| cold_start_share(machine, own, schedulers, bears));
                 assert_eq!(
                     shares.map(u64::from).sum::<u64>(),
                     bears,
@@ -28,11 +29,12 @@
 fn one_scheduler_more_takes_slots_and_moves_no_other() {
     for schedulers in [1, 8, 24, 99] {
         let mut taken = 0;
-        for (machine, slot) in (0..2_000).flat_map(|m| (0..COLD_SLOTS).map(move |s| (NodeId(m), s)))
+        for (machine, slot) in
+            (0..2_000).flat_map(|m| (0..COLD_START_SLOTS).map(move |s| (NodeId(m), s)))
         {
             let (before, after) = (
-                owner(machine, slot, schedulers),
-                owner(machine, slot, schedulers + 1),
+                slot_owner(machine, slot, schedulers),
+                slot_owner(machine, slot, schedulers + 1),
             );
             assert!(
                 after == before || after == schedulers,
@@ -40,7 +42,7 @@
             );
             taken += u32::from(after != before);
         }
-        let fair = f64::from(2_000 * COLD_SLOTS) / f64::from(schedulers + 1);
+        let fair = f64::from(2_000 * COLD_START_SLOTS) / f64::from(schedulers + 1);
         assert!(
             (f64::from(taken) / fair - 1.0).abs() < 0.15,
             "{taken} of {fair} at {schedulers}"
@@ -57,7 +59,7 @@
         let shown = lines
             .iter()
             .map(|line| line.node)
-            .filter(|machine| view.shows(*machine));
+            .filter(|machine| view.contains(*machine));
         pairs.extend(shown.map(|machine| (own, machine)));
         assert!(view.is_bounded());
     }
@@ -139,8 +141,9 @@
 fn a_third_of_the_schedulers_dead_leaves_few_machines_in_nobodys_view() {
     let machines = 13_000;
     for dead in [0..8, 8..16, 16..24] {
-        let alone =
-            |m: &u64| (0..COLD_SLOTS).all(|slot| dead.contains(&owner(NodeId(*m), slot, 24)));
+        let alone = |m: &u64| {
+            (0..COLD_START_SLOTS).all(|slot| dead.contains(&slot_owner(NodeId(*m), slot, 24)))
+        };
         let lost = (0..machines).filter(alone).count();
         println!("{lost} of {machines} machines in no living view");
         assert!(lost <= 8, "{lost} machines in nobody's view");
@@ -166,9 +169,9 @@
         .collect();
     let mut sizes = Vec::new();
     for (schedulers, own) in [(100, 7), (500, 0), (500, 499)] {
-        let mut view = told(schedulers, own, peppercove_fleet::SIZE);
+        let mut view = told(schedulers, own, peppercove_fleet::TARGET_SUBSET_SIZE);
         view.decide(SECOND, &[list(ListUpdateKind::Full, 1, all.clone())]);
-        let shown = |line: &&NodeEntry| view.shows(line.node);
+        let shown = |line: &&NodeEntry| view.contains(line.node);
         let least = (0..44)
             .flat_map(|zone| [(zone, 0), (zone, 1)])
             .map(|place| {
--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/world.rs
@@ -13,11 +13,11 @@
 use peppercove::{Micros, NodeId, Scheduler, Settings};
 use peppercove_audit::{Event, Seen};
 use peppercove_config::Config;
-use peppercove_core::evidence::Entry;
-use peppercove_core::nodes::id_of;
+use peppercove_core::evidence::JournalEntry;
+use peppercove_core::nodes::node_id_of;
 use peppercove_core::{Core, Counters, Decide, Input, Output};
-use peppercove_exchange::{Retry, limits};
-use peppercove_fleet::View;
+use peppercove_exchange::{Backoff, core_limits};
+use peppercove_fleet::NodeSubset;
 use peppercove_protocol::list::FromList;
 use peppercove_protocol::node::{FromNode, Party, ToNode};
 use peppercove_standins::model::{Model, Shared};
@@ -90,7 +90,7 @@
     starts: u64,
     process: Option<Process>,
     /// The journal on its disk: what outlives a kill.
-    journal: Vec<Entry>,
+    journal: Vec<JournalEntry>,
     counted: Vec<Counters>,
 }
 
@@ -101,7 +101,7 @@
     links: BTreeMap<NodeId, Link>,
     armed: Option<Micros>,
     list: Subscription,
-    list_retry: Retry,
+    list_retry: Backoff,
 }
 
 /// A node: its model, and which link of each controller it speaks to.
@@ -150,7 +150,10 @@
 /// Plays a day and gives what crossed the network as well, for people who look into a breach.
 pub fn play_seen(script: &Script, seed: u64) -> (Report, Vec<Event>) {
     let module = |settings: &Settings, seed| -> Box<dyn Decide> {
-        Box::new(View::new(Scheduler::new(settings.clone(), seed), settings))
+        Box::new(NodeSubset::new(
+            Scheduler::new(settings.clone(), seed),
+            settings,
+        ))
     };
     play_with(script, seed, &module)
 }
@@ -158,7 +161,7 @@
 /// Plays a day whose controllers have views of so many machines beside one of each zone and kind, as a large fleet's have.
 pub fn play_bounded(script: &Script, seed: u64, size: u64) -> Report {
     let module = |settings: &Settings, seed| -> Box<dyn Decide> {
-        Box::new(View::with_sizes(
+        Box::new(NodeSubset::with_target_sizes(
             Scheduler::new(settings.clone(), seed),
             settings,
             size,
@@ -197,7 +200,7 @@
                 port.wrapping_add(1),
             );
             roster.add(address, Facts::of(&model));
-            by_id.insert(id_of(address), i);
+            by_id.insert(node_id_of(address), i);
             let links = BTreeMap::new();
             stations.push(Station {
                 model,
@@ -394,12 +397,15 @@
         let life = xxhash_rust::xxh3::xxh3_64(format!("{seat} {}", s.starts).as_bytes());
         let config = &s.config;
         let seed = config.seed.unwrap_or(0).wrapping_add(s.starts << 32);
-        let mut core = Core::new((self.decider)(&config.module, seed), limits(config, life));
+        let mut core = Core::new(
+            (self.decider)(&config.module, seed),
+            core_limits(config, life),
+        );
         core.recover(wall(now), &s.journal);
         if config.journal.is_some() {
             s.journal = core.snapshot();
         }
-        let list_retry = Retry::new(config.listen.retry_least, config.listen.retry_most);
+        let list_retry = Backoff::new(config.listen.retry_least, config.listen.retry_most);
         let (links, list) = (BTreeMap::new(), Subscription::default());
         s.process = Some(Process {
             core,
@@ -424,13 +430,13 @@
         let Some(process) = self.seats[seat].process.take() else {
             return;
         };
-        if process.core.open_asks() > 0 {
+        if process.core.open_requests() > 0 {
             self.hazard("killed with asks open");
         }
         if process.core.placed_tasks() > 0 {
             self.hazard("killed with placed tasks running");
         }
-        let open: Vec<NodeId> = process.core.in_doubt_at();
+        let open: Vec<NodeId> = process.core.nodes_with_open_copies();
         let lost = |m: &NodeId| {
             let station = self.by_id.get(m).map(|i| &self.stations[*i]);
             station.is_some_and(|s| s.dead || s.cut > 0 || s.model.faults().hangs)
@@ -490,9 +496,15 @@
         let life = process.life;
         match output {
             Output::Accepted { ticket, job } => self.accepted(seat, life, ticket, job),
-            Output::TurnedAway { ticket, why } => self.turned_away(seat, life, ticket, why),
-            Output::Settled { job, answer } => self.settled(seat, life, job, answer),
-            Output::Done { .. } | Output::Finished(_) | Output::Tell(_) | Output::Log(_) => {}
+            Output::Rejected {
+                ticket,
+                reason: why,
+            } => self.turned_away(seat, life, ticket, why),
+            Output::Answered { job, answer } => self.settled(seat, life, job, answer),
+            Output::ControlAccepted { .. }
+            | Output::Finished(_)
+            | Output::Broadcast(_)
+            | Output::Log(_) => {}
             Output::Connect {
                 node,
                 address,
@@ -504,14 +516,14 @@
                 let wait = self.rng.u64(20..100);
                 self.after(wait, Happens::CallList { seat, life });
             }
-            Output::Offer {
+            Output::Dispatch {
                 node,
                 request,
                 attempt,
                 ..
             } => {
                 if !self.send_output(seat, &output) {
-                    inputs.push_back(Input::Unsent {
+                    inputs.push_back(Input::DispatchFailed {
                         node,
                         request,
                         attempt,
--- a/crates/kernel/src/world/clients.rs
+++ b/crates/kernel/src/world/clients.rs
@@ -5,7 +5,7 @@
 use crate::script::Arrival;
 use peppercove::{Idempotency, Micros, ServiceId, TaskKey};
 use peppercove_audit::Seen;
-use peppercove_core::{Answer, Input, JobId, Program, Submission, TurnedAway};
+use peppercove_core::{Answer, Input, JobId, Program, Rejection, Submission};
 use peppercove_protocol::drmaa::Errno;
 use peppercove_protocol::node;
 use peppercove_protocol::rpc::Outcome;
@@ -177,10 +177,10 @@
             cores: a.cores.unwrap_or(asks.0),
             memory: a.memory.unwrap_or(asks.1),
             deadline_in: config.module.classes[class].deadline,
-            life_hint: None,
-            again: ask.tries > 0,
-            elsewhere: ask.asked.is_some_and(|asked| asked != seat),
-            held: false,
+            expected_duration: None,
+            is_retry: ask.tries > 0,
+            requested_elsewhere: ask.asked.is_some_and(|asked| asked != seat),
+            on_hold: false,
             program: Program {
                 command: "sleep".into(),
                 env: vec![format!("PEPPERCOVE_LIFE_US={}", a.life.as_micros())],
@@ -236,19 +236,19 @@
         }
     }
 
-    pub(super) fn turned_away(&mut self, seat: usize, life: u64, ticket: u64, why: TurnedAway) {
+    pub(super) fn turned_away(&mut self, seat: usize, life: u64, ticket: u64, why: Rejection) {
         let Some(key) = self.key_of(seat, ticket) else {
             return;
         };
         let (errno, after) = match why {
-            TurnedAway::Full(after) | TurnedAway::Stopping(after) | TurnedAway::InDoubt(after) => {
-                (Errno::TryLater, Some(after.div_ceil(1000)))
-            }
-            TurnedAway::RanAlready
-            | TurnedAway::NotKnown
-            | TurnedAway::AskedElsewhere
-            | TurnedAway::TaskTaken(_) => (Errno::DeniedByDrm, None),
-            TurnedAway::NoSuchJob | TurnedAway::WrongState(_) => (Errno::InvalidJob, None),
+            Rejection::LimitReached(after)
+            | Rejection::ShuttingDown(after)
+            | Rejection::OutcomeAmbiguous(after) => (Errno::TryLater, Some(after.div_ceil(1000))),
+            Rejection::AlreadyRan
+            | Rejection::OutcomeUnknown
+            | Rejection::RequestedElsewhere
+            | Rejection::TaskInUse(_) => (Errno::DeniedByDrm, None),
+            Rejection::NoSuchJob | Rejection::InvalidState(_) => (Errno::InvalidJob, None),
         };
         self.tell(
             seat,
@@ -268,9 +268,9 @@
         };
         let outcome = match answer {
             Answer::Placed(_) => Outcome::Placed,
-            Answer::Refused(_) => Outcome::Refused,
+            Answer::Rejected(_) => Outcome::Refused,
             Answer::Failed => Outcome::Failed,
-            Answer::Withdrawn => Outcome::Withdrawn,
+            Answer::Cancelled => Outcome::Withdrawn,
         };
         if j.submission.session == self.desks[seat].session {
             let key = j.submission.key.clone();
--- a/crates/kernel/src/world/listing.rs
+++ b/crates/kernel/src/world/listing.rs
@@ -4,7 +4,7 @@
 use peppercove::Micros;
 use peppercove_audit::Seen;
 use peppercove_core::Input;
-use peppercove_exchange::list_input;
+use peppercove_exchange::node_list_input;
 use peppercove_protocol::list::FromList;
 use peppercove_standins::roster::Facts;
 
@@ -95,13 +95,13 @@
         };
         let Some(news) = news else {
             process.list.stands = false;
-            self.input(seat, Input::ListFailed);
+            self.input(seat, Input::NodeListFailed);
             if !self.seats[seat].config.module.is_list_polled {
                 let scatter = self.rng.f64();
                 let Some(process) = self.process(seat, life) else {
                     return;
                 };
-                let wait = process.list_retry.failed(scatter).as_micros() as Micros;
+                let wait = process.list_retry.next_delay(scatter).as_micros() as Micros;
                 self.after(wait, Happens::CallList { seat, life });
             }
             return;
@@ -111,7 +111,7 @@
             controller,
             news: (*news).clone(),
         });
-        if let Some(input) = list_input(*news) {
+        if let Some(input) = node_list_input(*news) {
             self.input(seat, input);
         }
     }
--- a/crates/kernel/src/world/wire.rs
+++ b/crates/kernel/src/world/wire.rs
@@ -5,7 +5,9 @@
 use peppercove::{Micros, NodeId};
 use peppercove_audit::Seen;
 use peppercove_core::{Input, Output};
-use peppercove_exchange::{Greeting, Heard, Retry, Step, frame, heard};
+use peppercove_exchange::{
+    Backoff, DecodedMessage, Handshake, HandshakeProgress, decode_message, encode_output,
+};
 use peppercove_protocol::node::{FromNode, ToNode};
 use peppercove_standins::model::{Model, Outgoing};
 use std::net::SocketAddrV4;
@@ -24,7 +26,7 @@
     lost_from: [Micros; 2],
     /// The last frame under way arrives then: at the controller, at the node.
     last: [Micros; 2],
-    greeting: Option<Greeting>,
+    greeting: Option<Handshake>,
     replies: Vec<ToNode>,
 }
 
@@ -32,7 +34,7 @@
 pub(super) struct Link {
     address: SocketAddrV4,
     name: String,
-    retry: Retry,
+    retry: Backoff,
     wire: Option<usize>,
     /// The core knows that it stands.
     up: bool,
@@ -58,7 +60,7 @@
         let Some(process) = self.process(seat, life) else {
             return;
         };
-        let retry = Retry::new(Default::default(), Default::default());
+        let retry = Backoff::new(Default::default(), Default::default());
         let link = Link {
             address,
             name,
@@ -69,7 +71,7 @@
         };
         process.links.insert(machine, link);
         let listen = &self.seats[seat].config.listen;
-        let retry = Retry::new(listen.retry_least, listen.retry_most);
+        let retry = Backoff::new(listen.retry_least, listen.retry_most);
         if let Some(link) = self
             .process(seat, life)
             .and_then(|p| p.links.get_mut(&machine))
@@ -115,8 +117,8 @@
             return self.dial_again(seat, life, machine);
         };
         let config = &self.seats[seat].config;
-        let greeting = Greeting::new(machine, &name, config.limits.jobs);
-        let hello = Greeting::hello(config, life);
+        let greeting = Handshake::new(machine, &name, config.limits.jobs);
+        let hello = Handshake::hello(config, life);
         let late = config.listen.connect_timeout.as_micros() as Micros;
         let wire = self.wires.len();
         let node_life = self.stations[node].model.life();
@@ -153,7 +155,10 @@
             return;
         };
         link.tries += 1;
-        let (wait, try_) = (link.retry.failed(scatter).as_micros() as Micros, link.tries);
+        let (wait, try_) = (
+            link.retry.next_delay(scatter).as_micros() as Micros,
+            link.tries,
+        );
         self.after(
             wait.max(100),
             Happens::Dial {
@@ -225,7 +230,7 @@
         let Some(process) = &s.process else {
             return false;
         };
-        let made = frame(&s.config, self.now, output, |job| {
+        let made = encode_output(&s.config, self.now, output, |job| {
             process.core.jobs().get(job)
         });
         let Some((machine, message)) = made else {
@@ -339,19 +344,19 @@
             message: message.clone(),
         });
         let Some(mut greeting) = self.wires[wire].greeting.take() else {
-            return self.take(seat, machine, heard(machine, message));
+            return self.take(seat, machine, decode_message(machine, message));
         };
-        let heard = greeting.hear(message);
+        let heard = greeting.on_message(message);
         let (meanwhile, up) = match heard {
-            Ok(Step::More(meanwhile)) => (meanwhile, None),
-            Ok(Step::Up(meanwhile, up)) => (meanwhile, Some(up)),
+            Ok(HandshakeProgress::Pending(meanwhile)) => (meanwhile, None),
+            Ok(HandshakeProgress::Complete(meanwhile, up)) => (meanwhile, Some(up)),
             Err(_) => {
                 self.end_dies(wire, false);
                 return self.lost_at_controller(wire);
             }
         };
         self.wires[wire].greeting = Some(greeting);
-        if let Some(Heard { input, reply }) = meanwhile {
+        if let Some(DecodedMessage { input, reply }) = meanwhile {
             if let Some(input) = input {
                 self.input(seat, input);
             }
@@ -373,7 +378,7 @@
         self.input(seat, up);
     }
 
-    fn take(&mut self, seat: usize, machine: NodeId, message: Heard) {
+    fn take(&mut self, seat: usize, machine: NodeId, message: DecodedMessage) {
         if let Some(input) = message.input {
             self.input(seat, input);
         }
@@ -467,7 +472,7 @@
             let node = self.stations[node].model.spec().name.clone();
             let controller = self.party(seat, life);
             self.see(Seen::LinkClosed { controller, node });
-            self.input(seat, Input::LinkDown(machine));
+            self.input(seat, Input::NodeDisconnected(machine));
         }
         self.dial_again(seat, life, machine);
     }
--- a/crates/kernel/tests/days.rs
+++ b/crates/kernel/tests/days.rs
@@ -51,7 +51,11 @@
             );
             assert!(report.verdict.taken > 20, "{name}: nothing was tried");
             let c = report.counters;
-            assert_eq!((c.illegal_steps, c.broken_promises), (0, 0), "{name}");
+            assert_eq!(
+                (c.invalid_transitions, c.unsafe_rejections),
+                (0, 0),
+                "{name}"
+            );
         }
     }
 }
--- a/crates/kernel/tests/view.rs
+++ b/crates/kernel/tests/view.rs
@@ -2,7 +2,7 @@
 
 use peppercove::{Action, Event, Micros, Scheduler};
 use peppercove_core::Decide;
-use peppercove_fleet::View;
+use peppercove_fleet::NodeSubset;
 use peppercove_kernel::hunt::Plan;
 use peppercove_kernel::{Script, play_bounded, play_with, shipped};
 use std::cell::Cell;
@@ -11,7 +11,7 @@
 /// The module alone and the module in its view, told the same.
 struct Both<'a> {
     alone: Scheduler,
-    viewed: View<Scheduler>,
+    viewed: NodeSubset<Scheduler>,
     events: &'a Cell<u64>,
 }
 
@@ -34,7 +34,7 @@
     let events: &'static Cell<u64> = Box::leak(Box::new(Cell::new(0)));
     let both = |settings: &peppercove::Settings, seed| -> Box<dyn Decide> {
         let alone = Scheduler::new(settings.clone(), seed);
-        let viewed = View::new(Scheduler::new(settings.clone(), seed), settings);
+        let viewed = NodeSubset::new(Scheduler::new(settings.clone(), seed), settings);
         Box::new(Both {
             alone,
             viewed,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a controller, as the platform writes it.
 
-use crate::feed::{self, Entry};
+use crate::feed::{self, EndpointEvent};
 use peppercove::wire::{ProtocolError, RecordSchema, read_settings};
 use peppercove::{Micros, Settings};
 use serde::Deserialize;
@@ -44,7 +44,7 @@
     seed: String,
     limits: Limits,
     journal: SocketAddr,
-    known: Known,
+    known: InitialEndpoints,
     settings: serde_json::Value,
 }
 
@@ -61,12 +61,12 @@
 
 /// The journal service's events up to the start.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Known {
+pub struct InitialEndpoints {
     /// Number of the last one.
     pub pos: u64,
     /// The events.
     #[serde(default)]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEvent>,
 }
 
 /// A configuration that was read and checked.
@@ -83,7 +83,7 @@
     /// Where the journal service is.
     pub journal: SocketAddr,
     /// Its events so far.
-    pub known: Known,
+    pub known: InitialEndpoints,
     /// The decision module's settings.
     pub settings: Settings,
     /// The names and shapes around them.
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -11,8 +11,8 @@
 mod words;
 
 use crate::config::Config;
-use crate::feed::Entry;
-use crate::wire::{Kind, Message, cause, code};
+use crate::feed::EndpointEvent;
+use crate::wire::{Message, MessageKind, cause, code};
 use bytes::Bytes;
 use hosts::Hosts;
 use late::Late;
@@ -22,33 +22,33 @@
     Action, AttemptOutcome, EndReason, Event, ListUpdateKind, LoadReport, Micros, NodeId,
     RequestId, Settings, TaskKey,
 };
-use peppercove_core::life::Life;
-use peppercove_core::{Alarms, Decide};
+use peppercove_core::life::RequestState;
+use peppercove_core::{Decide, Timers};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use words::Meant;
 
 /// A connection of owners, as the shell numbers them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OwnerId(pub u64);
+pub struct ClientId(pub u64);
 
 /// A connection to a host, as the desk numbers them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LinkId(pub u64);
+pub struct NodeConnectionId(pub u64);
 
 /// How a connection to a host came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum Disconnect {
     /// It was refused: no process is there.
     Refused,
     /// It did not come up in time.
-    NotUp,
+    ConnectFailed,
     /// It broke, was closed, or could not be read any more, after so many bytes were written.
-    Broke {
+    Broken {
         /// Bytes that the system had taken.
-        written: u64,
+        bytes_written: u64,
         /// The peer closed it, and all that it had said was read.
-        whole: bool,
+        is_clean: bool,
     },
 }
 
@@ -56,25 +56,25 @@
 #[derive(Debug)]
 pub enum Input {
     /// The start, with the journal service's events so far.
-    Begin(Vec<Entry>),
+    Start(Vec<EndpointEvent>),
     /// Events of the journal service that follow the last one held; none, where a call was answered with nothing new.
-    List(Vec<Entry>),
+    EndpointEvents(Vec<EndpointEvent>),
     /// The journal service broke off, went silent or was out of reach.
-    ListFailed,
+    EndpointWatchFailed,
     /// A message of an owner. A set-up waits for its turn, its time counts from now on.
-    Owner(OwnerId, Message),
+    ClientMessage(ClientId, Message),
     /// It is the next set-up's turn.
-    Turn,
+    AdmitNext,
     /// An owner's connection is closed.
-    OwnerGone(OwnerId),
+    ClientDisconnected(ClientId),
     /// So many connections of owners are open.
-    Owners(usize),
+    ClientCount(usize),
     /// A connection to a host is up.
-    LinkUp(LinkId),
+    NodeConnected(NodeConnectionId),
     /// A message of a host.
-    Host(LinkId, Message),
+    NodeMessage(NodeConnectionId, Message),
     /// A connection to a host is closed, or never came up.
-    LinkDown(LinkId, Down),
+    NodeDisconnected(NodeConnectionId, Disconnect),
     /// All that came before this time was handed over. Danger: only then may anything be concluded from silence. A loop
     /// that is late sees the clock before it sees what has arrived.
     Tick(Micros),
@@ -84,18 +84,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Write to an owner.
-    Reply(OwnerId, Bytes),
+    SendToClient(ClientId, Bytes),
     /// Open a connection to a host.
-    Dial(LinkId, SocketAddr),
+    Connect(NodeConnectionId, SocketAddr),
     /// Write to a host.
-    Send(LinkId, Bytes),
+    SendToNode(NodeConnectionId, Bytes),
     /// Write to a host what takes a set-up back. Where that does not go out at once, the connection has to end, with
     /// what waits on it: nothing may be sent for a task after its answer.
-    TakeBack(LinkId, Bytes),
+    Cancel(NodeConnectionId, Bytes),
     /// Close a connection to a host.
-    Hang(LinkId),
+    Close(NodeConnectionId),
     /// Call the journal service anew.
-    Watch,
+    WatchEndpoints,
     /// A line of the module for the people on call.
     Log(String),
 }
@@ -104,31 +104,31 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Set-ups without an answer, of all owners.
-    pub open: usize,
+    pub open_requests: usize,
     /// Set-ups without an answer on one connection.
-    pub open_each: usize,
+    pub open_requests_per_client: usize,
     /// Tasks that stand.
-    pub standing: usize,
+    pub running_tasks: usize,
     /// Connections to one host that set-ups are spread over.
-    pub links: usize,
+    pub connections_per_node: usize,
     /// Connections of both kinds.
     pub connections: usize,
     /// Connections to all hosts, as many as owners leave.
-    pub all_links: usize,
+    pub node_connections: usize,
     /// Connections of owners; the shell keeps to it.
-    pub owners: usize,
+    pub client_connections: usize,
     /// Bytes that may wait for readers, all together; the shell keeps to it.
-    pub unread: usize,
+    pub send_buffer_bytes: usize,
     /// A connection to a host with tasks or attempts is tested once it was silent for this long.
-    pub test_every: Micros,
+    pub health_check_interval: Micros,
     /// A connection whose test is not answered within this time no longer works.
-    pub test_within: Micros,
+    pub health_check_timeout: Micros,
     /// Tasks on a host that answers no test and takes no connection count as lost after this.
-    pub lost_after: Micros,
+    pub unreachable_timeout: Micros,
     /// An end that could be told to nobody is kept so long.
-    pub keep_ends: Micros,
+    pub notification_retention: Micros,
     /// An end that may be an earlier attempt's is taken for the present one's where nothing else is heard for so long.
-    pub doubt: Micros,
+    pub ambiguity_timeout: Micros,
 }
 
 impl Bounds {
@@ -144,7 +144,7 @@
     }
 
     /// Bounds for a configuration.
-    pub fn of(config: &Config) -> Bounds {
+    pub fn for_config(config: &Config) -> Bounds {
         // Some tens of KiB a set-up at the worst: a quarter of the memory may wait for answers.
         let open =
             ((config.limits.memory_mb as usize).saturating_mul(1024) / 4 / 32).clamp(64, 65_536);
@@ -155,20 +155,20 @@
         // Another quarter of the memory may wait for readers.
         let unread = (config.limits.memory_mb as usize).saturating_mul(1 << 20) / 4;
         Bounds {
-            open,
-            open_each: (open / 4).clamp(16, 256),
+            open_requests: open,
+            open_requests_per_client: (open / 4).clamp(16, 256),
             // A KiB each, in an eighth of the memory. Danger: the end of one beyond that is told by nobody.
-            standing: ((config.limits.memory_mb as usize).saturating_mul(1024) / 8).max(1024),
-            links: 1,
+            running_tasks: ((config.limits.memory_mb as usize).saturating_mul(1024) / 8).max(1024),
+            connections_per_node: 1,
             connections,
-            all_links: Bounds::links(connections, owners, 0),
-            owners,
-            unread,
-            test_every: 0,
-            test_within: 0,
-            lost_after: Bounds::TOLD_WITHIN / 2,
-            keep_ends: Bounds::TOLD_WITHIN,
-            doubt: Bounds::PASSED_ON_WITHIN / 2,
+            node_connections: Bounds::links(connections, owners, 0),
+            client_connections: owners,
+            send_buffer_bytes: unread,
+            health_check_interval: 0,
+            health_check_timeout: 0,
+            unreachable_timeout: Bounds::TOLD_WITHIN / 2,
+            notification_retention: Bounds::TOLD_WITHIN,
+            ambiguity_timeout: Bounds::PASSED_ON_WITHIN / 2,
         }
         .tested_by(config.dial_timeout())
     }
@@ -178,11 +178,11 @@
     /// where they are slow, a host that is well would count as lost before its test is answered. A host may be silent for
     /// two rounds before it is tested, and then has its time.
     pub fn tested_by(self, dial_timeout: Micros) -> Bounds {
-        let test_every = (dial_timeout * 4).min(self.lost_after / 4);
-        let test_within = (dial_timeout * 2).min(self.lost_after / 8 * 3);
+        let test_every = (dial_timeout * 4).min(self.unreachable_timeout / 4);
+        let test_within = (dial_timeout * 2).min(self.unreachable_timeout / 8 * 3);
         Bounds {
-            test_every,
-            test_within,
+            health_check_interval: test_every,
+            health_check_timeout: test_within,
             ..self
         }
     }
@@ -228,7 +228,7 @@
 #[derive(Debug)]
 struct Try {
     machine: NodeId,
-    link: LinkId,
+    link: NodeConnectionId,
     stage: Stage,
     expires: Micros,
 }
@@ -258,10 +258,10 @@
     /// The id before its owner handed it over under another one.
     former: Option<u64>,
     task: TaskKey,
-    owner: OwnerId,
+    owner: ClientId,
     came: Micros,
     deadline: Micros,
-    life: Life,
+    life: RequestState,
     placed_at: Micros,
     body: Option<Body>,
     tries: Vec<Try>,
@@ -282,7 +282,7 @@
 struct Doubt {
     word: Message,
     /// The test that clears it, and the connection it went over.
-    asked: Option<(LinkId, u64)>,
+    asked: Option<(NodeConnectionId, u64)>,
 }
 
 #[derive(Debug, Default)]
@@ -299,7 +299,7 @@
     Module(u64),
     Try(RequestId, u16),
     Deadline(RequestId),
-    Doubt(RequestId, LinkId, u64),
+    Doubt(RequestId, NodeConnectionId, u64),
     Watch(NodeId),
     Redial(NodeId),
     Forget(NodeId),
@@ -307,7 +307,7 @@
 
 /// One controller on the platform, around a decision module.
 #[derive(Debug)]
-pub struct Desk<D> {
+pub struct PlatformEngine<D> {
     module: D,
     settings: Settings,
     shape: RecordSchema,
@@ -319,12 +319,12 @@
     wires: BTreeMap<u64, RequestId>,
     /// Asks that are over, to be forgotten once the module has been told.
     over: Vec<RequestId>,
-    owners: BTreeMap<OwnerId, Owner>,
+    owners: BTreeMap<ClientId, Owner>,
     line: Line,
     /// Ends that no connection could be found for, and until when they are worth telling.
     untold: VecDeque<(Micros, Bytes)>,
     hosts: Hosts,
-    alarms: Alarms<Alarm>,
+    alarms: Timers<Alarm>,
     late: Late,
     next_request: u64,
     open: usize,
@@ -332,7 +332,7 @@
     out: Vec<Output>,
 }
 
-impl<D: Decide> Desk<D> {
+impl<D: Decide> PlatformEngine<D> {
     /// A desk that has just started.
     pub fn new(
         module: D,
@@ -340,14 +340,14 @@
         shape: RecordSchema,
         bounds: Bounds,
         seed: u64,
-    ) -> Desk<D> {
+    ) -> PlatformEngine<D> {
         let longest = settings
             .classes
             .iter()
             .map(|c| c.deadline)
             .max()
             .unwrap_or(0);
-        Desk {
+        PlatformEngine {
             late: Late::new(longest),
             module,
             settings,
@@ -363,7 +363,7 @@
             line: Line::default(),
             untold: VecDeque::new(),
             hosts: Hosts::new(seed),
-            alarms: Alarms::default(),
+            alarms: Timers::default(),
             next_request: 1,
             open: 0,
             counters: Counters::default(),
@@ -375,9 +375,9 @@
     pub fn handle(&mut self, now: Micros, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         match input {
-            Input::Begin(entries) => self.begin(entries),
-            Input::List(entries) => self.on_list(entries),
-            Input::ListFailed => {
+            Input::Start(entries) => self.begin(entries),
+            Input::EndpointEvents(entries) => self.on_list(entries),
+            Input::EndpointWatchFailed => {
                 let (scope, version, lines) = (ListUpdateKind::Failed, 0, Vec::new());
                 self.events.push(Event::NodeList {
                     kind: scope,
@@ -385,29 +385,30 @@
                     entries: lines,
                 });
             }
-            Input::Owner(owner, message) => self.on_owner(owner, message),
-            Input::Turn => {
+            Input::ClientMessage(owner, message) => self.on_owner(owner, message),
+            Input::AdmitNext => {
                 if let Some((owner, came, message)) = self.line.next() {
                     self.on_set_up(owner, came, &message);
                 }
             }
-            Input::OwnerGone(owner) => self.on_owner_gone(owner),
-            Input::Owners(open) => {
+            Input::ClientDisconnected(owner) => self.on_owner_gone(owner),
+            Input::ClientCount(open) => {
                 let Bounds {
                     connections,
-                    owners,
+                    client_connections: owners,
                     ..
                 } = self.bounds;
-                self.bounds.all_links = Bounds::links(connections, owners, open);
-                self.hosts.keep_to(self.bounds.all_links, &mut self.out);
+                self.bounds.node_connections = Bounds::links(connections, owners, open);
+                self.hosts
+                    .keep_to(self.bounds.node_connections, &mut self.out);
             }
-            Input::LinkUp(link) => self.on_link_up(link),
-            Input::Host(link, message) => self.on_host(link, &message),
-            Input::LinkDown(link, how) => self.on_link_down(link, how),
+            Input::NodeConnected(link) => self.on_link_up(link),
+            Input::NodeMessage(link, message) => self.on_host(link, &message),
+            Input::NodeDisconnected(link, how) => self.on_link_down(link, how),
             Input::Tick(until) => {
                 self.late.seen(self.now, until);
                 let until = until.min(self.now);
-                while let Some(alarm) = self.alarms.due(until) {
+                while let Some(alarm) = self.alarms.pop_due(until) {
                     self.on_alarm(alarm);
                 }
                 // Danger: where little of a core is left, the line may be longer than its owners wait.
@@ -423,7 +424,7 @@
     /// When it wants to be called at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
         let batch = (!self.events.is_empty()).then(|| self.next_batch());
-        [self.alarms.next(), self.line.next_end(), batch]
+        [self.alarms.next_deadline(), self.line.next_end(), batch]
             .into_iter()
             .flatten()
             .min()
@@ -435,32 +436,32 @@
     }
 
     /// Set-ups without an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open + self.line.len()
     }
 
     /// A set-up waits for its turn.
-    pub fn has_waiting(&self) -> bool {
+    pub fn has_queued_requests(&self) -> bool {
         self.line.len() > 0
     }
 
     /// Tasks that stand.
-    pub fn standing(&self) -> usize {
+    pub fn running_tasks(&self) -> usize {
         self.hosts.standing()
     }
 
     /// Hosts that something is kept of.
-    pub fn hosts(&self) -> usize {
+    pub fn known_nodes(&self) -> usize {
         self.hosts.len()
     }
 
     /// An owner's connection has a set-up without an answer.
-    pub fn is_waited_for(&self, owner: OwnerId) -> bool {
+    pub fn has_open_requests(&self, owner: ClientId) -> bool {
         self.line.of(owner) > 0 || self.owners.get(&owner).is_some_and(|o| !o.open.is_empty())
     }
 
     /// An owner's connection has brought a set-up that could be used.
-    pub fn is_usual(&self, owner: OwnerId) -> bool {
+    pub fn has_sent_request(&self, owner: ClientId) -> bool {
         self.owners.get(&owner).is_some_and(|o| o.usual)
     }
 
@@ -489,7 +490,7 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::WatchNodes => self.out.push(Output::Watch),
+            Action::WatchNodes => self.out.push(Output::WatchEndpoints),
             Action::Dispatch {
                 request,
                 node: machine,
@@ -517,9 +518,9 @@
                 }
             }
             Action::Migrate(request) => self.move_on(request),
-            Action::SetTimer { label, at } => {
-                self.alarms.set(at.max(self.now + 1), Alarm::Module(label))
-            }
+            Action::SetTimer { label, at } => self
+                .alarms
+                .schedule(at.max(self.now + 1), Alarm::Module(label)),
             Action::Log(line) => self.out.push(Output::Log(line)),
             // Hosts here have no load to be asked for, and controllers no way to each other.
             Action::Probe(_) | Action::Broadcast(_) => {}
@@ -558,7 +559,7 @@
 
     // ---- The list ----
 
-    fn begin(&mut self, entries: Vec<Entry>) {
+    fn begin(&mut self, entries: Vec<EndpointEvent>) {
         let version = entries.last().map_or(0, |e| e.pos);
         for hosts in entries.into_iter().filter_map(|e| e.hosts) {
             self.hosts.learn(&hosts, &self.shape);
@@ -571,7 +572,7 @@
         });
     }
 
-    fn on_list(&mut self, entries: Vec<Entry>) {
+    fn on_list(&mut self, entries: Vec<EndpointEvent>) {
         if entries.is_empty() {
             // A call that brings nothing new is answered all the same.
             let version = self.hosts.version;
@@ -614,49 +615,52 @@
             }
             for machine in news.gone {
                 // What it still has to say on an open connection comes first.
-                self.alarms
-                    .set(self.now + self.bounds.test_within, Alarm::Forget(machine));
+                self.alarms.schedule(
+                    self.now + self.bounds.health_check_timeout,
+                    Alarm::Forget(machine),
+                );
             }
         }
     }
 
     // ---- Owners ----
 
-    fn on_owner(&mut self, from: OwnerId, message: Message) {
+    fn on_owner(&mut self, from: ClientId, message: Message) {
         match message.kind {
             // Danger: hundreds of set-ups that come at once take long, and words of hosts, alarms and the set-ups of
             // others would come after them all. What stands already has to be known at once, and so has what is beyond
             // a bound.
-            Kind::SetUp if read::names_host(&message) || self.is_full(from) => {
+            MessageKind::SetUp if read::names_host(&message) || self.is_full(from) => {
                 self.on_set_up(from, self.now, &message);
             }
-            Kind::SetUp => {
+            MessageKind::SetUp => {
                 let deadline = self.now.saturating_add(read::wait(&message).unwrap_or(0));
                 self.line
                     .push(from, self.now, self.answer_by(self.now, deadline), message);
             }
-            Kind::Test => {
-                let passed = Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]);
-                self.out.push(Output::Reply(from, passed.encode()));
+            MessageKind::Test => {
+                let passed = Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]);
+                self.out.push(Output::SendToClient(from, passed.encode()));
             }
-            Kind::Release => self.on_owner_release(from, &message),
+            MessageKind::Release => self.on_owner_release(from, &message),
             // Nothing that an owner would send, or nothing that means anything.
-            Kind::Progress
-            | Kind::Answer
-            | Kind::Heard
-            | Kind::Note
-            | Kind::Move
-            | Kind::Tested => {}
+            MessageKind::Progress
+            | MessageKind::Answer
+            | MessageKind::Heard
+            | MessageKind::Note
+            | MessageKind::Move
+            | MessageKind::Tested => {}
         }
     }
 
     /// No more set-ups of this connection are taken.
-    fn is_full(&self, from: OwnerId) -> bool {
+    fn is_full(&self, from: ClientId) -> bool {
         let of_it = self.owners.get(&from).map_or(0, |o| o.open.len()) + self.line.of(from);
-        of_it >= self.bounds.open_each || self.open() >= self.bounds.open
+        of_it >= self.bounds.open_requests_per_client
+            || self.open_requests() >= self.bounds.open_requests
     }
 
-    fn on_set_up(&mut self, from: OwnerId, came: Micros, message: &Message) {
+    fn on_set_up(&mut self, from: ClientId, came: Micros, message: &Message) {
         let read = read::set_up(message, &self.settings, &self.shape);
         let turn_away = Message::release(message.id, cause::TURNED_AWAY).encode();
         let (mut request, at, body) = match read {
@@ -666,7 +670,7 @@
                 // One that names a host is answered by nobody; neither is one that would answer for another.
                 let held = self.wires.get(&message.id).and_then(|r| self.asks.get(r));
                 if held.is_none_or(|a| a.owner != from) && !read::names_host(message) {
-                    self.out.push(Output::Reply(from, turn_away));
+                    self.out.push(Output::SendToClient(from, turn_away));
                 }
                 return;
             }
@@ -678,7 +682,7 @@
             if held.is_none() {
                 match self.hosts.holding(machine, request.task) {
                     Some(known) => self.rename(known, from, message.id),
-                    None if self.hosts.standing() < self.bounds.standing => {
+                    None if self.hosts.standing() < self.bounds.running_tasks => {
                         self.stand(from, message.id, request, machine);
                     }
                     None => {}
@@ -691,13 +695,13 @@
             // only one that may carry the id.
             self.counters.unusable += 1;
             if held.is_some_and(|h| h.owner != from) {
-                self.out.push(Output::Reply(from, turn_away));
+                self.out.push(Output::SendToClient(from, turn_away));
             }
             return;
         }
         if self.is_full(from) {
             self.counters.surplus += 1;
-            self.out.push(Output::Reply(from, turn_away));
+            self.out.push(Output::SendToClient(from, turn_away));
             return;
         }
         let owner = self.owners.entry(from).or_default();
@@ -710,8 +714,8 @@
         let deadline = came.saturating_add(request.deadline_in);
         request.deadline_in = self.answer_by(came, deadline).saturating_sub(self.now);
         // The owner gives up by itself; this is for one that is cut off.
-        self.alarms.set(
-            deadline.saturating_add(self.settings.answer_slack + self.bounds.test_every),
+        self.alarms.schedule(
+            deadline.saturating_add(self.settings.answer_slack + self.bounds.health_check_interval),
             Alarm::Deadline(request.id),
         );
         self.wires.insert(message.id, request.id);
@@ -722,7 +726,7 @@
             owner: from,
             came,
             deadline,
-            life: Life::Waiting,
+            life: RequestState::Pending,
             placed_at: 0,
             body: Some(body),
             tries: Vec::new(),
@@ -743,7 +747,7 @@
     /// A task that a host holds already is this controller's from now on.
     fn stand(
         &mut self,
-        from: OwnerId,
+        from: ClientId,
         wire: u64,
         request: peppercove::PlacementRequest,
         machine: NodeId,
@@ -751,7 +755,7 @@
         let id = request.id;
         self.next_request += 1;
         self.owners.entry(from).or_default().usual = true;
-        let (task, link) = (request.task, LinkId(0));
+        let (task, link) = (request.task, NodeConnectionId(0));
         let first = Try {
             machine,
             link,
@@ -765,7 +769,7 @@
             owner: from,
             came: self.now,
             deadline: self.now,
-            life: Life::Placed(0),
+            life: RequestState::Placed(0),
             placed_at: self.now,
             body: None,
             tries: vec![first],
@@ -784,7 +788,7 @@
     /// A task that is held already is handed over under another id: its owner did not learn where it stands, or was told
     /// that it is over, and has found it there. Danger: its host speaks of it by the new id from now on; unknown, the end
     /// would be told to nobody. Words of the host that cross this still carry the former one.
-    fn rename(&mut self, request: RequestId, from: OwnerId, wire: u64) {
+    fn rename(&mut self, request: RequestId, from: ClientId, wire: u64) {
         self.owners.entry(from).or_default().usual = true;
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
@@ -801,7 +805,7 @@
         }
     }
 
-    fn on_owner_release(&mut self, from: OwnerId, message: &Message) {
+    fn on_owner_release(&mut self, from: ClientId, message: &Message) {
         if self.line.give_up(from, message.id) {
             self.counters.abandoned += 1;
         }
@@ -813,10 +817,12 @@
         };
         match ask.life {
             // A set-up is given up on its own connection alone: an id is no proof of who sends it.
-            Life::Waiting | Life::Offered(_) if ask.owner == from => self.abandon(request),
-            Life::Waiting | Life::Offered(_) | Life::Over => {}
+            RequestState::Pending | RequestState::Dispatched(_) if ask.owner == from => {
+                self.abandon(request)
+            }
+            RequestState::Pending | RequestState::Dispatched(_) | RequestState::Completed => {}
             // A standing task belongs to no connection. Its host is told, and owes its owner nothing.
-            Life::Placed(_) => {
+            RequestState::Placed(_) => {
                 self.cut(
                     request,
                     AttemptOutcome::Cancelled,
@@ -826,7 +832,7 @@
         }
     }
 
-    fn on_owner_gone(&mut self, owner: OwnerId) {
+    fn on_owner_gone(&mut self, owner: ClientId) {
         self.line.forget(owner);
         let Some(gone) = self.owners.remove(&owner) else {
             return;
@@ -837,7 +843,7 @@
         // Danger: an end that crosses the close of its connection is told to nobody, and its owner holds the task for
         // running. Hosts say theirs twice for the same reason.
         for (at, frame) in gone.told {
-            if at.saturating_add(self.bounds.test_within) > self.now {
+            if at.saturating_add(self.bounds.health_check_timeout) > self.now {
                 self.tell(owner, frame);
             }
         }
@@ -859,10 +865,10 @@
             return;
         }
         let out = match ask.life {
-            Life::Offered(n) => Some(n),
+            RequestState::Dispatched(n) => Some(n),
             _ => None,
         };
-        let stepped = ask.life.step(Life::Over);
+        let stepped = ask.life.transition_to(RequestState::Completed);
         debug_assert!(stepped.is_ok());
         ask.body = None;
         self.open -= 1;
@@ -882,7 +888,8 @@
             return false;
         };
         message.id = ask.wire;
-        self.out.push(Output::Reply(ask.owner, message.encode()));
+        self.out
+            .push(Output::SendToClient(ask.owner, message.encode()));
         self.close(request);
         true
     }
@@ -900,12 +907,12 @@
         let attempt = ask.tries.len() as u16;
         let expires = timeout.map_or(answer_by, |t| self.now.saturating_add(t).min(answer_by));
         let over = !ask.life.is_open();
-        let possible = ask.life == Life::Waiting
+        let possible = ask.life == RequestState::Pending
             && ask.tries.len() < self.settings.max_attempts as usize
             && expires > self.now;
         ask.tries.push(Try {
             machine,
-            link: LinkId(0),
+            link: NodeConnectionId(0),
             stage: Stage::Settled,
             expires,
         });
@@ -921,7 +928,7 @@
             );
             return;
         }
-        let carried: Vec<LinkId> = ask.tries.iter().map(|t| t.link).collect();
+        let carried: Vec<NodeConnectionId> = ask.tries.iter().map(|t| t.link).collect();
         let Some(link) =
             self.hosts
                 .link_for(machine, &carried, self.now, self.bounds, &mut self.out)
@@ -940,11 +947,11 @@
         self.counters.binds += 1;
         // What was said before this attempt is not of it.
         ask.doubtful = None;
-        let stepped = ask.life.step(Life::Offered(attempt));
+        let stepped = ask.life.transition_to(RequestState::Dispatched(attempt));
         debug_assert!(stepped.is_ok());
         let new = &mut ask.tries[usize::from(attempt)];
         (new.link, new.stage) = (link, Stage::Queued);
-        self.alarms.set(expires, Alarm::Try(request, attempt));
+        self.alarms.schedule(expires, Alarm::Try(request, attempt));
         self.hosts.queue(link, request, attempt);
         self.look_after(machine);
         if self.hosts.is_up(link) {
@@ -953,7 +960,7 @@
     }
 
     /// Writes the set-ups that waited for their connection.
-    fn send_queued(&mut self, link: LinkId) {
+    fn send_queued(&mut self, link: NodeConnectionId) {
         for (request, attempt) in self.hosts.queued(link) {
             let Some(ask) = self.asks.get_mut(&request) else {
                 continue;
@@ -968,7 +975,7 @@
             let Some(body) = &ask.body else { continue };
             // Rounded up: a host that stops early would turn away what this side still waits for.
             let wait = t.expires.saturating_sub(self.now).div_ceil(1000);
-            let mut message = Message::new(Kind::SetUp, ask.wire)
+            let mut message = Message::new(MessageKind::SetUp, ask.wire)
                 .with(code::CLASS, &body.class)
                 .with(code::WAIT, wait.to_string().as_bytes())
                 .with(code::TASK, &body.task);
@@ -981,7 +988,7 @@
             let frame = message.encode();
             t.stage = Stage::Out(self.hosts.sent(link, frame.len()));
             self.hosts.out(link, request, attempt);
-            self.out.push(Output::Send(link, frame));
+            self.out.push(Output::SendToNode(link, frame));
         }
     }
 
@@ -1022,11 +1029,11 @@
     }
 
     /// Tells a host to give an attempt up, where its connection is up.
-    fn release(&mut self, link: LinkId, wire: u64) {
+    fn release(&mut self, link: NodeConnectionId, wire: u64) {
         if self.hosts.is_up(link) {
             let frame = Message::release(wire, cause::ORDINARY).encode();
             self.hosts.sent(link, frame.len());
-            self.out.push(Output::TakeBack(link, frame));
+            self.out.push(Output::Cancel(link, frame));
         }
     }
 
@@ -1041,7 +1048,7 @@
         t.stage = stage;
         self.hosts.off(t.link, request, attempt);
         if !over {
-            let stepped = ask.life.step(Life::Waiting);
+            let stepped = ask.life.transition_to(RequestState::Pending);
             debug_assert!(stepped.is_ok());
         }
     }
@@ -1082,7 +1089,7 @@
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
         };
-        if ask.life.step(Life::Over).is_err() {
+        if ask.life.transition_to(RequestState::Completed).is_err() {
             return;
         }
         let Some(machine) = ask.tries.get(usize::from(attempt)).map(|t| t.machine) else {
@@ -1108,7 +1115,7 @@
     }
 
     /// Tells an end to its owner. Where its connection is closed, any other will do: none owns a standing task.
-    fn tell(&mut self, owner: OwnerId, frame: Bytes) {
+    fn tell(&mut self, owner: ClientId, frame: Bytes) {
         let own = self.owners.contains_key(&owner).then_some(owner);
         let other = || {
             self.owners
@@ -1118,27 +1125,29 @@
                 .map(|(id, _)| *id)
         };
         let Some(to) = own.or_else(other) else {
-            self.untold
-                .push_back((self.now.saturating_add(self.bounds.keep_ends), frame));
+            self.untold.push_back((
+                self.now.saturating_add(self.bounds.notification_retention),
+                frame,
+            ));
             // Each is the end of a task that stood. Danger: one that is dropped is never told.
-            while self.untold.len() > self.bounds.standing {
+            while self.untold.len() > self.bounds.running_tasks {
                 self.untold.pop_front();
             }
             return;
         };
         if let Some(owner) = self.owners.get_mut(&to) {
-            let late = self.now.saturating_sub(self.bounds.test_within);
+            let late = self.now.saturating_sub(self.bounds.health_check_timeout);
             owner.told.retain(|(at, _)| *at > late);
             owner.told.push_back((self.now, frame.clone()));
         }
-        self.out.push(Output::Reply(to, frame));
+        self.out.push(Output::SendToClient(to, frame));
     }
 
     /// Ends that nobody could be told are told to the first owner that comes.
-    fn tell_untold(&mut self, owner: OwnerId) {
+    fn tell_untold(&mut self, owner: ClientId) {
         for (until, frame) in std::mem::take(&mut self.untold) {
             if until > self.now {
-                self.out.push(Output::Reply(owner, frame));
+                self.out.push(Output::SendToClient(owner, frame));
             }
         }
     }
@@ -1149,7 +1158,9 @@
         let Some(ask) = self.asks.get_mut(&request).filter(|a| a.cut.is_none()) else {
             return;
         };
-        let Life::Placed(_) = ask.life else { return };
+        let RequestState::Placed(_) = ask.life else {
+            return;
+        };
         (ask.cut, ask.doubtful) = (Some(Cut { outcome, cause }), None);
         self.bring_cut(request);
     }
@@ -1159,7 +1170,7 @@
         let Some(ask) = self.asks.get(&request) else {
             return;
         };
-        let Life::Placed(attempt) = ask.life else {
+        let RequestState::Placed(attempt) = ask.life else {
             return;
         };
         let Some(t) = ask.tries.get(usize::from(attempt)) else {
@@ -1180,7 +1191,7 @@
     }
 
     /// Cuts a task over a connection, and asks whether that was read: where the connection ends before, it is told again.
-    fn send_cut(&mut self, link: LinkId, request: RequestId) {
+    fn send_cut(&mut self, link: NodeConnectionId, request: RequestId) {
         let Some(ask) = self.asks.get(&request) else {
             return;
         };
@@ -1197,7 +1208,7 @@
         let Some(ask) = self.asks.get(&request) else {
             return;
         };
-        if let (Some(Cut { outcome, .. }), Life::Placed(attempt)) = (ask.cut, ask.life) {
+        if let (Some(Cut { outcome, .. }), RequestState::Placed(attempt)) = (ask.cut, ask.life) {
             self.finish(request, attempt, outcome, EndReason::Unknown, None);
         }
     }
@@ -1206,11 +1217,13 @@
         let Some(ask) = self.asks.get(&request).filter(|a| a.cut.is_none()) else {
             return;
         };
-        let Life::Placed(_) = ask.life else { return };
+        let RequestState::Placed(_) = ask.life else {
+            return;
+        };
         let (owner, wire) = (ask.owner, ask.wire);
-        self.out.push(Output::Reply(
+        self.out.push(Output::SendToClient(
             owner,
-            Message::new(Kind::Move, wire).encode(),
+            Message::new(MessageKind::Move, wire).encode(),
         ));
         self.cut(request, AttemptOutcome::Cancelled, cause::CALLED_OFF);
     }
@@ -1224,8 +1237,10 @@
     /// Connections of this machine are watched from now on, while anything of ours is there.
     fn look_after(&mut self, machine: NodeId) {
         if self.hosts.look_after(machine, self.now) {
-            self.alarms
-                .set(self.now + self.bounds.test_every, Alarm::Watch(machine));
+            self.alarms.schedule(
+                self.now + self.bounds.health_check_interval,
+                Alarm::Watch(machine),
+            );
         }
     }
 
@@ -1235,7 +1250,7 @@
             let Some(ask) = self.asks.get(&request) else {
                 continue;
             };
-            let Life::Placed(attempt) = ask.life else {
+            let RequestState::Placed(attempt) = ask.life else {
                 continue;
             };
             if ask.cut.is_some() {
@@ -1272,21 +1287,24 @@
     // ---- Connections to hosts ----
 
     /// Writes to a host; returns how many bytes went before on that connection.
-    fn send(&mut self, link: LinkId, message: &Message) -> u64 {
+    fn send(&mut self, link: NodeConnectionId, message: &Message) -> u64 {
         let frame = message.encode();
         let before = self.hosts.sent(link, frame.len());
-        self.out.push(Output::Send(link, frame));
+        self.out.push(Output::SendToNode(link, frame));
         before
     }
 
     /// Tests a connection; returns the test's id.
-    fn test(&mut self, link: LinkId) -> u64 {
+    fn test(&mut self, link: NodeConnectionId) -> u64 {
         let id = self.hosts.tested(link, self.now);
-        self.send(link, &Message::new(Kind::Test, id).with(code::CAUSE, &[0]));
+        self.send(
+            link,
+            &Message::new(MessageKind::Test, id).with(code::CAUSE, &[0]),
+        );
         id
     }
 
-    fn on_link_up(&mut self, link: LinkId) {
+    fn on_link_up(&mut self, link: NodeConnectionId) {
         if let Some(machine) = self.hosts.up(link, self.now) {
             self.send_owed(machine);
         }
@@ -1302,7 +1320,7 @@
         }
     }
 
-    fn on_link_down(&mut self, link: LinkId, how: Down) {
+    fn on_link_down(&mut self, link: NodeConnectionId, how: Disconnect) {
         let Some(down) = self.hosts.down(link) else {
             return;
         };
@@ -1316,9 +1334,13 @@
             let outcome = match (t.stage, how) {
                 (Stage::Queued, _) => AttemptOutcome::Unreachable,
                 // Not one byte of it had left.
-                (Stage::Out(at), Down::Broke { written, .. }) if written <= at => {
-                    AttemptOutcome::Unreachable
-                }
+                (
+                    Stage::Out(at),
+                    Disconnect::Broken {
+                        bytes_written: written,
+                        ..
+                    },
+                ) if written <= at => AttemptOutcome::Unreachable,
                 (Stage::Out(_), _) => AttemptOutcome::Lost,
                 (Stage::Settled | Stage::Loose, _) => continue,
             };
@@ -1338,18 +1360,18 @@
                 None,
             );
         }
-        if how == Down::Refused || self.hosts.is_gone(down.machine) {
+        if how == Disconnect::Refused || self.hosts.is_gone(down.machine) {
             // No process is there any more: its tasks went with it.
             self.lose(down.machine, Micros::MAX);
         }
-        if !matches!(how, Down::Broke { whole: true, .. }) {
+        if !matches!(how, Disconnect::Broken { is_clean: true, .. }) {
             self.hosts.missed(down.machine);
         }
         // Danger: with another connection up none is dialled, and a cut that its host never read would wait for good.
         self.send_owed(down.machine);
         if let Some(wait) = self.hosts.wait_to_redial(down.machine) {
             self.alarms
-                .set(self.now + wait, Alarm::Redial(down.machine));
+                .schedule(self.now + wait, Alarm::Redial(down.machine));
         }
     }
 
@@ -1364,12 +1386,14 @@
             // Danger: a set-up may name any host; one that no list has named is forgotten with its last task.
             return self.hosts.forget(machine);
         };
-        self.alarms
-            .set(self.now + self.bounds.test_every, Alarm::Watch(machine));
+        self.alarms.schedule(
+            self.now + self.bounds.health_check_interval,
+            Alarm::Watch(machine),
+        );
         for link in watched.test {
             self.test(link);
         }
-        self.out.extend(watched.hang.into_iter().map(Output::Hang));
+        self.out.extend(watched.hang.into_iter().map(Output::Close));
         // Danger: no descriptor was free when its connection was to be dialled anew, and nothing else would ask again.
         self.redial(machine);
         if watched.lost {
@@ -1384,27 +1408,33 @@
         }
         self.lose(machine, Micros::MAX);
         let links = self.hosts.links_of(machine);
-        self.out.extend(links.into_iter().map(Output::Hang));
+        self.out.extend(links.into_iter().map(Output::Close));
         self.hosts.forget(machine);
     }
 
     // ---- Words of hosts ----
 
-    fn on_host(&mut self, link: LinkId, message: &Message) {
+    fn on_host(&mut self, link: NodeConnectionId, message: &Message) {
         let Some(machine) = self.hosts.heard(link, self.now) else {
             return;
         };
         match message.kind {
-            Kind::Tested => self.on_tested(link, message.id),
-            Kind::Answer | Kind::Release | Kind::Note => self.on_word(link, machine, message),
+            MessageKind::Tested => self.on_tested(link, message.id),
+            MessageKind::Answer | MessageKind::Release | MessageKind::Note => {
+                self.on_word(link, machine, message)
+            }
             // Nothing that a host would send, or nothing that means anything.
-            Kind::SetUp | Kind::Progress | Kind::Test | Kind::Move | Kind::Heard => {}
+            MessageKind::SetUp
+            | MessageKind::Progress
+            | MessageKind::Test
+            | MessageKind::Move
+            | MessageKind::Heard => {}
         }
     }
 
     /// A host has read all that was written on a connection before a test. Words in doubt that it said over another
     /// one before are not of attempts on this one.
-    fn on_tested(&mut self, link: LinkId, test: u64) {
+    fn on_tested(&mut self, link: NodeConnectionId, test: u64) {
         for request in self.hosts.read(link, test) {
             self.is_cut(request);
         }
@@ -1417,12 +1447,12 @@
         }
     }
 
-    fn in_doubt(&self, request: RequestId, link: LinkId, test: u64) -> bool {
+    fn in_doubt(&self, request: RequestId, link: NodeConnectionId, test: u64) -> bool {
         let doubt = self.asks.get(&request).and_then(|a| a.doubtful.as_ref());
         doubt.is_some_and(|d| d.asked == Some((link, test)))
     }
 
-    fn on_word(&mut self, link: LinkId, machine: NodeId, message: &Message) {
+    fn on_word(&mut self, link: NodeConnectionId, machine: NodeId, message: &Message) {
         let ask = self
             .wires
             .get(&message.id)
@@ -1438,8 +1468,8 @@
     /// A word of a host on the attempt that is out or that placed its task.
     fn word(&mut self, request: RequestId, attempt: u16, machine: NodeId, message: &Message) {
         match message.kind {
-            Kind::Answer => self.on_answer(request, attempt, machine, message),
-            Kind::Release => self.on_release(request, attempt, machine, message),
+            MessageKind::Answer => self.on_answer(request, attempt, machine, message),
+            MessageKind::Release => self.on_release(request, attempt, machine, message),
             _ => {
                 if let Some(note) = read::note(message) {
                     self.events.push(Event::TaskUpdated {
@@ -1458,7 +1488,7 @@
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
         };
-        if message.kind != Kind::Release || ask.doubtful.is_some() {
+        if message.kind != MessageKind::Release || ask.doubtful.is_some() {
             return;
         }
         ask.doubtful = Some(Doubt {
@@ -1489,8 +1519,8 @@
                 doubt.asked = Some((link, test));
             }
             self.hosts.doubted(link, test, request);
-            self.alarms.set(
-                self.now + self.bounds.doubt,
+            self.alarms.schedule(
+                self.now + self.bounds.ambiguity_timeout,
                 Alarm::Doubt(request, link, test),
             );
         } else {
@@ -1507,7 +1537,7 @@
         let Some(Doubt { word, .. }) = ask.doubtful.take() else {
             return;
         };
-        let Life::Placed(attempt) = ask.life else {
+        let RequestState::Placed(attempt) = ask.life else {
             return;
         };
         let Some(machine) = ask.tries.get(usize::from(attempt)).map(|t| t.machine) else {
@@ -1521,7 +1551,9 @@
             return;
         };
         // A second copy says nothing new.
-        let Life::Offered(_) = ask.life else { return };
+        let RequestState::Dispatched(_) = ask.life else {
+            return;
+        };
         let Some(description) = message.get(code::DESCRIPTION) else {
             // It has no description to be passed on: the task may stand, but cannot be answered for.
             let (link, wire) = (ask.tries[usize::from(attempt)].link, ask.wire);
@@ -1539,8 +1571,8 @@
             return;
         };
         let (owner, wire, early) = (ask.owner, ask.wire, ask.doubtful.is_some());
-        let answer = Message::new(Kind::Answer, wire).with(code::DESCRIPTION, description);
-        self.out.push(Output::Reply(owner, answer.encode()));
+        let answer = Message::new(MessageKind::Answer, wire).with(code::DESCRIPTION, description);
+        self.out.push(Output::SendToClient(owner, answer.encode()));
         self.counters.placed += 1;
         self.place(request, attempt, machine);
         if early {
@@ -1553,7 +1585,7 @@
         let Some(ask) = self.asks.get_mut(&request) else {
             return;
         };
-        let stepped = ask.life.step(Life::Placed(attempt));
+        let stepped = ask.life.transition_to(RequestState::Placed(attempt));
         debug_assert!(stepped.is_ok());
         (ask.placed_at, ask.body) = (self.now, None);
         let (owner, task) = (ask.owner, ask.task);
@@ -1587,7 +1619,7 @@
             return;
         };
         let failed = Message::release(ask.wire, cause::CUT).encode();
-        self.out.push(Output::Reply(ask.owner, failed));
+        self.out.push(Output::SendToClient(ask.owner, failed));
         self.counters.failed += 1;
         self.place(request, attempt, machine);
         self.finish(
--- a/crates/platform/src/desk/hosts.rs
+++ b/crates/platform/src/desk/hosts.rs
@@ -1,10 +1,10 @@
 //! Hosts by their ids, the connections to them, and the tasks that stand there.
 
-use super::{Bounds, LinkId, Output};
+use super::{Bounds, NodeConnectionId, Output};
 use crate::feed;
 use peppercove::wire::RecordSchema;
 use peppercove::{Micros, NodeEntry, NodeId, NodeStatus, RequestId, TaskKey};
-use peppercove_core::Retry;
+use peppercove_core::Backoff;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,16 +18,16 @@
     name: String,
     address: Option<SocketAddr>,
     line: NodeEntry,
-    links: Vec<LinkId>,
+    links: Vec<NodeConnectionId>,
     standing: BTreeMap<RequestId, TaskKey>,
     heard_at: Micros,
     watched: bool,
-    retry: Retry,
+    retry: Backoff,
     /// Tasks whose cut no connection could take yet, or whose connection ended before it was known to be read.
     owed: BTreeSet<RequestId>,
     /// A connection broke on which it may have said what was not heard. It says ends again over the next one opened: one
     /// of this id or a later one, for what was dialled before may have been opened there before it spoke.
-    missed: Option<LinkId>,
+    missed: Option<NodeConnectionId>,
 }
 
 #[derive(Debug)]
@@ -65,15 +65,15 @@
 /// What is to be done about silent connections.
 #[derive(Debug, Default)]
 pub(super) struct Watched {
-    pub(super) test: Vec<LinkId>,
-    pub(super) hang: Vec<LinkId>,
+    pub(super) test: Vec<NodeConnectionId>,
+    pub(super) hang: Vec<NodeConnectionId>,
     pub(super) lost: bool,
 }
 
 #[derive(Debug)]
 pub(super) struct Hosts {
     hosts: BTreeMap<NodeId, Host>,
-    links: BTreeMap<LinkId, Link>,
+    links: BTreeMap<NodeConnectionId, Link>,
     pub(super) version: u64,
     standing: usize,
     next_link: u64,
@@ -111,7 +111,7 @@
             standing: BTreeMap::new(),
             heard_at: 0,
             watched: false,
-            retry: Retry::new(REDIAL[0], REDIAL[1]),
+            retry: Backoff::new(REDIAL[0], REDIAL[1]),
             owed: BTreeSet::new(),
             missed: None,
         });
@@ -119,7 +119,7 @@
     }
 
     /// Takes an event of the list in.
-    pub(super) fn learn(&mut self, told: &feed::Hosts, shape: &RecordSchema) -> News {
+    pub(super) fn learn(&mut self, told: &feed::NodeListUpdate, shape: &RecordSchema) -> News {
         let mut news = News::default();
         let mut named = BTreeSet::new();
         for host in &told.servers {
@@ -278,16 +278,18 @@
             match link.tested_at {
                 // Danger: a connection can die without a word while its host is well. All that is out on it would
                 // wait out its patience, and more be sent after it.
-                Some(at) if at + bounds.test_within <= now => {
+                Some(at) if at + bounds.health_check_timeout <= now => {
                     link.hung = true;
                     watched.hang.push(*id);
                 }
                 Some(_) => {}
-                None if link.heard_at + bounds.test_every <= now => watched.test.push(*id),
+                None if link.heard_at + bounds.health_check_interval <= now => {
+                    watched.test.push(*id)
+                }
                 None => {}
             }
         }
-        watched.lost = host.heard_at + bounds.lost_after <= now;
+        watched.lost = host.heard_at + bounds.unreachable_timeout <= now;
         Some(watched)
     }
 
@@ -298,29 +300,29 @@
     pub(super) fn link_for(
         &mut self,
         machine: NodeId,
-        carried: &[LinkId],
+        carried: &[NodeConnectionId],
         now: Micros,
         bounds: Bounds,
         out: &mut Vec<Output>,
-    ) -> Option<LinkId> {
+    ) -> Option<NodeConnectionId> {
         let host = self.hosts.get(&machine)?;
-        let usable = |id: &&LinkId| {
+        let usable = |id: &&NodeConnectionId| {
             let works = |l: &Link| {
                 !l.hung
                     && l.tested_at
-                        .is_none_or(|at| at + bounds.test_within / 2 > now)
+                        .is_none_or(|at| at + bounds.health_check_timeout / 2 > now)
             };
             !carried.contains(id) && self.links.get(id).is_some_and(works)
         };
-        let load = |id: &LinkId| {
+        let load = |id: &NodeConnectionId| {
             self.links
                 .get(id)
                 .map_or(0, |l| l.out.len() + l.queued.len())
         };
-        let usable: Vec<LinkId> = host.links.iter().filter(usable).copied().collect();
+        let usable: Vec<NodeConnectionId> = host.links.iter().filter(usable).copied().collect();
         let best = usable.iter().copied().min_by_key(|id| (load(id), *id));
         match best {
-            Some(id) if load(&id) == 0 || usable.len() >= bounds.links => Some(id),
+            Some(id) if load(&id) == 0 || usable.len() >= bounds.connections_per_node => Some(id),
             _ => self.dial(machine, bounds, out).or(best),
         }
     }
@@ -349,17 +351,22 @@
             .min_by_key(|(_, l)| (needed(l), l.heard_at))
             .map(|(id, _)| *id)?;
         self.links.get_mut(&silent)?.hung = true;
-        out.push(Output::Hang(silent));
+        out.push(Output::Close(silent));
         Some(())
     }
 
-    fn dial(&mut self, machine: NodeId, bounds: Bounds, out: &mut Vec<Output>) -> Option<LinkId> {
+    fn dial(
+        &mut self,
+        machine: NodeId,
+        bounds: Bounds,
+        out: &mut Vec<Output>,
+    ) -> Option<NodeConnectionId> {
         let address = self.hosts.get(&machine)?.address?;
-        if self.links.len() >= bounds.all_links {
+        if self.links.len() >= bounds.node_connections {
             self.spare(out)?;
         }
         let host = self.hosts.get_mut(&machine)?;
-        let id = LinkId(self.next_link);
+        let id = NodeConnectionId(self.next_link);
         self.next_link += 1;
         host.links.push(id);
         let link = Link {
@@ -375,14 +382,14 @@
             hung: false,
         };
         self.links.insert(id, link);
-        out.push(Output::Dial(id, address));
+        out.push(Output::Connect(id, address));
         Some(id)
     }
 
     /// A connection broke, perhaps with words on it that were not read.
     pub(super) fn missed(&mut self, machine: NodeId) {
         if let Some(host) = self.hosts.get_mut(&machine) {
-            host.missed = Some(LinkId(self.next_link));
+            host.missed = Some(NodeConnectionId(self.next_link));
         }
     }
 
@@ -391,7 +398,7 @@
         let Some(host) = self.hosts.get(&machine) else {
             return;
         };
-        let hung = |id: &LinkId| self.links.get(id).is_none_or(|l| l.hung);
+        let hung = |id: &NodeConnectionId| self.links.get(id).is_none_or(|l| l.hung);
         let none = host
             .links
             .iter()
@@ -407,28 +414,28 @@
         if host.standing.is_empty() || !(host.missed.is_some() || host.links.is_empty()) {
             return None;
         }
-        let wait = host.retry.failed(self.rng.f64());
+        let wait = host.retry.next_delay(self.rng.f64());
         Some(u64::try_from(wait.as_micros()).unwrap_or(0))
     }
 
-    pub(super) fn links_of(&self, machine: NodeId) -> Vec<LinkId> {
+    pub(super) fn links_of(&self, machine: NodeId) -> Vec<NodeConnectionId> {
         self.hosts
             .get(&machine)
             .map(|h| h.links.clone())
             .unwrap_or_default()
     }
 
-    pub(super) fn is_up(&self, link: LinkId) -> bool {
+    pub(super) fn is_up(&self, link: NodeConnectionId) -> bool {
         self.links.get(&link).is_some_and(|l| l.up && !l.hung)
     }
 
-    pub(super) fn any_up(&self, machine: NodeId) -> Option<LinkId> {
+    pub(super) fn any_up(&self, machine: NodeId) -> Option<NodeConnectionId> {
         let host = self.hosts.get(&machine)?;
         host.links.iter().copied().find(|l| self.is_up(*l))
     }
 
     /// A connection came up: whose it is.
-    pub(super) fn up(&mut self, link: LinkId, now: Micros) -> Option<NodeId> {
+    pub(super) fn up(&mut self, link: NodeConnectionId, now: Micros) -> Option<NodeId> {
         let l = self.links.get_mut(&link)?;
         (l.up, l.heard_at) = (true, now);
         let host = self.hosts.get_mut(&l.machine)?;
@@ -447,7 +454,7 @@
     }
 
     /// Something came over a connection: whose it is.
-    pub(super) fn heard(&mut self, link: LinkId, now: Micros) -> Option<NodeId> {
+    pub(super) fn heard(&mut self, link: NodeConnectionId, now: Micros) -> Option<NodeId> {
         let l = self.links.get_mut(&link)?;
         (l.tested_at, l.heard_at) = (None, now);
         if let Some(host) = self.hosts.get_mut(&l.machine) {
@@ -456,7 +463,7 @@
         Some(l.machine)
     }
 
-    pub(super) fn down(&mut self, link: LinkId) -> Option<Fallen> {
+    pub(super) fn down(&mut self, link: NodeConnectionId) -> Option<Fallen> {
         let l = self.links.remove(&link)?;
         if let Some(host) = self.hosts.get_mut(&l.machine) {
             host.links.retain(|id| *id != link);
@@ -479,14 +486,14 @@
     }
 
     /// The cut of a task went out behind so many bytes.
-    pub(super) fn unread(&mut self, link: LinkId, at: u64, request: RequestId) {
+    pub(super) fn unread(&mut self, link: NodeConnectionId, at: u64, request: RequestId) {
         if let Some(l) = self.links.get_mut(&link) {
             l.unread.push((at, request));
         }
     }
 
     /// A test was passed: the tasks whose cut was read before it.
-    pub(super) fn read(&mut self, link: LinkId, test: u64) -> Vec<RequestId> {
+    pub(super) fn read(&mut self, link: NodeConnectionId, test: u64) -> Vec<RequestId> {
         let Some(l) = self.links.get_mut(&link) else {
             return Vec::new();
         };
@@ -500,7 +507,7 @@
 
     // ---- What is on a connection ----
 
-    pub(super) fn queue(&mut self, link: LinkId, request: RequestId, attempt: u16) {
+    pub(super) fn queue(&mut self, link: NodeConnectionId, request: RequestId, attempt: u16) {
         if let Some(l) = self.links.get_mut(&link) {
             l.queued.push((request, attempt));
         }
@@ -519,20 +526,20 @@
         links.flat_map(|l| l.queued.iter().copied()).collect()
     }
 
-    pub(super) fn queued(&mut self, link: LinkId) -> Vec<(RequestId, u16)> {
+    pub(super) fn queued(&mut self, link: NodeConnectionId) -> Vec<(RequestId, u16)> {
         self.links
             .get_mut(&link)
             .map(|l| std::mem::take(&mut l.queued))
             .unwrap_or_default()
     }
 
-    pub(super) fn out(&mut self, link: LinkId, request: RequestId, attempt: u16) {
+    pub(super) fn out(&mut self, link: NodeConnectionId, request: RequestId, attempt: u16) {
         if let Some(l) = self.links.get_mut(&link) {
             l.out.insert((request, attempt));
         }
     }
 
-    pub(super) fn off(&mut self, link: LinkId, request: RequestId, attempt: u16) {
+    pub(super) fn off(&mut self, link: NodeConnectionId, request: RequestId, attempt: u16) {
         if let Some(l) = self.links.get_mut(&link) {
             l.out.remove(&(request, attempt));
             l.queued.retain(|q| *q != (request, attempt));
@@ -541,7 +548,7 @@
 
     /// A connection is to be tested: the test's id. It tells how much was written before, so that what the host says to
     /// it shows what the host has read; 0 would be no id.
-    pub(super) fn tested(&mut self, link: LinkId, now: Micros) -> u64 {
+    pub(super) fn tested(&mut self, link: NodeConnectionId, now: Micros) -> u64 {
         let Some(l) = self.links.get_mut(&link) else {
             return 0;
         };
@@ -550,7 +557,11 @@
     }
 
     /// A test was passed: tasks that were in doubt until then, each with the test that was to clear it.
-    pub(super) fn passed(&mut self, link: LinkId, test: u64) -> BTreeSet<(u64, RequestId)> {
+    pub(super) fn passed(
+        &mut self,
+        link: NodeConnectionId,
+        test: u64,
+    ) -> BTreeSet<(u64, RequestId)> {
         let Some(l) = self.links.get_mut(&link) else {
             return BTreeSet::new();
         };
@@ -559,14 +570,14 @@
     }
 
     /// Something of a task is in doubt until this test is passed on this connection.
-    pub(super) fn doubted(&mut self, link: LinkId, test: u64, request: RequestId) {
+    pub(super) fn doubted(&mut self, link: NodeConnectionId, test: u64, request: RequestId) {
         if let Some(l) = self.links.get_mut(&link) {
             l.doubted.insert((test, request));
         }
     }
 
     /// Counts bytes given to a connection; returns how many were before them.
-    pub(super) fn sent(&mut self, link: LinkId, bytes: usize) -> u64 {
+    pub(super) fn sent(&mut self, link: NodeConnectionId, bytes: usize) -> u64 {
         let Some(l) = self.links.get_mut(&link) else {
             return 0;
         };
--- a/crates/platform/src/desk/line.rs
+++ b/crates/platform/src/desk/line.rs
@@ -1,18 +1,18 @@
 //! Set-ups that wait for their turn. Each connection of owners has a line of its own, and the lines take turns: one that
 //! sends hundreds at once lets the others wait for one of them each.
 
-use super::OwnerId;
+use super::ClientId;
 use crate::wire::Message;
 use peppercove::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Debug, Default)]
 pub(super) struct Line {
-    lines: BTreeMap<OwnerId, VecDeque<Waiting>>,
+    lines: BTreeMap<ClientId, VecDeque<Waiting>>,
     /// Connections with something in line, the next one first.
-    turns: VecDeque<OwnerId>,
+    turns: VecDeque<ClientId>,
     /// All that waits, by when it has to be answered and its number.
-    ends: BTreeMap<(Micros, u64), OwnerId>,
+    ends: BTreeMap<(Micros, u64), ClientId>,
     pushed: u64,
 }
 
@@ -25,7 +25,7 @@
 
 impl Line {
     /// A set-up came, and is to be answered by the end.
-    pub(super) fn push(&mut self, owner: OwnerId, came: Micros, end: Micros, message: Message) {
+    pub(super) fn push(&mut self, owner: ClientId, came: Micros, end: Micros, message: Message) {
         let line = self.lines.entry(owner).or_default();
         if line.is_empty() {
             self.turns.push_back(owner);
@@ -37,7 +37,7 @@
     }
 
     /// The one whose turn it is.
-    pub(super) fn next(&mut self) -> Option<(OwnerId, Micros, Message)> {
+    pub(super) fn next(&mut self) -> Option<(ClientId, Micros, Message)> {
         let owner = self.turns.pop_front()?;
         let line = self.lines.get_mut(&owner)?;
         let Waiting { end, came, message } = line.pop_front()?;
@@ -50,7 +50,7 @@
     }
 
     /// One that has to be answered by now, whoever's turn it is.
-    pub(super) fn due(&mut self, now: Micros) -> Option<(OwnerId, Micros, Message)> {
+    pub(super) fn due(&mut self, now: Micros) -> Option<(ClientId, Micros, Message)> {
         let (&end, &owner) = self
             .ends
             .first_key_value()
@@ -70,7 +70,7 @@
     }
 
     /// Takes out what an owner gave up; false where it has none of this id in line.
-    pub(super) fn give_up(&mut self, owner: OwnerId, id: u64) -> bool {
+    pub(super) fn give_up(&mut self, owner: ClientId, id: u64) -> bool {
         let Some(line) = self.lines.get_mut(&owner) else {
             return false;
         };
@@ -84,21 +84,21 @@
     }
 
     /// Forgets what a connection that is closed left.
-    pub(super) fn forget(&mut self, owner: OwnerId) {
+    pub(super) fn forget(&mut self, owner: ClientId) {
         for waiting in self.lines.remove(&owner).into_iter().flatten() {
             self.ends.remove(&waiting.end);
         }
         self.turns.retain(|o| *o != owner);
     }
 
-    pub(super) fn holds(&self, owner: OwnerId, id: u64) -> bool {
+    pub(super) fn holds(&self, owner: ClientId, id: u64) -> bool {
         self.lines
             .get(&owner)
             .is_some_and(|l| l.iter().any(|w| w.message.id == id))
     }
 
     /// How many of one connection wait.
-    pub(super) fn of(&self, owner: OwnerId) -> usize {
+    pub(super) fn of(&self, owner: ClientId) -> usize {
         self.lines.get(&owner).map_or(0, VecDeque::len)
     }
 
--- a/crates/platform/src/desk/words.rs
+++ b/crates/platform/src/desk/words.rs
@@ -3,10 +3,10 @@
 //! An id is the same for all attempts of a set-up. Hosts say what concerns a standing task over the connection of its
 //! set-up, over any other once that is closed, and its end again over the next one that is opened.
 
-use super::{Ask, LinkId, Stage};
-use crate::wire::{Kind, Message, cause, code};
+use super::{Ask, NodeConnectionId, Stage};
+use crate::wire::{Message, MessageKind, cause, code};
 use peppercove::NodeId;
-use peppercove_core::life::Life;
+use peppercove_core::life::RequestState;
 
 /// Whom a word is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,9 +32,9 @@
 }
 
 /// The attempt that a word on a connection of a host is about.
-pub(super) fn meant(ask: &Ask, link: LinkId, machine: NodeId, word: &Message) -> Meant {
-    let cause = word.cause().filter(|_| word.kind == Kind::Release);
-    let (Life::Offered(n) | Life::Placed(n)) = ask.life else {
+pub(super) fn meant(ask: &Ask, link: NodeConnectionId, machine: NodeId, word: &Message) -> Meant {
+    let cause = word.cause().filter(|_| word.kind == MessageKind::Release);
+    let (RequestState::Dispatched(n) | RequestState::Placed(n)) = ask.life else {
         return Meant::Nobodys;
     };
     let Some(t) = ask.tries.get(usize::from(n)) else {
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -8,7 +8,7 @@
 /// Longest line in bytes, by the memory in MB. A whole list is one line of some 160 bytes a host, and must fit in however
 /// many hosts there are; what never ends must not fill the memory. An eighth holds a hundred times the hosts whose tables
 /// fit into the rest.
-pub fn longest(memory_mb: u64) -> usize {
+pub fn max_line_bytes(memory_mb: u64) -> usize {
     usize::try_from(memory_mb.saturating_mul(1 << 20) / 8)
         .unwrap_or(usize::MAX)
         .max(1 << 20)
@@ -37,7 +37,7 @@
 
 /// Why the journal service's bytes could not be read. The connection is of no further use.
 #[derive(Debug, thiserror::Error)]
-pub enum FeedError {
+pub enum EndpointWatchError {
     /// No line ends within the bound.
     #[error("a line longer than {0} bytes")]
     Endless(usize),
@@ -48,29 +48,29 @@
 
 /// One event of the list, numbered.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Entry {
+pub struct EndpointEvent {
     /// Its number; in the configuration's list it may be left out of all but the last.
     #[serde(default)]
     pub pos: u64,
     /// What it tells of hosts; absent where it tells of something else.
     #[serde(default)]
-    pub hosts: Option<Hosts>,
+    pub hosts: Option<NodeListUpdate>,
 }
 
 /// What an event tells of hosts.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Hosts {
+pub struct NodeListUpdate {
     /// The whole list, not what has changed.
     #[serde(default)]
     pub full: bool,
     /// The hosts.
     #[serde(default)]
-    pub servers: Vec<Host>,
+    pub servers: Vec<NodeUpdate>,
 }
 
 /// What an event tells of one host; what is left out stands as told before.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Host {
+pub struct NodeUpdate {
     /// Its id: names the machine, whatever address it has.
     pub id: String,
     /// Where it listens.
@@ -87,7 +87,7 @@
     pub cell: Option<u16>,
     /// State of its life.
     #[serde(default)]
-    pub state: Option<State>,
+    pub state: Option<NodeLifecycle>,
     /// Unix millisecond of a late start, or 0.
     #[serde(default)]
     pub started_ms: Option<u64>,
@@ -99,7 +99,7 @@
 /// State of a host's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum NodeLifecycle {
     /// Takes tasks.
     Active,
     /// Takes nothing new.
@@ -108,37 +108,37 @@
     Left,
 }
 
-impl From<State> for NodeStatus {
-    fn from(state: State) -> NodeStatus {
+impl From<NodeLifecycle> for NodeStatus {
+    fn from(state: NodeLifecycle) -> NodeStatus {
         match state {
-            State::Active => NodeStatus::Ready,
-            State::Leaving => NodeStatus::Draining,
-            State::Left => NodeStatus::Gone,
+            NodeLifecycle::Active => NodeStatus::Ready,
+            NodeLifecycle::Leaving => NodeStatus::Draining,
+            NodeLifecycle::Left => NodeStatus::Gone,
         }
     }
 }
 
 /// One line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
+pub enum WatchLine {
     /// The last number there is.
     Last(u64),
     /// An event.
-    Event(Entry),
+    Event(EndpointEvent),
 }
 
 /// Takes whole lines off the bytes of one connection.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LineDecoder {
     longest: usize,
     /// Bytes at the front in which no line ends.
     searched: usize,
 }
 
-impl Lines {
+impl LineDecoder {
     /// No line is longer than so many bytes.
-    pub fn new(longest: usize) -> Lines {
-        Lines {
+    pub fn new(longest: usize) -> LineDecoder {
+        LineDecoder {
             longest,
             searched: 0,
         }
@@ -149,8 +149,8 @@
     /// square of its length.
     ///
     /// # Errors
-    /// [`FeedError`]: the connection is of no further use.
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Line>, FeedError> {
+    /// [`EndpointWatchError`]: the connection is of no further use.
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<WatchLine>, EndpointWatchError> {
         let fresh = buffer.get(self.searched..).unwrap_or_default();
         let Some(end) = fresh
             .iter()
@@ -160,7 +160,7 @@
             self.searched = buffer.len();
             let endless = buffer.len() > self.longest;
             return if endless {
-                Err(FeedError::Endless(self.longest))
+                Err(EndpointWatchError::Endless(self.longest))
             } else {
                 Ok(None)
             };
@@ -169,29 +169,29 @@
         let line = buffer.split_to(end + 1);
         let text = line[..end].trim_ascii();
         if text.iter().all(u8::is_ascii_digit) && !text.is_empty() {
-            return Ok(Some(Line::Last(serde_json::from_slice(text)?)));
+            return Ok(Some(WatchLine::Last(serde_json::from_slice(text)?)));
         }
-        Ok(Some(Line::Event(serde_json::from_slice(text)?)))
+        Ok(Some(WatchLine::Event(serde_json::from_slice(text)?)))
     }
 }
 
 /// What to do about a line, by its number and the last one held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum SequenceCheck {
     /// It is the next event.
-    Take,
+    Apply,
     /// It was told before, or tells that nothing is missing.
     Skip,
     /// Something between is missing: it is to be asked for again.
-    AskAgain,
+    Resync,
 }
 
 /// Holds a line against the last number held.
-pub fn step(held: u64, line: &Line) -> Step {
+pub fn check_sequence(held: u64, line: &WatchLine) -> SequenceCheck {
     match line {
-        Line::Event(entry) if entry.pos <= held => Step::Skip,
-        Line::Event(entry) if entry.pos == held + 1 => Step::Take,
-        Line::Last(last) if *last <= held => Step::Skip,
-        Line::Event(_) | Line::Last(_) => Step::AskAgain,
+        WatchLine::Event(entry) if entry.pos <= held => SequenceCheck::Skip,
+        WatchLine::Event(entry) if entry.pos == held + 1 => SequenceCheck::Apply,
+        WatchLine::Last(last) if *last <= held => SequenceCheck::Skip,
+        WatchLine::Event(_) | WatchLine::Last(_) => SequenceCheck::Resync,
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -12,4 +12,6 @@
 pub mod feed;
 pub mod wire;
 
-pub use desk::{Bounds, Counters, Desk, Down, Input, LinkId, Output, OwnerId};
+pub use desk::{
+    Bounds, ClientId, Counters, Disconnect, Input, NodeConnectionId, Output, PlatformEngine,
+};
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -9,13 +9,13 @@
 use std::fmt;
 
 /// Longest message in bytes, its length field included.
-pub const LONGEST: usize = 16 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 16 << 10;
 /// Bytes of type and task.
 const HEADER: usize = 9;
 
 /// What a message is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// A task to place, or one that stands already.
     SetUp = 1,
     /// Means nothing.
@@ -36,18 +36,18 @@
     Tested = 53,
 }
 
-impl Kind {
-    fn of(byte: u8) -> Option<Kind> {
+impl MessageKind {
+    fn of(byte: u8) -> Option<MessageKind> {
         Some(match byte {
-            1 => Kind::SetUp,
-            6 => Kind::Progress,
-            9 => Kind::Answer,
-            12 => Kind::Release,
-            16 => Kind::Heard,
-            44 => Kind::Note,
-            51 => Kind::Move,
-            52 => Kind::Test,
-            53 => Kind::Tested,
+            1 => MessageKind::SetUp,
+            6 => MessageKind::Progress,
+            9 => MessageKind::Answer,
+            12 => MessageKind::Release,
+            16 => MessageKind::Heard,
+            44 => MessageKind::Note,
+            51 => MessageKind::Move,
+            52 => MessageKind::Test,
+            53 => MessageKind::Tested,
             _ => return None,
         })
     }
@@ -99,7 +99,7 @@
 
 /// Why bytes are not a message. The connection they came on is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum WireError {
+pub enum DecodeError {
     /// A length that no message has.
     #[error("a message of {0} bytes after its length")]
     Length(usize),
@@ -120,7 +120,7 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct Message {
     /// What it is.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// The task; any value.
     pub id: u64,
     parameters: Bytes,
@@ -138,7 +138,7 @@
 
 impl Message {
     /// A message without parameters.
-    pub fn new(kind: Kind, id: u64) -> Message {
+    pub fn new(kind: MessageKind, id: u64) -> Message {
         Message {
             kind,
             id,
@@ -150,7 +150,7 @@
     /// from a message of the same bound.
     #[must_use]
     pub fn with(mut self, code: u8, value: &[u8]) -> Message {
-        if 2 + HEADER + self.parameters.len() + 3 + value.len() <= LONGEST {
+        if 2 + HEADER + self.parameters.len() + 3 + value.len() <= MAX_MESSAGE_BYTES {
             let mut bytes = Vec::with_capacity(self.parameters.len() + 3 + value.len());
             bytes.extend_from_slice(&self.parameters);
             bytes.push(code);
@@ -195,7 +195,7 @@
 
     /// A release with a cause.
     pub fn release(id: u64, cause: u8) -> Message {
-        Message::new(Kind::Release, id).with(code::CAUSE, &[cause])
+        Message::new(MessageKind::Release, id).with(code::CAUSE, &[cause])
     }
 
     /// The bytes of the message.
@@ -214,19 +214,19 @@
 /// before it was checked, and no type is waited for that no message has.
 ///
 /// # Errors
-/// [`WireError`]: what follows cannot be read either.
-pub fn decode(buffer: &mut BytesMut) -> Result<Option<Message>, WireError> {
+/// [`DecodeError`]: what follows cannot be read either.
+pub fn decode(buffer: &mut BytesMut) -> Result<Option<Message>, DecodeError> {
     let Some(&[high, low]) = buffer.first_chunk::<2>() else {
         return Ok(None);
     };
     let length = usize::from(u16::from_be_bytes([high, low]));
-    if !(HEADER..=LONGEST - 2).contains(&length) {
-        return Err(WireError::Length(length));
+    if !(HEADER..=MAX_MESSAGE_BYTES - 2).contains(&length) {
+        return Err(DecodeError::Length(length));
     }
     let Some(&byte) = buffer.get(2) else {
         return Ok(None);
     };
-    let kind = Kind::of(byte).ok_or(WireError::Type(byte))?;
+    let kind = MessageKind::of(byte).ok_or(DecodeError::Type(byte))?;
     if buffer.len() < 2 + length {
         return Ok(None);
     }
@@ -235,7 +235,7 @@
     let id = body.get_u64();
     let mut at = 0;
     while at < body.len() {
-        let overrun = WireError::Overrun { code: body[at], at };
+        let overrun = DecodeError::Overrun { code: body[at], at };
         let Some(&[high, low]) = body.get(at + 1..).and_then(|b| b.first_chunk::<2>()) else {
             return Err(overrun);
         };
@@ -276,7 +276,7 @@
         );
         let mut whole = BytesMut::from(&set_up[..]);
         let message = decode(&mut whole).ok().flatten().expect("whole");
-        assert_eq!((message.kind, message.id), (Kind::SetUp, 9));
+        assert_eq!((message.kind, message.id), (MessageKind::SetUp, 9));
         assert_eq!(
             (message.text(3), message.text(4)),
             (Some("batch"), Some("1500"))
@@ -289,19 +289,22 @@
     #[test]
     fn what_cannot_be_a_message_is_told_before_it_is_whole() {
         let told = |bytes: &[u8]| decode(&mut BytesMut::from(bytes));
-        assert_eq!(told(&[0, 8]), Err(WireError::Length(8)));
-        assert_eq!(told(&[0xff, 0xff]), Err(WireError::Length(0xffff)));
+        assert_eq!(told(&[0, 8]), Err(DecodeError::Length(8)));
+        assert_eq!(told(&[0xff, 0xff]), Err(DecodeError::Length(0xffff)));
         assert_eq!(
             told(&[0x3f, 0xff]),
-            Err(WireError::Length(0x3fff)),
+            Err(DecodeError::Length(0x3fff)),
             "longest is 16 KiB with its length"
         );
         assert_eq!(told(&[0x3f, 0xfe]), Ok(None));
-        assert_eq!(told(&[0x3f, 0xfe, 99]), Err(WireError::Type(99)));
+        assert_eq!(told(&[0x3f, 0xfe, 99]), Err(DecodeError::Type(99)));
         let overrun = [0, 12, 9, 0, 0, 0, 0, 0, 0, 0, 1, 18, 0, 1];
-        assert_eq!(told(&overrun), Err(WireError::Overrun { code: 18, at: 0 }));
+        assert_eq!(
+            told(&overrun),
+            Err(DecodeError::Overrun { code: 18, at: 0 })
+        );
         let cut = [0, 10, 9, 0, 0, 0, 0, 0, 0, 0, 1, 18];
-        assert_eq!(told(&cut), Err(WireError::Overrun { code: 18, at: 0 }));
+        assert_eq!(told(&cut), Err(DecodeError::Overrun { code: 18, at: 0 }));
     }
 
     proptest! {
@@ -310,7 +313,7 @@
             id: u64, values in prop::collection::vec((any::<u8>(), prop::collection::vec(any::<u8>(), 0..300)), 0..9),
             cut in 1usize..40,
         ) {
-            let message = values.iter().fold(Message::new(Kind::Note, id), |m, (code, v)| m.with(*code, v));
+            let message = values.iter().fold(Message::new(MessageKind::Note, id), |m, (code, v)| m.with(*code, v));
             let (mut buffer, mut seen) = (BytesMut::new(), None);
             for part in message.encode().chunks(cut) {
                 prop_assert!(seen.is_none());
@@ -329,7 +332,7 @@
             let mut buffer = BytesMut::from(&bytes[..]);
             while let Ok(Some(_)) = decode(&mut buffer) {}
             if let Ok(None) = decode(&mut buffer) {
-                prop_assert!(buffer.len() < LONGEST);
+                prop_assert!(buffer.len() < MAX_MESSAGE_BYTES);
             }
         }
     }
--- a/crates/platform/tests/answers.rs
+++ b/crates/platform/tests/answers.rs
@@ -5,8 +5,8 @@
 
 use common::{MS, S, WAIT, bounds, event, host, read, set_up, shape};
 use peppercove::{Micros, Scheduler, Settings};
-use peppercove_platform::wire::{Kind, Message, cause, code};
-use peppercove_platform::{Desk, Down, Input, LinkId, Output, OwnerId};
+use peppercove_platform::wire::{Message, MessageKind, cause, code};
+use peppercove_platform::{ClientId, Disconnect, Input, NodeConnectionId, Output, PlatformEngine};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,13 +14,13 @@
 const LATE: Micros = 200 * MS;
 
 struct World {
-    desk: Desk<Scheduler>,
+    desk: PlatformEngine<Scheduler>,
     now: Micros,
     /// When each set-up came, and whether nothing is owed for it any more.
     asks: BTreeMap<u64, (Micros, bool)>,
-    dialled: BTreeSet<LinkId>,
-    up: BTreeSet<LinkId>,
-    out: Vec<(LinkId, u64)>,
+    dialled: BTreeSet<NodeConnectionId>,
+    up: BTreeSet<NodeConnectionId>,
+    out: Vec<(NodeConnectionId, u64)>,
     faults: Vec<String>,
 }
 
@@ -30,7 +30,7 @@
             is_list_polled: false,
             ..Settings::sample()
         };
-        let desk = Desk::new(
+        let desk = PlatformEngine::new(
             Scheduler::new(settings.clone(), seed),
             settings,
             shape(),
@@ -53,26 +53,26 @@
             host("b", 2, "active", 0),
             host("c", 3, "active", 0),
         ];
-        world.put(Input::Begin(vec![event(1, true, &hosts)]));
+        world.put(Input::Start(vec![event(1, true, &hosts)]));
         world
     }
 
     fn put(&mut self, input: Input) {
         for output in self.desk.handle(self.now, input) {
             match output {
-                Output::Dial(link, _) => drop(self.dialled.insert(link)),
-                Output::Send(link, frame) if read(&frame).kind == Kind::SetUp => {
+                Output::Connect(link, _) => drop(self.dialled.insert(link)),
+                Output::SendToNode(link, frame) if read(&frame).kind == MessageKind::SetUp => {
                     let id = read(&frame).id;
                     if self.asks[&id].1 {
                         self.faults.push(format!("{id} is sent after its answer"));
                     }
                     self.out.push((link, id));
                 }
-                Output::Reply(_, frame) => {
+                Output::SendToClient(_, frame) => {
                     let message = read(&frame);
                     let (came, over) = self.asks.get_mut(&message.id).expect("an id of an owner");
                     // Ends of what stood follow an answer.
-                    if *over && message.kind != Kind::Release {
+                    if *over && message.kind != MessageKind::Release {
                         self.faults.push(format!("{message:?} is a second answer"));
                     }
                     if !*over && self.now > *came + WAIT + 2 * LATE + 10 * MS {
@@ -94,42 +94,45 @@
         match (rng.u8(0..16), link, word) {
             (0..=2, ..) => {
                 self.asks.insert(id, (self.now, false));
-                self.put(Input::Owner(
-                    OwnerId(1 + id % 3),
+                self.put(Input::ClientMessage(
+                    ClientId(1 + id % 3),
                     set_up(id, ["plain", "keyed", "once"][id as usize % 3]),
                 ));
             }
-            (3..=5, ..) if self.desk.has_waiting() => self.put(Input::Turn),
+            (3..=5, ..) if self.desk.has_queued_requests() => self.put(Input::AdmitNext),
             (6, ..) if rng.bool() && id > 1 => {
                 let id = rng.u64(1..id);
                 self.asks.entry(id).and_modify(|a| a.1 = true);
-                self.put(Input::Owner(
-                    OwnerId(1 + id % 3),
+                self.put(Input::ClientMessage(
+                    ClientId(1 + id % 3),
                     Message::release(id, cause::ORDINARY),
                 ));
             }
             (7 | 8, ..) => {
                 if let Some(link) = self.dialled.pop_first() {
                     self.up.insert(link);
-                    self.put(Input::LinkUp(link));
+                    self.put(Input::NodeConnected(link));
                 }
             }
             (9, Some(link), _) if rng.bool() => {
                 self.up.remove(&link);
                 self.out.retain(|(l, _)| *l != link);
-                self.put(Input::LinkDown(
+                self.put(Input::NodeDisconnected(
                     link,
-                    Down::Broke {
-                        written: rng.u64(0..500),
-                        whole: true,
+                    Disconnect::Broken {
+                        bytes_written: rng.u64(0..500),
+                        is_clean: true,
                     },
                 ));
             }
             (10 | 11, _, Some((link, id))) => {
                 self.out.retain(|o| *o != (link, id));
-                let answer = Message::new(Kind::Answer, id).with(code::DESCRIPTION, b"here");
+                let answer = Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, b"here");
                 let refusal = Message::release(id, [34, 41, 47, 102][rng.usize(0..4)]);
-                self.put(Input::Host(link, if rng.bool() { answer } else { refusal }));
+                self.put(Input::NodeMessage(
+                    link,
+                    if rng.bool() { answer } else { refusal },
+                ));
             }
             _ => self.put(Input::Tick(self.now - rng.u64(0..LATE))),
         }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use peppercove::Micros;
 use peppercove::wire::RecordSchema;
 use peppercove_platform::Bounds;
-use peppercove_platform::feed::{Entry, Line, Lines};
-use peppercove_platform::wire::{Kind, Message, code, decode};
+use peppercove_platform::feed::{EndpointEvent, LineDecoder, WatchLine};
+use peppercove_platform::wire::{Message, MessageKind, code, decode};
 
 pub const S: Micros = 1_000_000;
 pub const MS: Micros = 1_000;
@@ -15,19 +15,19 @@
 
 pub fn bounds() -> Bounds {
     Bounds {
-        open: 50,
-        open_each: 5,
-        standing: 50,
-        links: 1,
+        open_requests: 50,
+        open_requests_per_client: 5,
+        running_tasks: 50,
+        connections_per_node: 1,
         connections: 53,
-        all_links: 3,
-        owners: 100,
-        unread: 1 << 16,
-        test_every: 500 * MS,
-        test_within: S,
-        lost_after: 4 * S,
-        keep_ends: 8 * S,
-        doubt: 500 * MS,
+        node_connections: 3,
+        client_connections: 100,
+        send_buffer_bytes: 1 << 16,
+        health_check_interval: 500 * MS,
+        health_check_timeout: S,
+        unreachable_timeout: 4 * S,
+        notification_retention: 8 * S,
+        ambiguity_timeout: 500 * MS,
     }
 }
 
@@ -43,9 +43,9 @@
     }
 }
 
-pub fn entry(text: &str) -> Entry {
-    match Lines::new(usize::MAX).next(&mut BytesMut::from(format!("{text}\n").as_str())) {
-        Ok(Some(Line::Event(entry))) => entry,
+pub fn entry(text: &str) -> EndpointEvent {
+    match LineDecoder::new(usize::MAX).next(&mut BytesMut::from(format!("{text}\n").as_str())) {
+        Ok(Some(WatchLine::Event(entry))) => entry,
         other => panic!("{other:?}"),
     }
 }
@@ -57,7 +57,7 @@
     )
 }
 
-pub fn event(pos: u64, full: bool, hosts: &[String]) -> Entry {
+pub fn event(pos: u64, full: bool, hosts: &[String]) -> EndpointEvent {
     entry(&format!(
         "{{\"pos\":{pos},\"hosts\":{{\"version\":{pos},\"full\":{full},\"servers\":[{}]}}}}",
         hosts.join(",")
@@ -65,7 +65,7 @@
 }
 
 pub fn set_up(id: u64, class: &str) -> Message {
-    Message::new(Kind::SetUp, id)
+    Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, class.as_bytes())
         .with(code::WAIT, b"4000")
         .with(code::TASK, format!("{id:016x}").as_bytes())
