--- a/crates/platform/tests/desk.rs
+++ b/crates/platform/tests/desk.rs
@@ -9,8 +9,10 @@
     NodeStatus, RequestId, Settings,
 };
 use peppercove_core::Decide;
-use peppercove_platform::wire::{Kind, Message, cause, code};
-use peppercove_platform::{Bounds, Desk, Down, Input, LinkId, Output, OwnerId};
+use peppercove_platform::wire::{Message, MessageKind, cause, code};
+use peppercove_platform::{
+    Bounds, ClientId, Disconnect, Input, NodeConnectionId, Output, PlatformEngine,
+};
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +35,7 @@
 }
 
 fn with_figures(id: u64, figures: &str) -> Message {
-    Message::new(Kind::SetUp, id)
+    Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, b"plain")
         .with(code::WAIT, b"4000")
         .with(code::TASK, format!("{id:016x}").as_bytes())
@@ -41,7 +43,7 @@
 }
 
 struct Bench {
-    desk: Desk<Scripted>,
+    desk: PlatformEngine<Scripted>,
     told: Batches,
     wanted: Wanted,
     now: Micros,
@@ -58,7 +60,7 @@
             told: told.clone(),
             wanted: wanted.clone(),
         };
-        let desk = Desk::new(module, Settings::sample(), shape(), bounds, 7);
+        let desk = PlatformEngine::new(module, Settings::sample(), shape(), bounds, 7);
         let mut bench = Bench {
             desk,
             told,
@@ -66,7 +68,7 @@
             now: 1000 * S,
         };
         let hosts = [host("a", 1, "active", 0), host("b", 2, "active", 0)];
-        bench.put(Input::Begin(vec![event(1, true, &hosts)]));
+        bench.put(Input::Start(vec![event(1, true, &hosts)]));
         bench.told.borrow_mut().clear();
         bench
     }
@@ -75,8 +77,8 @@
     fn put(&mut self, input: Input) -> Vec<Output> {
         self.now += MS;
         let mut out = self.desk.handle(self.now, input);
-        while self.desk.has_waiting() {
-            out.extend(self.desk.handle(self.now, Input::Turn));
+        while self.desk.has_queued_requests() {
+            out.extend(self.desk.handle(self.now, Input::AdmitNext));
         }
         out
     }
@@ -89,7 +91,7 @@
     fn act(&mut self, action: Action) -> Vec<Output> {
         self.wanted.borrow_mut().push(action);
         // Any event gives it a batch; an answer to a call that brings nothing changes nothing else.
-        self.put(Input::List(Vec::new()))
+        self.put(Input::EndpointEvents(Vec::new()))
     }
 
     fn bind(&mut self, request: u64, name: &str, timeout: Option<Micros>) -> Vec<Output> {
@@ -138,16 +140,16 @@
 
     /// Set-up `id` of owner 1, the first request of the desk, is out at `a` over link 1.
     fn offered(&mut self, id: u64, class: &str, timeout: Option<Micros>) {
-        self.put(Input::Owner(OwnerId(1), set_up(id, class)));
+        self.put(Input::ClientMessage(ClientId(1), set_up(id, class)));
         self.bind(1, "a", timeout);
-        self.put(Input::LinkUp(LinkId(1)));
+        self.put(Input::NodeConnected(NodeConnectionId(1)));
     }
 
     /// A task placed on `a` over link 1, by set-up `id` of owner 1, the first request of the desk.
     fn placed(&mut self, id: u64) {
         self.offered(id, "plain", None);
-        let answer = Message::new(Kind::Answer, id).with(code::DESCRIPTION, b"here");
-        self.put(Input::Host(LinkId(1), answer));
+        let answer = Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, b"here");
+        self.put(Input::NodeMessage(NodeConnectionId(1), answer));
         self.pass(2 * MS);
         self.told();
     }
@@ -155,7 +157,7 @@
 
 fn replies(out: &[Output]) -> Vec<(u64, Message)> {
     let reply = |o: &Output| match o {
-        Output::Reply(owner, frame) => Some((owner.0, read(frame))),
+        Output::SendToClient(owner, frame) => Some((owner.0, read(frame))),
         _ => None,
     };
     out.iter().filter_map(reply).collect()
@@ -165,13 +167,15 @@
 fn cuts(out: &[Output]) -> Vec<(u64, Message)> {
     sends(out)
         .into_iter()
-        .filter(|(_, m)| m.kind != Kind::Test)
+        .filter(|(_, m)| m.kind != MessageKind::Test)
         .collect()
 }
 
 fn sends(out: &[Output]) -> Vec<(u64, Message)> {
     let send = |o: &Output| match o {
-        Output::Send(link, frame) | Output::TakeBack(link, frame) => Some((link.0, read(frame))),
+        Output::SendToNode(link, frame) | Output::Cancel(link, frame) => {
+            Some((link.0, read(frame)))
+        }
         _ => None,
     };
     out.iter().filter_map(send).collect()
@@ -180,31 +184,31 @@
 #[test]
 fn a_set_up_goes_to_its_host_and_the_answer_back_unchanged_and_once() {
     let mut bench = Bench::new();
-    bench.put(Input::Owner(OwnerId(1), set_up(0xabc, "keyed")));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(0xabc, "keyed")));
     let out = bench.bind(1, "a", None);
     assert!(
-        matches!(out[..], [Output::Dial(LinkId(1), address)] if address.port() == 1),
+        matches!(out[..], [Output::Connect(NodeConnectionId(1), address)] if address.port() == 1),
         "{out:?}"
     );
-    let out = sends(&bench.put(Input::LinkUp(LinkId(1))));
+    let out = sends(&bench.put(Input::NodeConnected(NodeConnectionId(1))));
     let [(1, sent)] = &out[..] else {
         panic!("{out:?}")
     };
     let parameters: BTreeMap<u8, Vec<u8>> =
         sent.parameters().map(|(c, v)| (c, v.to_vec())).collect();
-    assert_eq!((sent.kind, sent.id), (Kind::SetUp, 0xabc));
+    assert_eq!((sent.kind, sent.id), (MessageKind::SetUp, 0xabc));
     assert_eq!(
         parameters.keys().copied().collect::<Vec<_>>(),
         [3, 4, 7, 16, 18]
     );
     assert_eq!(parameters[&18], b"v=0 \xff opaque");
-    let answer = Message::new(Kind::Answer, 0xabc).with(code::DESCRIPTION, b"\0there");
-    let out = replies(&bench.put(Input::Host(LinkId(1), answer.clone())));
+    let answer = Message::new(MessageKind::Answer, 0xabc).with(code::DESCRIPTION, b"\0there");
+    let out = replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), answer.clone())));
     assert_eq!(out, [(1, answer.clone())]);
     // A second copy, and one ahead of its set-up: neither is anybody's.
-    assert!(replies(&bench.put(Input::Host(LinkId(1), answer))).is_empty());
-    let unknown = Message::new(Kind::Answer, 0xdef).with(code::DESCRIPTION, b"ahead");
-    assert!(replies(&bench.put(Input::Host(LinkId(1), unknown))).is_empty());
+    assert!(replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), answer))).is_empty());
+    let unknown = Message::new(MessageKind::Answer, 0xdef).with(code::DESCRIPTION, b"ahead");
+    assert!(replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), unknown))).is_empty());
     bench.pass(2 * MS);
     let told = bench.told();
     let placed = told
@@ -221,7 +225,7 @@
     let full = Message::release(5, cause::FULL)
         .with(code::NOTE, b"no_memory")
         .with(code::REPORT, b"x0:1.5;x1:-2;cpu:0.25;waiting:3;other:9");
-    bench.put(Input::Host(LinkId(1), full));
+    bench.put(Input::NodeMessage(NodeConnectionId(1), full));
     bench.pass(2 * MS);
     let ended = bench.told().into_iter().find_map(|e| match e {
         Event::AttemptEnded {
@@ -256,13 +260,13 @@
     .into_iter()
     .enumerate()
     {
-        bench.put(Input::Owner(
-            OwnerId(1),
+        bench.put(Input::ClientMessage(
+            ClientId(1),
             set_up(10 + attempt as u64, "once"),
         ));
         bench.bind(2 + attempt as u64, "a", None);
-        bench.put(Input::Host(
-            LinkId(1),
+        bench.put(Input::NodeMessage(
+            NodeConnectionId(1),
             Message::release(10 + attempt as u64, cause),
         ));
         assert_eq!(bench.ends(), [(2 + attempt as u64, 0, outcome, false)]);
@@ -274,19 +278,25 @@
     let mut bench = Bench::new();
     bench.offered(5, "keyed", None);
     let end = Message::release(5, cause::ORDINARY).with(code::DESCRIPTION, b"ran");
-    let out = replies(&bench.put(Input::Host(LinkId(1), end)));
-    let answer = Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"ran");
+    let out = replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), end)));
+    let answer = Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"ran");
     assert_eq!(
         out,
         [(1, answer), (1, Message::release(5, cause::ORDINARY))]
     );
     // Tries after it would be discarded: taken for a break, it cost the task its attempts and its owner a failure.
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Completed, true)]);
-    assert_eq!((bench.desk.open(), bench.desk.standing()), (0, 0));
+    assert_eq!(
+        (bench.desk.open_requests(), bench.desk.running_tasks()),
+        (0, 0)
+    );
     // Without one there is nothing to answer with, but it ran to its end all the same.
-    bench.put(Input::Owner(OwnerId(1), set_up(6, "keyed")));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(6, "keyed")));
     bench.bind(2, "a", None);
-    let out = replies(&bench.put(Input::Host(LinkId(1), Message::release(6, cause::ORDINARY))));
+    let out = replies(&bench.put(Input::NodeMessage(
+        NodeConnectionId(1),
+        Message::release(6, cause::ORDINARY),
+    )));
     assert_eq!(out, [(1, Message::release(6, cause::CUT))]);
     assert_eq!(bench.ends(), [(2, 0, AttemptOutcome::Completed, true)]);
 }
@@ -306,7 +316,7 @@
     for (word, outcome) in stood {
         let mut bench = Bench::new();
         bench.offered(5, "plain", None);
-        let out = bench.put(Input::Host(LinkId(1), word.clone()));
+        let out = bench.put(Input::NodeMessage(NodeConnectionId(1), word.clone()));
         assert_eq!(
             replies(&out),
             [(1, Message::release(5, cause::CUT))],
@@ -324,9 +334,16 @@
         assert!(placed.is_some() && placed < ended, "{word:?}: {told:?}");
         // A further attempt of the module goes nowhere, and the answer that was late is nobody's.
         assert!(sends(&bench.bind(1, "b", None)).is_empty());
-        let answer = Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"late");
-        assert!(bench.put(Input::Host(LinkId(1), answer)).is_empty());
-        assert_eq!((bench.desk.open(), bench.desk.standing()), (0, 0));
+        let answer = Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"late");
+        assert!(
+            bench
+                .put(Input::NodeMessage(NodeConnectionId(1), answer))
+                .is_empty()
+        );
+        assert_eq!(
+            (bench.desk.open_requests(), bench.desk.running_tasks()),
+            (0, 0)
+        );
     }
     // What never started was refused with the same reason, and what broke on its way has none.
     for (word, outcome) in [
@@ -335,7 +352,7 @@
     ] {
         let mut bench = Bench::new();
         bench.offered(5, "plain", None);
-        assert!(replies(&bench.put(Input::Host(LinkId(1), word))).is_empty());
+        assert!(replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), word))).is_empty());
         assert_eq!(bench.ends(), [(1, 0, outcome, false)]);
     }
 }
@@ -353,21 +370,29 @@
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::TimedOut, false)]);
     // The second attempt goes over a connection of its own, so that words can be told apart.
     let out = bench.bind(1, "a", None);
-    assert!(matches!(out[..], [Output::Dial(LinkId(2), _)]), "{out:?}");
-    bench.put(Input::LinkUp(LinkId(2)));
-    let answer = Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"late");
-    assert!(replies(&bench.put(Input::Host(LinkId(1), answer.clone()))).is_empty());
-    bench.put(Input::Host(LinkId(1), Message::release(5, cause::CUT)));
+    assert!(
+        matches!(out[..], [Output::Connect(NodeConnectionId(2), _)]),
+        "{out:?}"
+    );
+    bench.put(Input::NodeConnected(NodeConnectionId(2)));
+    let answer = Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"late");
+    assert!(
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), answer.clone()))).is_empty()
+    );
+    bench.put(Input::NodeMessage(
+        NodeConnectionId(1),
+        Message::release(5, cause::CUT),
+    ));
     assert_eq!(bench.ends(), []);
     // Nor does it end the task that stands now: its host has the present attempt's connection, as a test there shows.
-    let out = bench.put(Input::Host(LinkId(2), answer.clone()));
+    let out = bench.put(Input::NodeMessage(NodeConnectionId(2), answer.clone()));
     assert_eq!(replies(&out), [(1, answer)]);
     let [(2, test)] = &sends(&out)[..] else {
         panic!("{out:?}")
     };
-    assert_eq!(test.kind, Kind::Test);
-    let passed = Message::new(Kind::Tested, test.id).with(code::CAUSE, &[1]);
-    assert!(replies(&bench.put(Input::Host(LinkId(2), passed))).is_empty());
+    assert_eq!(test.kind, MessageKind::Test);
+    let passed = Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]);
+    assert!(replies(&bench.put(Input::NodeMessage(NodeConnectionId(2), passed))).is_empty());
     assert!(replies(&bench.pass(S)).is_empty());
     assert_eq!(bench.ends(), []);
 }
@@ -377,11 +402,11 @@
     for (written, outcome) in [(0, AttemptOutcome::Unreachable), (1, AttemptOutcome::Lost)] {
         let mut bench = Bench::new();
         bench.offered(5, "once", None);
-        bench.put(Input::LinkDown(
-            LinkId(1),
-            Down::Broke {
-                written,
-                whole: true,
+        bench.put(Input::NodeDisconnected(
+            NodeConnectionId(1),
+            Disconnect::Broken {
+                bytes_written: written,
+                is_clean: true,
             },
         ));
         assert_eq!(
@@ -390,11 +415,11 @@
             "{written} bytes written"
         );
     }
-    for how in [Down::Refused, Down::NotUp] {
+    for how in [Disconnect::Refused, Disconnect::ConnectFailed] {
         let mut bench = Bench::new();
-        bench.put(Input::Owner(OwnerId(1), set_up(5, "once")));
+        bench.put(Input::ClientMessage(ClientId(1), set_up(5, "once")));
         bench.bind(1, "a", None);
-        bench.put(Input::LinkDown(LinkId(1), how));
+        bench.put(Input::NodeDisconnected(NodeConnectionId(1), how));
         assert_eq!(
             bench.ends(),
             [(1, 0, AttemptOutcome::Unreachable, false)],
@@ -406,12 +431,12 @@
 #[test]
 fn an_attempt_whose_connection_never_came_up_in_time_never_ran() {
     let mut bench = Bench::new();
-    bench.put(Input::Owner(OwnerId(1), set_up(5, "once")));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(5, "once")));
     bench.bind(1, "a", Some(50 * MS));
     assert!(sends(&bench.pass(100 * MS)).is_empty());
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Unreachable, false)]);
     assert!(
-        sends(&bench.put(Input::LinkUp(LinkId(1)))).is_empty(),
+        sends(&bench.put(Input::NodeConnected(NodeConnectionId(1)))).is_empty(),
         "nothing is sent for it any more"
     );
 }
@@ -436,7 +461,7 @@
 #[test]
 fn a_bind_for_what_is_over_placed_or_out_is_never_sent() {
     let mut bench = Bench::new();
-    bench.put(Input::Owner(OwnerId(1), set_up(5, "plain")));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(5, "plain")));
     bench.bind(1, "a", None);
     bench.bind(1, "b", None);
     assert_eq!(
@@ -445,7 +470,10 @@
         "two are never in flight"
     );
     // The owner gives up while the module binds anew in the same batch.
-    bench.put(Input::LinkDown(LinkId(1), Down::NotUp));
+    bench.put(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::ConnectFailed,
+    ));
     bench.pass(2 * MS);
     bench.told();
     bench.now += 10 * MS;
@@ -454,12 +482,12 @@
         node: bench.machine("a"),
         timeout: None,
     });
-    let out = bench.put(Input::Owner(
-        OwnerId(1),
+    let out = bench.put(Input::ClientMessage(
+        ClientId(1),
         Message::release(5, cause::ORDINARY),
     ));
     assert!(
-        sends(&out).is_empty() && !out.iter().any(|o| matches!(o, Output::Dial(..))),
+        sends(&out).is_empty() && !out.iter().any(|o| matches!(o, Output::Connect(..))),
         "{out:?}"
     );
     assert_eq!(bench.ends(), [(1, 2, AttemptOutcome::NotSent, true)]);
@@ -471,7 +499,7 @@
     bench.offered(5, "plain", None);
     bench.pass(2 * MS);
     bench.told();
-    let out = bench.put(Input::OwnerGone(OwnerId(1)));
+    let out = bench.put(Input::ClientDisconnected(ClientId(1)));
     assert_eq!(sends(&out), [(1, Message::release(5, cause::ORDINARY))]);
     bench.pass(2 * MS);
     let told = bench.told();
@@ -488,34 +516,35 @@
         "{told:?}"
     );
     assert!(replies(&bench.act(Action::Fail(RequestId(1)))).is_empty());
-    assert_eq!(bench.desk.open(), 0);
+    assert_eq!(bench.desk.open_requests(), 0);
 }
 
 #[test]
 fn a_standing_task_survives_its_connections_and_its_end_is_told_once() {
     let mut bench = Bench::new();
     bench.placed(5);
-    bench.put(Input::LinkDown(
-        LinkId(1),
-        Down::Broke {
-            written: 99,
-            whole: true,
+    bench.put(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 99,
+            is_clean: true,
         },
     ));
     assert_eq!(bench.ends(), [], "no connection owns it");
     let out = bench.pass(S);
     assert!(
-        out.iter().any(|o| matches!(o, Output::Dial(LinkId(2), _))),
+        out.iter()
+            .any(|o| matches!(o, Output::Connect(NodeConnectionId(2), _))),
         "its end needs a way: {out:?}"
     );
-    bench.put(Input::LinkUp(LinkId(2)));
+    bench.put(Input::NodeConnected(NodeConnectionId(2)));
     let end = Message::release(5, cause::ORDINARY);
     assert_eq!(
-        replies(&bench.put(Input::Host(LinkId(2), end.clone()))),
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(2), end.clone()))),
         [(1, end.clone())]
     );
     assert!(
-        replies(&bench.put(Input::Host(LinkId(2), end))).is_empty(),
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(2), end))).is_empty(),
         "hosts say it twice"
     );
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Completed, true)]);
@@ -525,14 +554,14 @@
 fn the_end_of_a_task_finds_its_owner_over_another_connection_or_a_later_one() {
     let mut bench = Bench::new();
     bench.placed(5);
-    bench.put(Input::OwnerGone(OwnerId(1)));
+    bench.put(Input::ClientDisconnected(ClientId(1)));
     assert_eq!(bench.ends(), [], "it stands on");
     let end = Message::release(5, cause::ORDINARY);
     assert!(
-        replies(&bench.put(Input::Host(LinkId(1), end.clone()))).is_empty(),
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), end.clone()))).is_empty(),
         "nobody is there"
     );
-    let out = bench.put(Input::Owner(OwnerId(2), set_up(6, "plain")));
+    let out = bench.put(Input::ClientMessage(ClientId(2), set_up(6, "plain")));
     assert_eq!(replies(&out), [(2, end)]);
 }
 
@@ -540,20 +569,20 @@
 fn an_end_told_just_before_its_connection_closed_is_told_again_elsewhere() {
     let mut bench = Bench::new();
     bench.placed(5);
-    bench.put(Input::Owner(OwnerId(2), set_up(6, "plain")));
+    bench.put(Input::ClientMessage(ClientId(2), set_up(6, "plain")));
     let end = Message::release(5, cause::ORDINARY);
     assert_eq!(
-        replies(&bench.put(Input::Host(LinkId(1), end.clone()))),
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), end.clone()))),
         [(1, end.clone())]
     );
     // It crossed the close, or was thrown away with what the connection had not written yet.
     assert_eq!(
-        replies(&bench.put(Input::OwnerGone(OwnerId(1)))),
+        replies(&bench.put(Input::ClientDisconnected(ClientId(1)))),
         [(2, end)]
     );
     // One told long before has arrived.
     bench.pass(5 * S);
-    assert!(replies(&bench.put(Input::OwnerGone(OwnerId(2)))).is_empty());
+    assert!(replies(&bench.put(Input::ClientDisconnected(ClientId(2)))).is_empty());
 }
 
 /// Set-up 5 is out at `a` over link 2; its first attempt there, over link 1, was given up.
@@ -561,15 +590,15 @@
     bench.offered(5, "plain", Some(300 * MS));
     bench.pass(400 * MS);
     bench.bind(1, "a", None);
-    bench.put(Input::LinkUp(LinkId(2)));
+    bench.put(Input::NodeConnected(NodeConnectionId(2)));
 }
 
 /// A task at `a`: its first attempt there, over link 1, was given up, and its second, over link 2, placed it.
 fn placed_at_second_try(bench: &mut Bench) {
     out_at_second_try(bench);
-    bench.put(Input::Host(
-        LinkId(2),
-        Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"x"),
+    bench.put(Input::NodeMessage(
+        NodeConnectionId(2),
+        Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"x"),
     ));
     bench.ends();
 }
@@ -582,14 +611,14 @@
     let end = Message::release(5, cause::ORDINARY);
     let mut bench = Bench::new();
     placed_at_second_try(&mut bench);
-    bench.put(Input::LinkDown(
-        LinkId(2),
-        Down::Broke {
-            written: 999,
-            whole: true,
+    bench.put(Input::NodeDisconnected(
+        NodeConnectionId(2),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: true,
         },
     ));
-    let out = bench.put(Input::Host(LinkId(1), end.clone()));
+    let out = bench.put(Input::NodeMessage(NodeConnectionId(1), end.clone()));
     assert_eq!(replies(&out), [(1, end.clone())]);
     assert_eq!(
         cuts(&out),
@@ -599,7 +628,7 @@
     // It is there, but its host says nothing on it.
     let mut bench = Bench::new();
     placed_at_second_try(&mut bench);
-    assert!(replies(&bench.put(Input::Host(LinkId(1), end.clone()))).is_empty());
+    assert!(replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), end.clone()))).is_empty());
     assert!(replies(&bench.pass(400 * MS)).is_empty());
     let out = bench.pass(200 * MS);
     assert_eq!(
@@ -616,18 +645,24 @@
     out_at_second_try(&mut bench);
     bench.ends();
     // Hosts say an end again over the next connection that is opened, before they have read what comes over it.
-    bench.put(Input::Host(LinkId(2), Message::release(5, cause::ORDINARY)));
+    bench.put(Input::NodeMessage(
+        NodeConnectionId(2),
+        Message::release(5, cause::ORDINARY),
+    ));
     assert_eq!(bench.ends(), [], "the attempt is out");
-    let answer = Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"x");
+    let answer = Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"x");
     assert_eq!(
-        replies(&bench.put(Input::Host(LinkId(2), answer.clone()))),
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(2), answer.clone()))),
         [(1, answer)]
     );
     // A cut may be either's: the attempt is over for the module, and its host is told to give it up.
     let mut bench = Bench::new();
     out_at_second_try(&mut bench);
     bench.ends();
-    let out = bench.put(Input::Host(LinkId(2), Message::release(5, cause::CUT)));
+    let out = bench.put(Input::NodeMessage(
+        NodeConnectionId(2),
+        Message::release(5, cause::CUT),
+    ));
     assert_eq!(sends(&out), [(2, Message::release(5, cause::ORDINARY))]);
     assert_eq!(bench.ends(), [(1, 1, AttemptOutcome::Lost, false)]);
 }
@@ -637,22 +672,25 @@
     // Refused: no process is there.
     let mut bench = Bench::new();
     bench.placed(5);
-    bench.put(Input::LinkDown(
-        LinkId(1),
-        Down::Broke {
-            written: 99,
-            whole: true,
+    bench.put(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 99,
+            is_clean: true,
         },
     ));
     bench.pass(S);
-    let out = bench.put(Input::LinkDown(LinkId(2), Down::Refused));
+    let out = bench.put(Input::NodeDisconnected(
+        NodeConnectionId(2),
+        Disconnect::Refused,
+    ));
     assert_eq!(replies(&out), [(1, Message::release(5, cause::CUT))]);
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Lost, true)]);
     // Started anew, as the list tells.
     let mut bench = Bench::new();
     bench.placed(5);
     let started = bench.now / 1000 + 1;
-    let out = bench.put(Input::List(vec![event(
+    let out = bench.put(Input::EndpointEvents(vec![event(
         2,
         false,
         &[host("a", 1, "active", started)],
@@ -663,7 +701,7 @@
     bench.placed(5);
     let out = bench.pass(3 * S);
     assert!(
-        sends(&out).iter().any(|(_, m)| m.kind == Kind::Test),
+        sends(&out).iter().any(|(_, m)| m.kind == MessageKind::Test),
         "{out:?}"
     );
     assert!(replies(&out).is_empty(), "too early to say");
@@ -679,10 +717,10 @@
     bench.placed(5);
     for _ in 0..40 {
         for (link, message) in sends(&bench.pass(500 * MS)) {
-            assert_eq!(message.kind, Kind::Test);
-            bench.put(Input::Host(
-                LinkId(link),
-                Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]),
+            assert_eq!(message.kind, MessageKind::Test);
+            bench.put(Input::NodeMessage(
+                NodeConnectionId(link),
+                Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
             ));
         }
     }
@@ -699,13 +737,14 @@
         let mut asked = Vec::new();
         for _ in 0..300 {
             for (link, message) in std::mem::take(&mut asked) {
-                let passed: Message = Message::new(Kind::Tested, message).with(code::CAUSE, &[1]);
-                bench.put(Input::Host(LinkId(link), passed));
+                let passed: Message =
+                    Message::new(MessageKind::Tested, message).with(code::CAUSE, &[1]);
+                bench.put(Input::NodeMessage(NodeConnectionId(link), passed));
             }
             let out = bench.pass(100 * MS);
             assert_eq!(replies(&out), [], "{dial_timeout}");
             for (link, message) in sends(&out) {
-                assert_eq!(message.kind, Kind::Test, "{dial_timeout}");
+                assert_eq!(message.kind, MessageKind::Test, "{dial_timeout}");
                 asked.push((link, message.id));
             }
         }
@@ -722,16 +761,16 @@
     assert!(
         sends(&out)
             .iter()
-            .any(|(link, m)| (*link, m.kind) == (1, Kind::Test)),
+            .any(|(link, m)| (*link, m.kind) == (1, MessageKind::Test)),
         "{out:?}"
     );
     let out = bench.pass(1100 * MS);
-    assert!(out.contains(&Output::Hang(LinkId(1))), "{out:?}");
-    bench.put(Input::LinkDown(
-        LinkId(1),
-        Down::Broke {
-            written: 999,
-            whole: true,
+    assert!(out.contains(&Output::Close(NodeConnectionId(1))), "{out:?}");
+    bench.put(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: true,
         },
     ));
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Lost, false)]);
@@ -740,10 +779,10 @@
     bench.offered(5, "keyed", None);
     for _ in 0..6 {
         for (link, message) in sends(&bench.pass(500 * MS)) {
-            assert_eq!(message.kind, Kind::Test);
-            bench.put(Input::Host(
-                LinkId(link),
-                Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]),
+            assert_eq!(message.kind, MessageKind::Test);
+            bench.put(Input::NodeMessage(
+                NodeConnectionId(link),
+                Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
             ));
         }
     }
@@ -758,43 +797,43 @@
         host("a", 1, "left", 0),
         host("c", 1, "active", bench.now / 1000),
     ];
-    bench.put(Input::List(vec![event(2, false, &takeover)]));
-    bench.put(Input::Owner(OwnerId(1), set_up(6, "plain")));
+    bench.put(Input::EndpointEvents(vec![event(2, false, &takeover)]));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(6, "plain")));
     let out = bench.bind(2, "c", None);
     assert!(
-        matches!(out[..], [Output::Dial(LinkId(2), a)] if a.port() == 1),
+        matches!(out[..], [Output::Connect(NodeConnectionId(2), a)] if a.port() == 1),
         "{out:?}"
     );
-    bench.put(Input::LinkUp(LinkId(2)));
+    bench.put(Input::NodeConnected(NodeConnectionId(2)));
     // What the old connection says of it is not the new machine's word.
-    let answer = Message::new(Kind::Answer, 6).with(code::DESCRIPTION, b"x");
-    assert!(replies(&bench.put(Input::Host(LinkId(1), answer))).is_empty());
+    let answer = Message::new(MessageKind::Answer, 6).with(code::DESCRIPTION, b"x");
+    assert!(replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), answer))).is_empty());
     let out = bench.pass(S);
     assert_eq!(
         replies(&out),
         [(1, Message::release(5, cause::CUT))],
         "what stood on the old one is over"
     );
-    assert!(out.contains(&Output::Hang(LinkId(1))));
+    assert!(out.contains(&Output::Close(NodeConnectionId(1))));
 }
 
 #[test]
 fn set_ups_under_an_open_id_do_not_disturb_the_first() {
     let mut bench = Bench::new();
-    bench.put(Input::Owner(OwnerId(1), set_up(5, "plain")));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(5, "plain")));
     let same = set_up(5, "once");
     assert!(
-        replies(&bench.put(Input::Owner(OwnerId(1), same.clone()))).is_empty(),
+        replies(&bench.put(Input::ClientMessage(ClientId(1), same.clone()))).is_empty(),
         "its answer is to come"
     );
-    let out = replies(&bench.put(Input::Owner(OwnerId(2), same)));
+    let out = replies(&bench.put(Input::ClientMessage(ClientId(2), same)));
     assert_eq!(out, [(2, Message::release(5, cause::TURNED_AWAY))]);
     // Nor can another connection give it up, or one that closes.
-    bench.put(Input::Owner(
-        OwnerId(2),
+    bench.put(Input::ClientMessage(
+        ClientId(2),
         Message::release(5, cause::ORDINARY),
     ));
-    bench.put(Input::OwnerGone(OwnerId(2)));
+    bench.put(Input::ClientDisconnected(ClientId(2)));
     bench.pass(2 * MS);
     let told = bench.told();
     assert!(matches!(told[..], [Event::Place(_)]), "{told:?}");
@@ -813,7 +852,9 @@
     let without = |skip: u8| {
         let full = set_up(9, "keyed");
         let keep = full.parameters().filter(|(c, _)| *c != skip);
-        keep.fold(Message::new(Kind::SetUp, 9), |m, (c, v)| m.with(c, v))
+        keep.fold(Message::new(MessageKind::SetUp, 9), |m, (c, v)| {
+            m.with(c, v)
+        })
     };
     let wait = |ms: &[u8]| without(code::WAIT).with(code::WAIT, ms);
     let bad = [
@@ -838,10 +879,10 @@
     ];
     let mut bench = Bench::new();
     // Without an id, a host would close its connection with all that is open on it.
-    let out = replies(&bench.put(Input::Owner(OwnerId(1), set_up(0, "plain"))));
+    let out = replies(&bench.put(Input::ClientMessage(ClientId(1), set_up(0, "plain"))));
     assert_eq!(out, [(1, Message::release(0, cause::TURNED_AWAY))]);
     for message in bad {
-        let out = replies(&bench.put(Input::Owner(OwnerId(1), message.clone())));
+        let out = replies(&bench.put(Input::ClientMessage(ClientId(1), message.clone())));
         assert_eq!(
             out,
             [(1, Message::release(9, cause::TURNED_AWAY))],
@@ -858,33 +899,38 @@
     let mut bench = Bench::new();
     let mut refused = 0;
     for id in 1..=40 {
-        refused += replies(&bench.put(Input::Owner(OwnerId(1), set_up(id, "plain")))).len();
+        refused +=
+            replies(&bench.put(Input::ClientMessage(ClientId(1), set_up(id, "plain")))).len();
     }
     assert_eq!(refused, 35, "five may be open on one");
     assert!(
-        replies(&bench.put(Input::Owner(OwnerId(2), set_up(99, "plain")))).is_empty(),
+        replies(&bench.put(Input::ClientMessage(ClientId(2), set_up(99, "plain")))).is_empty(),
         "others have their turn"
     );
     for id in 1..=5 {
-        bench.put(Input::Owner(
-            OwnerId(1),
+        bench.put(Input::ClientMessage(
+            ClientId(1),
             Message::release(id, cause::ORDINARY),
         ));
     }
-    assert_eq!(bench.desk.open(), 1, "withdrawn ones leave nothing");
+    assert_eq!(
+        bench.desk.open_requests(),
+        1,
+        "withdrawn ones leave nothing"
+    );
 }
 
 #[test]
 fn a_task_that_stands_already_is_taken_over_once_and_answered_by_nobody() {
     let mut bench = Bench::new();
     let standing = with_figures(5, "cores:1;memory:2;service:aa;at:b");
-    let out = bench.put(Input::Owner(OwnerId(1), standing.clone()));
+    let out = bench.put(Input::ClientMessage(ClientId(1), standing.clone()));
     assert!(replies(&out).is_empty());
     assert!(
-        matches!(out[..], [Output::Dial(LinkId(1), a)] if a.port() == 2),
+        matches!(out[..], [Output::Connect(NodeConnectionId(1), a)] if a.port() == 2),
         "its end needs a way: {out:?}"
     );
-    let out = bench.put(Input::Owner(OwnerId(1), standing));
+    let out = bench.put(Input::ClientMessage(ClientId(1), standing));
     assert!(out.is_empty(), "held already: {out:?}");
     bench.pass(2 * MS);
     let told = bench.told();
@@ -893,10 +939,10 @@
         matches!(told[..], [Event::RunningTask { node: machine, .. }] if machine == b),
         "{told:?}"
     );
-    bench.put(Input::LinkUp(LinkId(1)));
+    bench.put(Input::NodeConnected(NodeConnectionId(1)));
     let end = Message::release(5, cause::CUT).with(code::NOTE, b"evicted");
     assert_eq!(
-        replies(&bench.put(Input::Host(LinkId(1), end))),
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), end))),
         [(1, Message::release(5, cause::CUT))]
     );
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Lost, true)]);
@@ -909,7 +955,7 @@
 fn a_task_that_is_handed_over_under_another_id_ends_under_that_one() {
     let handed_over = || {
         let figures = "cores:1;memory:2;service:aa;at:a";
-        let message = Message::new(Kind::SetUp, 6)
+        let message = Message::new(MessageKind::SetUp, 6)
             .with(code::CLASS, b"plain")
             .with(code::WAIT, b"4000");
         message
@@ -926,23 +972,23 @@
         bench.placed(5);
         assert!(
             bench
-                .put(Input::Owner(OwnerId(2), handed_over()))
+                .put(Input::ClientMessage(ClientId(2), handed_over()))
                 .is_empty()
         );
         assert_eq!(
-            replies(&bench.put(Input::Host(LinkId(1), end(said)))),
+            replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), end(said)))),
             [(2, end(6))]
         );
         assert_eq!(
-            (bench.ends(), bench.desk.standing()),
+            (bench.ends(), bench.desk.running_tasks()),
             (vec![(1, 0, AttemptOutcome::Completed, true)], 0)
         );
     }
     // Its owner was told, or said, that it is over, and its host has not read that yet.
     let mut bench = Bench::new();
     bench.placed(5);
-    bench.put(Input::Owner(OwnerId(1), end(5)));
-    let out = bench.put(Input::Owner(OwnerId(2), handed_over()));
+    bench.put(Input::ClientMessage(ClientId(1), end(5)));
+    let out = bench.put(Input::ClientMessage(ClientId(2), handed_over()));
     assert_eq!(
         (replies(&out), cuts(&out)),
         (vec![(2, under(6))], vec![(1, end(6))])
@@ -950,9 +996,12 @@
     let Some((1, test)) = sends(&out).pop() else {
         panic!("{out:?}")
     };
-    bench.put(Input::Host(LinkId(1), Message::new(Kind::Tested, test.id)));
+    bench.put(Input::NodeMessage(
+        NodeConnectionId(1),
+        Message::new(MessageKind::Tested, test.id),
+    ));
     assert_eq!(
-        (bench.ends(), bench.desk.standing()),
+        (bench.ends(), bench.desk.running_tasks()),
         (vec![(1, 0, AttemptOutcome::Cancelled, true)], 0)
     );
 }
@@ -962,38 +1011,43 @@
     let mut bench = Bench::new();
     let on = |id, host: &str| with_figures(id, &format!("cores:1;memory:2;service:aa;at:{host}"));
     assert!(
-        bench.put(Input::Owner(OwnerId(1), on(5, "new"))).is_empty(),
+        bench
+            .put(Input::ClientMessage(ClientId(1), on(5, "new")))
+            .is_empty(),
         "its address is not known"
     );
-    let out = bench.put(Input::List(vec![event(
+    let out = bench.put(Input::EndpointEvents(vec![event(
         2,
         false,
         &[host("new", 9, "active", 0)],
     )]));
     assert!(
-        matches!(out[..], [Output::Dial(LinkId(1), a)] if a.port() == 9),
+        matches!(out[..], [Output::Connect(NodeConnectionId(1), a)] if a.port() == 9),
         "{out:?}"
     );
-    bench.put(Input::LinkUp(LinkId(1)));
-    bench.put(Input::Host(LinkId(1), Message::release(5, cause::ORDINARY)));
+    bench.put(Input::NodeConnected(NodeConnectionId(1)));
+    bench.put(Input::NodeMessage(
+        NodeConnectionId(1),
+        Message::release(5, cause::ORDINARY),
+    ));
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Completed, true)]);
     // One that is never listed ends with the time that a silent host is given, and nothing of it stays.
-    bench.put(Input::Owner(OwnerId(1), on(6, "made-up")));
+    bench.put(Input::ClientMessage(ClientId(1), on(6, "made-up")));
     assert_eq!(
         replies(&bench.pass(5 * S)),
         [(1, Message::release(6, cause::CUT))]
     );
     assert_eq!(
         (
-            bench.desk.standing(),
-            bench.desk.hosts(),
+            bench.desk.running_tasks(),
+            bench.desk.known_nodes(),
             bench.desk.next_wake()
         ),
         (0, 3, None)
     );
-    bench.put(Input::Owner(OwnerId(1), on(7, &"x".repeat(65))));
+    bench.put(Input::ClientMessage(ClientId(1), on(7, &"x".repeat(65))));
     assert_eq!(
-        (bench.desk.standing(), bench.desk.hosts()),
+        (bench.desk.running_tasks(), bench.desk.known_nodes()),
         (0, 3),
         "no id is that long"
     );
@@ -1003,20 +1057,20 @@
 fn an_owner_ends_its_task_over_any_connection_and_its_host_is_told() {
     let mut bench = Bench::new();
     bench.placed(5);
-    let out = bench.put(Input::Owner(
-        OwnerId(3),
+    let out = bench.put(Input::ClientMessage(
+        ClientId(3),
         Message::release(5, cause::CALLED_OFF),
     ));
     assert_eq!(cuts(&out), [(1, Message::release(5, cause::CALLED_OFF))]);
     assert!(replies(&out).is_empty());
-    let again = bench.put(Input::Owner(
-        OwnerId(1),
+    let again = bench.put(Input::ClientMessage(
+        ClientId(1),
         Message::release(5, cause::CALLED_OFF),
     ));
     assert!(again.is_empty(), "once is enough: {again:?}");
     assert!(
-        replies(&bench.put(Input::Host(
-            LinkId(1),
+        replies(&bench.put(Input::NodeMessage(
+            NodeConnectionId(1),
             Message::release(5, cause::CALLED_OFF)
         )))
         .is_empty()
@@ -1031,49 +1085,54 @@
     type Knowledge = fn(&mut Bench);
     let of_the_list = |b: &mut Bench| {
         let restarted = host("a", 1, "active", b.now / 1000 + 1);
-        b.put(Input::List(vec![event(2, false, &[restarted])]));
+        b.put(Input::EndpointEvents(vec![event(2, false, &[restarted])]));
     };
     let over: [Knowledge; 4] = [
         |b| {
-            let out = sends(&b.put(Input::LinkUp(LinkId(2))));
+            let out = sends(&b.put(Input::NodeConnected(NodeConnectionId(2))));
             let [(2, cut), (2, test)] = &out[..] else {
                 panic!("{out:?}")
             };
             assert_eq!(*cut, Message::release(5, cause::CALLED_OFF));
             assert_eq!(b.ends(), [], "sent is not read");
-            b.put(Input::Host(
-                LinkId(2),
-                Message::new(Kind::Tested, test.id).with(code::CAUSE, &[1]),
+            b.put(Input::NodeMessage(
+                NodeConnectionId(2),
+                Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]),
             ));
         },
         |b| {
-            b.put(Input::LinkUp(LinkId(2)));
-            b.put(Input::Host(
-                LinkId(2),
+            b.put(Input::NodeConnected(NodeConnectionId(2)));
+            b.put(Input::NodeMessage(
+                NodeConnectionId(2),
                 Message::release(5, cause::CALLED_OFF),
             ));
         },
-        |b| drop(b.put(Input::LinkDown(LinkId(2), Down::Refused))),
+        |b| {
+            drop(b.put(Input::NodeDisconnected(
+                NodeConnectionId(2),
+                Disconnect::Refused,
+            )))
+        },
         of_the_list,
     ];
     for (n, known) in over.into_iter().enumerate() {
         let mut bench = Bench::new();
         bench.placed(5);
-        bench.put(Input::LinkDown(
-            LinkId(1),
-            Down::Broke {
-                written: 999,
-                whole: false,
+        bench.put(Input::NodeDisconnected(
+            NodeConnectionId(1),
+            Disconnect::Broken {
+                bytes_written: 999,
+                is_clean: false,
             },
         ));
         bench.pass(S);
-        let out = bench.put(Input::Owner(
-            OwnerId(1),
+        let out = bench.put(Input::ClientMessage(
+            ClientId(1),
             Message::release(5, cause::CALLED_OFF),
         ));
         assert!(out.is_empty(), "no way there: {out:?}");
         assert_eq!(
-            (bench.ends(), bench.desk.standing()),
+            (bench.ends(), bench.desk.running_tasks()),
             (vec![], 1),
             "time is no knowledge"
         );
@@ -1083,7 +1142,7 @@
             [(1, 0, AttemptOutcome::Cancelled, true)],
             "case {n}"
         );
-        assert_eq!(bench.desk.standing(), 0);
+        assert_eq!(bench.desk.running_tasks(), 0);
     }
 }
 
@@ -1098,24 +1157,24 @@
         [(1, Message::release(5, cause::CUT))],
         "once"
     );
-    assert_eq!((bench.ends(), bench.desk.standing()), (vec![], 1));
-    assert!(out.contains(&Output::Hang(LinkId(1))), "{out:?}");
-    bench.put(Input::LinkDown(
-        LinkId(1),
-        Down::Broke {
-            written: 999,
-            whole: false,
+    assert_eq!((bench.ends(), bench.desk.running_tasks()), (vec![], 1));
+    assert!(out.contains(&Output::Close(NodeConnectionId(1))), "{out:?}");
+    bench.put(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: false,
         },
     ));
     bench.pass(S);
-    let out = sends(&bench.put(Input::LinkUp(LinkId(2))));
+    let out = sends(&bench.put(Input::NodeConnected(NodeConnectionId(2))));
     let [(2, cut), (2, test)] = &out[..] else {
         panic!("{out:?}")
     };
     assert_eq!(*cut, Message::release(5, cause::ORDINARY));
-    let passed = Message::new(Kind::Tested, test.id).with(code::CAUSE, &[1]);
+    let passed = Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]);
     assert!(
-        replies(&bench.put(Input::Host(LinkId(2), passed))).is_empty(),
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(2), passed))).is_empty(),
         "nothing after the end"
     );
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Lost, true)]);
@@ -1127,41 +1186,47 @@
     for read in [false, true] {
         let mut bench = Bench::new();
         bench.placed(5);
-        let out = sends(&bench.put(Input::Owner(OwnerId(1), end.clone())));
+        let out = sends(&bench.put(Input::ClientMessage(ClientId(1), end.clone())));
         let [_, (1, test)] = &out[..] else {
             panic!("{out:?}")
         };
         if read {
-            bench.put(Input::Host(LinkId(1), Message::new(Kind::Tested, test.id)));
+            bench.put(Input::NodeMessage(
+                NodeConnectionId(1),
+                Message::new(MessageKind::Tested, test.id),
+            ));
         }
-        bench.put(Input::LinkDown(
-            LinkId(1),
-            Down::Broke {
-                written: 999,
-                whole: true,
+        bench.put(Input::NodeDisconnected(
+            NodeConnectionId(1),
+            Disconnect::Broken {
+                bytes_written: 999,
+                is_clean: true,
             },
         ));
         bench.pass(S);
-        let out = cuts(&bench.put(Input::LinkUp(LinkId(2))));
+        let out = cuts(&bench.put(Input::NodeConnected(NodeConnectionId(2))));
         assert_eq!(out.len(), usize::from(!read), "read {read}: {out:?}");
         // Where no process is there, nothing can stand there.
         let mut bench = Bench::new();
         bench.placed(5);
-        bench.put(Input::Owner(OwnerId(1), end.clone()));
-        bench.put(Input::LinkDown(
-            LinkId(1),
-            Down::Broke {
-                written: 999,
-                whole: false,
+        bench.put(Input::ClientMessage(ClientId(1), end.clone()));
+        bench.put(Input::NodeDisconnected(
+            NodeConnectionId(1),
+            Disconnect::Broken {
+                bytes_written: 999,
+                is_clean: false,
             },
         ));
         bench.pass(S);
-        bench.put(Input::LinkDown(LinkId(2), Down::Refused));
+        bench.put(Input::NodeDisconnected(
+            NodeConnectionId(2),
+            Disconnect::Refused,
+        ));
         assert!(
             !bench
                 .pass(5 * S)
                 .iter()
-                .any(|o| matches!(o, Output::Dial(..))),
+                .any(|o| matches!(o, Output::Connect(..))),
             "nobody is to be told"
         );
     }
@@ -1172,8 +1237,8 @@
 fn a_cut_that_was_not_read_goes_over_another_connection_that_is_up() {
     let mut bench = Bench::new();
     placed_at_second_try(&mut bench);
-    let out = cuts(&bench.put(Input::Owner(
-        OwnerId(1),
+    let out = cuts(&bench.put(Input::ClientMessage(
+        ClientId(1),
         Message::release(5, cause::CALLED_OFF),
     )));
     assert_eq!(
@@ -1181,11 +1246,11 @@
         [(2, Message::release(5, cause::CALLED_OFF))],
         "over the connection of its set-up"
     );
-    let out = bench.put(Input::LinkDown(
-        LinkId(2),
-        Down::Broke {
-            written: 999,
-            whole: true,
+    let out = bench.put(Input::NodeDisconnected(
+        NodeConnectionId(2),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: true,
         },
     ));
     assert_eq!(cuts(&out), [(1, Message::release(5, cause::CALLED_OFF))]);
@@ -1196,17 +1261,17 @@
     for whole in [false, true] {
         let mut bench = Bench::new();
         placed_at_second_try(&mut bench);
-        bench.put(Input::LinkDown(
-            LinkId(2),
-            Down::Broke {
-                written: 999,
-                whole,
+        bench.put(Input::NodeDisconnected(
+            NodeConnectionId(2),
+            Disconnect::Broken {
+                bytes_written: 999,
+                is_clean: whole,
             },
         ));
         let out = bench.pass(S);
         // Closed by its host, it brought all that was said.
         assert_eq!(
-            out.iter().any(|o| matches!(o, Output::Dial(..))),
+            out.iter().any(|o| matches!(o, Output::Connect(..))),
             !whole,
             "{out:?}"
         );
@@ -1220,38 +1285,43 @@
     let mut bench = Bench::new();
     bench.placed(5);
     // A second attempt elsewhere in time: dialled, not up yet.
-    bench.put(Input::Owner(OwnerId(1), set_up(6, "plain")));
-    bench.put(Input::Owner(OwnerId(1), set_up(7, "plain")));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(6, "plain")));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(7, "plain")));
     bench.bind(2, "a", None);
     let out = bench.bind(3, "a", None);
     assert!(
-        !out.iter().any(|o| matches!(o, Output::Dial(..))),
+        !out.iter().any(|o| matches!(o, Output::Connect(..))),
         "one connection is enough: {out:?}"
     );
-    bench.put(Input::Host(LinkId(1), Message::release(6, cause::FULL)));
+    bench.put(Input::NodeMessage(
+        NodeConnectionId(1),
+        Message::release(6, cause::FULL),
+    ));
     bench.pass(2 * MS);
     let out = bench.bind(2, "a", None);
     assert!(
-        out.iter().any(|o| matches!(o, Output::Dial(LinkId(2), _))),
+        out.iter()
+            .any(|o| matches!(o, Output::Connect(NodeConnectionId(2), _))),
         "{out:?}"
     );
-    bench.put(Input::LinkDown(
-        LinkId(1),
-        Down::Broke {
-            written: 999,
-            whole: false,
+    bench.put(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: false,
         },
     ));
-    bench.put(Input::LinkUp(LinkId(2)));
+    bench.put(Input::NodeConnected(NodeConnectionId(2)));
     let out = bench.pass(S);
     assert!(
-        out.iter().any(|o| matches!(o, Output::Dial(LinkId(3), _))),
+        out.iter()
+            .any(|o| matches!(o, Output::Connect(NodeConnectionId(3), _))),
         "{out:?}"
     );
-    bench.put(Input::LinkUp(LinkId(3)));
+    bench.put(Input::NodeConnected(NodeConnectionId(3)));
     let out = bench.pass(S);
     assert!(
-        !out.iter().any(|o| matches!(o, Output::Dial(..))),
+        !out.iter().any(|o| matches!(o, Output::Connect(..))),
         "once: {out:?}"
     );
 }
@@ -1261,25 +1331,25 @@
     let mut bench = Bench::new();
     bench.placed(5);
     let out = bench.act(Action::Migrate(RequestId(1)));
-    assert_eq!(replies(&out), [(1, Message::new(Kind::Move, 5))]);
+    assert_eq!(replies(&out), [(1, Message::new(MessageKind::Move, 5))]);
     let [(1, cut), (1, test)] = &sends(&out)[..] else {
         panic!("{out:?}")
     };
     assert_eq!(*cut, Message::release(5, cause::CALLED_OFF));
     assert!(bench.act(Action::Migrate(RequestId(1))).is_empty(), "once");
-    let passed = Message::new(Kind::Tested, test.id).with(code::CAUSE, &[1]);
-    bench.put(Input::Host(LinkId(1), passed));
+    let passed = Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]);
+    bench.put(Input::NodeMessage(NodeConnectionId(1), passed));
     assert_eq!(bench.ends(), [(1, 0, AttemptOutcome::Cancelled, true)]);
 }
 
 #[test]
 fn lists_reach_the_module_in_order_and_the_start_is_cached() {
     let mut bench = Bench::new();
-    bench.put(Input::List(vec![
+    bench.put(Input::EndpointEvents(vec![
         event(2, false, &[host("b", 2, "leaving", 0)]),
         event(3, true, &[host("a", 1, "active", 4)]),
     ]));
-    bench.put(Input::ListFailed);
+    bench.put(Input::EndpointWatchFailed);
     bench.pass(2 * MS);
     let told: Vec<Event> = std::mem::take(&mut *bench.told.borrow_mut());
     let lists = told.iter().filter_map(|e| match e {
@@ -1317,21 +1387,30 @@
     let more: Vec<String> = (0..4)
         .map(|i| host(["c", "d", "e", "f"][i], 10 + i as u16, "active", 0))
         .collect();
-    bench.put(Input::List(vec![event(2, false, &more)]));
+    bench.put(Input::EndpointEvents(vec![event(2, false, &more)]));
     bench.placed(5);
     for (request, name, link) in [(2, "b", 2), (3, "c", 3)] {
-        bench.put(Input::Owner(OwnerId(1), set_up(request + 10, "plain")));
+        bench.put(Input::ClientMessage(
+            ClientId(1),
+            set_up(request + 10, "plain"),
+        ));
         bench.bind(request, name, None);
-        bench.put(Input::LinkUp(LinkId(link)));
+        bench.put(Input::NodeConnected(NodeConnectionId(link)));
     }
-    bench.put(Input::Host(LinkId(3), Message::release(13, cause::FULL)));
+    bench.put(Input::NodeMessage(
+        NodeConnectionId(3),
+        Message::release(13, cause::FULL),
+    ));
     // The third is idle; on the first a task stands, on the second an attempt is out.
-    bench.put(Input::Owner(OwnerId(1), set_up(14, "plain")));
+    bench.put(Input::ClientMessage(ClientId(1), set_up(14, "plain")));
     let out = bench.bind(4, "d", None);
     assert!(
         matches!(
             out[..],
-            [Output::Hang(LinkId(3)), Output::Dial(LinkId(4), _)]
+            [
+                Output::Close(NodeConnectionId(3)),
+                Output::Connect(NodeConnectionId(4), _)
+            ]
         ),
         "{out:?}"
     );
@@ -1342,40 +1421,43 @@
 #[test]
 fn connections_to_hosts_have_what_owners_leave() {
     let mut bench = Bench::new();
-    bench.put(Input::Owners(51));
+    bench.put(Input::ClientCount(51));
     bench.placed(5);
     let place = |bench: &mut Bench, request: u64| {
-        bench.put(Input::Owner(OwnerId(1), set_up(request + 10, "plain")));
+        bench.put(Input::ClientMessage(
+            ClientId(1),
+            set_up(request + 10, "plain"),
+        ));
         bench.bind(request, "b", None)
     };
     let out = place(&mut bench, 2);
     assert!(
-        matches!(out[..], [Output::Dial(LinkId(2), _)]),
+        matches!(out[..], [Output::Connect(NodeConnectionId(2), _)]),
         "two are left: {out:?}"
     );
     // More owners than their half: idle connections go, down to what is left, and come back when they leave.
     assert!(
         bench
-            .put(Input::Owners(52))
-            .contains(&Output::Hang(LinkId(1)))
+            .put(Input::ClientCount(52))
+            .contains(&Output::Close(NodeConnectionId(1)))
     );
-    bench.put(Input::LinkDown(
-        LinkId(1),
-        Down::Broke {
-            written: 999,
-            whole: false,
+    bench.put(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: false,
         },
     ));
     assert_eq!(
-        bench.put(Input::Owners(53)),
+        bench.put(Input::ClientCount(53)),
         [],
         "the other one is needed for an attempt"
     );
     assert_eq!(bench.pass(S), [], "no descriptor for it");
-    bench.put(Input::Owners(10));
+    bench.put(Input::ClientCount(10));
     assert!(matches!(
         bench.pass(2 * S)[..],
-        [Output::Dial(LinkId(3), _), ..]
+        [Output::Connect(NodeConnectionId(3), _), ..]
     ));
 }
 
@@ -1387,14 +1469,17 @@
     bench.offered(5, "plain", Some(100 * MS));
     bench.now += 200 * MS;
     // Another connection has its turn first.
-    bench.put(Input::Owner(OwnerId(2), Message::new(Kind::Test, 9)));
-    let answer = Message::new(Kind::Answer, 5).with(code::DESCRIPTION, b"here");
+    bench.put(Input::ClientMessage(
+        ClientId(2),
+        Message::new(MessageKind::Test, 9),
+    ));
+    let answer = Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"here");
     assert_eq!(
-        replies(&bench.put(Input::Host(LinkId(1), answer.clone()))),
+        replies(&bench.put(Input::NodeMessage(NodeConnectionId(1), answer.clone()))),
         [(1, answer)]
     );
     bench.pass(S);
-    assert_eq!((bench.ends(), bench.desk.standing()), (vec![], 1));
+    assert_eq!((bench.ends(), bench.desk.running_tasks()), (vec![], 1));
 }
 
 #[test]
@@ -1405,8 +1490,8 @@
     let mut put = |at, id| {
         bench
             .desk
-            .handle(at, Input::Owner(OwnerId(1), set_up(id, "plain")));
-        bench.desk.handle(at, Input::Turn);
+            .handle(at, Input::ClientMessage(ClientId(1), set_up(id, "plain")));
+        bench.desk.handle(at, Input::AdmitNext);
         bench.told.borrow().len()
     };
     let tick = Settings::sample().tick;
@@ -1430,12 +1515,15 @@
     let come = bench.now + S;
     let mut at = |now: Micros, input| bench.desk.handle(now, input);
     for (owner, id) in [(1, 1), (1, 2), (1, 3), (2, 4), (3, 5)] {
-        at(come, Input::Owner(OwnerId(owner), set_up(id, "plain")));
+        at(
+            come,
+            Input::ClientMessage(ClientId(owner), set_up(id, "plain")),
+        );
     }
     assert_eq!(
         replies(&at(
             come,
-            Input::Owner(OwnerId(2), Message::new(Kind::Test, 9))
+            Input::ClientMessage(ClientId(2), Message::new(MessageKind::Test, 9))
         ))
         .len(),
         1
@@ -1443,17 +1531,20 @@
     // The second is given up while it waits, and of the third owner nobody waits any more.
     at(
         come,
-        Input::Owner(OwnerId(1), Message::release(2, cause::ORDINARY)),
+        Input::ClientMessage(ClientId(1), Message::release(2, cause::ORDINARY)),
     );
-    at(come, Input::OwnerGone(OwnerId(3)));
+    at(come, Input::ClientDisconnected(ClientId(3)));
     assert_eq!(
-        (bench.desk.open(), bench.desk.is_waited_for(OwnerId(2))),
+        (
+            bench.desk.open_requests(),
+            bench.desk.has_open_requests(ClientId(2))
+        ),
         (3, true)
     );
     for turn in 1..=3 {
-        bench.desk.handle(come + turn * 100 * MS, Input::Turn);
+        bench.desk.handle(come + turn * 100 * MS, Input::AdmitNext);
     }
-    assert!(!bench.desk.has_waiting());
+    assert!(!bench.desk.has_queued_requests());
     bench.now = come + S;
     bench.pass(0);
     let places = bench.told().into_iter().filter_map(|e| match e {
@@ -1467,7 +1558,7 @@
         [(1, left(1)), (4, left(2)), (3, left(3))]
     );
     bench.pass(2 * WAIT);
-    assert_eq!(bench.desk.open(), 0);
+    assert_eq!(bench.desk.open_requests(), 0);
 }
 
 /// Danger: where turns come slower than set-ups, the last in line would hear nothing in its time.
@@ -1475,11 +1566,12 @@
 fn a_set_up_whose_time_is_up_in_line_goes_to_the_module_out_of_turn() {
     let mut bench = Bench::new();
     for id in [1, 2, 3] {
-        bench
-            .desk
-            .handle(bench.now, Input::Owner(OwnerId(1), set_up(id, "plain")));
+        bench.desk.handle(
+            bench.now,
+            Input::ClientMessage(ClientId(1), set_up(id, "plain")),
+        );
     }
-    bench.desk.handle(bench.now, Input::Turn);
+    bench.desk.handle(bench.now, Input::AdmitNext);
     bench.pass(WAIT - MS);
     assert_eq!(bench.told().len(), 1, "no turn came");
     bench.wanted.borrow_mut().push(Action::Reject {
@@ -1496,7 +1588,7 @@
         replies(&out),
         [(1, Message::release(2, cause::TURNED_AWAY))]
     );
-    assert!(!bench.desk.has_waiting());
+    assert!(!bench.desk.has_queued_requests());
 }
 
 /// Danger: a loop that is late by half a second would answer half a second after the deadline, and later.
@@ -1533,9 +1625,9 @@
 fn what_waits_for_a_connection_to_a_host_that_leaves_is_not_sent() {
     for state in ["leaving", "left"] {
         let mut bench = Bench::new();
-        bench.put(Input::Owner(OwnerId(1), set_up(5, "once")));
+        bench.put(Input::ClientMessage(ClientId(1), set_up(5, "once")));
         bench.bind(1, "a", None);
-        bench.put(Input::List(vec![event(
+        bench.put(Input::EndpointEvents(vec![event(
             2,
             false,
             &[host("a", 1, state, 0)],
@@ -1545,9 +1637,9 @@
             [(1, 0, AttemptOutcome::Unreachable, false)],
             "{state}: it has left nothing"
         );
-        let out = bench.put(Input::LinkUp(LinkId(1)));
+        let out = bench.put(Input::NodeConnected(NodeConnectionId(1)));
         assert!(
-            !out.iter().any(|o| matches!(o, Output::Send(..))),
+            !out.iter().any(|o| matches!(o, Output::SendToNode(..))),
             "{state}: {out:?}"
         );
     }
@@ -1651,10 +1743,10 @@
             log: log.clone(),
             machines,
         };
-        let mut desk = Desk::new(module, Settings::sample(), shape(), bounds(), seed);
+        let mut desk = PlatformEngine::new(module, Settings::sample(), shape(), bounds(), seed);
         let mut now = 1000 * S;
         let hosts = [host("a", 1, "active", 0), host("b", 2, "active", 0)];
-        desk.handle(now, Input::Begin(vec![event(1, true, &hosts)]));
+        desk.handle(now, Input::Start(vec![event(1, true, &hosts)]));
         let (mut dialled, mut up) = (BTreeSet::new(), BTreeSet::new());
         let (mut answered, mut taken) = (BTreeSet::new(), BTreeSet::new());
         // Where the present attempt of a task is out.
@@ -1667,10 +1759,10 @@
                 set.iter().nth(rng.usize(0..set.len().max(1))).copied().unwrap_or(1)
             };
             let id = 1 + rng.u64(0..next_id.max(2) - 1);
-            let owner = OwnerId(1 + id % 3);
+            let owner = ClientId(1 + id % 3);
             let link = any(&mut rng, &up);
             let input = match rng.u8(0..12) {
-                _ if desk.has_waiting() && (quiet || rng.u8(0..3) > 0) => Input::Turn,
+                _ if desk.has_queued_requests() && (quiet || rng.u8(0..3) > 0) => Input::AdmitNext,
                 _ if quiet => {
                     now += 300 * MS;
                     Input::Tick(now)
@@ -1678,79 +1770,79 @@
                 0..=2 => {
                     let class = ["plain", "keyed", "once"][rng.usize(0..3)];
                     let message = set_up(next_id, class);
-                    let owner = OwnerId(1 + next_id % 3);
+                    let owner = ClientId(1 + next_id % 3);
                     taken.insert(next_id);
                     next_id += 1;
-                    Input::Owner(owner, message)
+                    Input::ClientMessage(owner, message)
                 }
-                3 => Input::Owner(owner, Message::release(id, cause::ORDINARY)),
-                4 => Input::LinkUp(LinkId(any(&mut rng, &dialled))),
-                5 => Input::Host(LinkId(link), Message::new(Kind::Answer, id).with(code::DESCRIPTION, b"x")),
+                3 => Input::ClientMessage(owner, Message::release(id, cause::ORDINARY)),
+                4 => Input::NodeConnected(NodeConnectionId(any(&mut rng, &dialled))),
+                5 => Input::NodeMessage(NodeConnectionId(link), Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, b"x")),
                 6 => {
                     let cause = [16, 31, 34, 41, 47, 102][rng.usize(0..6)];
-                    Input::Host(LinkId(link), Message::release(id, cause))
+                    Input::NodeMessage(NodeConnectionId(link), Message::release(id, cause))
                 }
                 7 if rng.u8(0..4) == 0 => {
-                    let how = [Down::Refused, Down::NotUp][rng.usize(0..2)];
-                    Input::LinkDown(LinkId(any(&mut rng, &dialled)), how)
+                    let how = [Disconnect::Refused, Disconnect::ConnectFailed][rng.usize(0..2)];
+                    Input::NodeDisconnected(NodeConnectionId(any(&mut rng, &dialled)), how)
                 }
                 8 if rng.u8(0..4) == 0 => {
-                    Input::LinkDown(LinkId(link), Down::Broke { written: rng.u64(0..400), whole: true })
+                    Input::NodeDisconnected(NodeConnectionId(link), Disconnect::Broken { bytes_written: rng.u64(0..400), is_clean: true })
                 }
-                9 if rng.u8(0..8) == 0 => Input::OwnerGone(owner),
+                9 if rng.u8(0..8) == 0 => Input::ClientDisconnected(owner),
                 10 if rng.u8(0..8) == 0 => {
                     let state = ["active", "leaving", "left"][rng.usize(0..3)];
                     let started = if rng.bool() { now / 1000 } else { 0 };
-                    Input::List(vec![event(step as u64 + 2, false, &[host("a", 1, state, started)])])
+                    Input::EndpointEvents(vec![event(step as u64 + 2, false, &[host("a", 1, state, started)])])
                 }
                 _ => Input::Tick(now - rng.u64(0..20 * MS)),
             };
             match &input {
-                Input::LinkUp(l) => {
+                Input::NodeConnected(l) => {
                     if !dialled.remove(&l.0) {
                         continue;
                     }
                     up.insert(l.0);
                 }
-                Input::LinkDown(l, _) => {
+                Input::NodeDisconnected(l, _) => {
                     up.remove(&l.0);
                     dialled.remove(&l.0);
                     out_at.retain(|_, at| *at != l.0);
                 }
-                Input::Host(l, _) if !up.contains(&l.0) => continue,
-                Input::Host(l, m) if out_at.get(&m.id) == Some(&l.0) => {
+                Input::NodeMessage(l, _) if !up.contains(&l.0) => continue,
+                Input::NodeMessage(l, m) if out_at.get(&m.id) == Some(&l.0) => {
                     out_at.remove(&m.id);
                 }
                 _ => {}
             }
             for output in desk.handle(now, input) {
                 match output {
-                    Output::Dial(link, _) => {
+                    Output::Connect(link, _) => {
                         dialled.insert(link.0);
                     }
-                    Output::Send(link, frame) | Output::TakeBack(link, frame) => {
+                    Output::SendToNode(link, frame) | Output::Cancel(link, frame) => {
                         let message = read(&frame);
                         match message.kind {
-                            Kind::SetUp => {
+                            MessageKind::SetUp => {
                                 prop_assert!(up.contains(&link.0), "sent on a connection that is up");
                                 let before = out_at.insert(message.id, link.0);
                                 prop_assert_eq!(before, None, "two attempts of {} in flight", message.id);
                                 prop_assert!(!answered.contains(&message.id), "sent after its answer");
                             }
-                            Kind::Release => {
+                            MessageKind::Release => {
                                 out_at.remove(&message.id);
                             }
                             _ => {}
                         }
                     }
                     // What is out on a connection is given up with it.
-                    Output::Hang(link) => out_at.retain(|_, at| *at != link.0),
-                    Output::Reply(_, frame) => {
+                    Output::Close(link) => out_at.retain(|_, at| *at != link.0),
+                    Output::SendToClient(_, frame) => {
                         let message = read(&frame);
-                        if message.kind == Kind::Answer {
+                        if message.kind == MessageKind::Answer {
                             prop_assert!(answered.insert(message.id), "answered twice");
                             out_at.remove(&message.id);
-                        } else if message.kind == Kind::Release && !answered.contains(&message.id) {
+                        } else if message.kind == MessageKind::Release && !answered.contains(&message.id) {
                             answered.insert(message.id);
                         }
                     }
@@ -1765,12 +1857,12 @@
         let log = log.borrow();
         let mut ended = log.ended.clone();
         ended.sort();
-        let placed_and_standing = desk.standing();
+        let placed_and_standing = desk.running_tasks();
         let before = ended.len();
         ended.dedup();
         prop_assert_eq!(before, ended.len(), "an attempt ended twice");
         let open = log.bound.iter().filter(|b| !ended.contains(b)).count();
         prop_assert!(open <= placed_and_standing, "{} attempts without an end, {} tasks stand", open, placed_and_standing);
-        prop_assert_eq!(desk.open(), 0, "every set-up is over in the end");
+        prop_assert_eq!(desk.open_requests(), 0, "every set-up is over in the end");
     }
 }
--- a/crates/platform/tests/feed.rs
+++ b/crates/platform/tests/feed.rs
@@ -2,7 +2,8 @@
 
 use bytes::BytesMut;
 use peppercove_platform::feed::{
-    Entry, FeedError, Line, Lines, SILENT, State, Step, ask_again, longest, step,
+    EndpointEvent, EndpointWatchError, LineDecoder, NodeLifecycle, SILENT, SequenceCheck,
+    WatchLine, ask_again, check_sequence, max_line_bytes,
 };
 
 #[test]
@@ -11,36 +12,50 @@
         \"addr\":\"10.1.0.9:5070\",\"zone\":\"east\",\"kind\":\"std\",\"cell\":2,\"state\":\"leaving\",\
         \"weight\":4,\"started_ms\":0,\"room\":[1.5,-2]}]}}\n{\"pos\":4";
     let mut buffer = BytesMut::from(text);
-    let mut lines = Lines::new(longest(64));
+    let mut lines = LineDecoder::new(max_line_bytes(64));
     let mut line = |buffer: &mut BytesMut| lines.next(buffer);
-    assert_eq!(line(&mut buffer).expect("a number"), Some(Line::Last(41)));
-    let Ok(Some(Line::Event(entry))) = line(&mut buffer) else {
+    assert_eq!(
+        line(&mut buffer).expect("a number"),
+        Some(WatchLine::Last(41))
+    );
+    let Ok(Some(WatchLine::Event(entry))) = line(&mut buffer) else {
         panic!("an event")
     };
     let host = &entry.hosts.as_ref().expect("hosts").servers[0];
     assert_eq!(
         (host.state, host.room, entry.pos),
-        (Some(State::Leaving), Some([1.5, -2.0]), 42)
+        (Some(NodeLifecycle::Leaving), Some([1.5, -2.0]), 42)
     );
     assert!(matches!(line(&mut buffer), Ok(None)));
     assert_eq!(buffer[..], b"{\"pos\":4"[..]);
     buffer.extend_from_slice(b"\n");
     assert!(
-        matches!(line(&mut buffer), Err(FeedError::Malformed(_))),
+        matches!(line(&mut buffer), Err(EndpointWatchError::Malformed(_))),
         "torn and then ended"
     );
 }
 
 #[test]
 fn repeated_events_are_skipped_and_gaps_asked_for() {
-    let event = |pos| Line::Event(Entry { pos, hosts: None });
+    let event = |pos| WatchLine::Event(EndpointEvent { pos, hosts: None });
     assert_eq!(
-        [step(4, &event(4)), step(4, &event(5)), step(4, &event(6))],
-        [Step::Skip, Step::Take, Step::AskAgain]
+        [
+            check_sequence(4, &event(4)),
+            check_sequence(4, &event(5)),
+            check_sequence(4, &event(6))
+        ],
+        [
+            SequenceCheck::Skip,
+            SequenceCheck::Apply,
+            SequenceCheck::Resync
+        ]
     );
     assert_eq!(
-        [step(4, &Line::Last(4)), step(4, &Line::Last(5))],
-        [Step::Skip, Step::AskAgain]
+        [
+            check_sequence(4, &WatchLine::Last(4)),
+            check_sequence(4, &WatchLine::Last(5))
+        ],
+        [SequenceCheck::Skip, SequenceCheck::Resync]
     );
 }
 
@@ -90,7 +105,7 @@
         "longer than what any memory is let off: {}",
         text.len()
     );
-    let (mut lines, mut buffer) = (Lines::new(longest(64)), BytesMut::new());
+    let (mut lines, mut buffer) = (LineDecoder::new(max_line_bytes(64)), BytesMut::new());
     let mut read = Vec::new();
     for part in text.as_bytes().chunks(64 << 10) {
         buffer.extend_from_slice(part);
@@ -98,17 +113,17 @@
             read.push(line);
         }
     }
-    let [Line::Event(entry), Line::Last(7)] = &read[..] else {
+    let [WatchLine::Event(entry), WatchLine::Last(7)] = &read[..] else {
         panic!("the list, then the number")
     };
     assert_eq!(entry.hosts.as_ref().map(|h| h.servers.len()), Some(13_000));
 
-    let (mut lines, mut buffer) = (Lines::new(longest(8)), BytesMut::new());
+    let (mut lines, mut buffer) = (LineDecoder::new(max_line_bytes(8)), BytesMut::new());
     let end = (0..2_000).find_map(|_| {
         buffer.extend_from_slice(&[b'7'; 1 << 10]);
         lines.next(&mut buffer).err()
     });
-    assert!(matches!(end, Some(FeedError::Endless(_))));
+    assert!(matches!(end, Some(EndpointWatchError::Endless(_))));
     assert!(
         buffer.len() <= (1 << 20) + (1 << 10),
         "no more of it is kept than the bound"
--- a/crates/platform/tests/words.rs
+++ b/crates/platform/tests/words.rs
@@ -7,8 +7,8 @@
 use common::{MS, S, bounds, event, host, read, set_up, shape};
 use peppercove::{Action, Event, Micros, NodeId, RequestId, Settings, TaskKey};
 use peppercove_core::Decide;
-use peppercove_platform::wire::{Kind, Message, cause, code};
-use peppercove_platform::{Desk, Down, Input, LinkId, Output, OwnerId};
+use peppercove_platform::wire::{Message, MessageKind, cause, code};
+use peppercove_platform::{ClientId, Disconnect, Input, NodeConnectionId, Output, PlatformEngine};
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -109,7 +109,7 @@
 }
 
 struct World {
-    desk: Desk<Stubborn>,
+    desk: PlatformEngine<Stubborn>,
     over: Rc<RefCell<Vec<TaskKey>>>,
     rng: fastrand::Rng,
     now: Micros,
@@ -143,7 +143,7 @@
             ..Settings::sample()
         };
         let mut world = World {
-            desk: Desk::new(module, settings, shape(), bounds(), seed),
+            desk: PlatformEngine::new(module, settings, shape(), bounds(), seed),
             over,
             rng: fastrand::Rng::with_seed(seed),
             now: 1000 * S,
@@ -156,7 +156,7 @@
             told: BTreeMap::new(),
             faults: Vec::new(),
         };
-        world.put(Input::Begin(vec![event(
+        world.put(Input::Start(vec![event(
             1,
             true,
             &[host("a", 1, "active", 0)],
@@ -166,8 +166,8 @@
 
     fn put(&mut self, input: Input) {
         let mut outputs = self.desk.handle(self.now, input);
-        while self.desk.has_waiting() {
-            outputs.extend(self.desk.handle(self.now, Input::Turn));
+        while self.desk.has_queued_requests() {
+            outputs.extend(self.desk.handle(self.now, Input::AdmitNext));
         }
         for task in std::mem::take(&mut *self.over.borrow_mut()) {
             let placed = self.present.iter().find(|(id, _)| TaskKey(**id) == task);
@@ -178,8 +178,8 @@
         }
         for output in outputs {
             match output {
-                Output::Dial(link, _) => self.dialled.push(link.0),
-                Output::Send(link, frame) | Output::TakeBack(link, frame) => {
+                Output::Connect(link, _) => self.dialled.push(link.0),
+                Output::SendToNode(link, frame) | Output::Cancel(link, frame) => {
                     if let Some(wire) = self
                         .wires
                         .get_mut(&link.0)
@@ -188,9 +188,9 @@
                         wire.to_host.push_back((self.now, read(&frame)));
                     }
                 }
-                Output::Hang(link) => self.hang(link.0),
-                Output::Reply(_, frame) => self.reply(&read(&frame)),
-                Output::Watch | Output::Log(_) => {}
+                Output::Close(link) => self.hang(link.0),
+                Output::SendToClient(_, frame) => self.reply(&read(&frame)),
+                Output::WatchEndpoints | Output::Log(_) => {}
             }
         }
     }
@@ -216,14 +216,14 @@
     fn reply(&mut self, message: &Message) {
         let id = message.id;
         match message.kind {
-            Kind::Answer => {
+            MessageKind::Answer => {
                 // The answer that is passed on is the one that just arrived.
                 let n = self.held.iter().position(|h| {
                     description(h) == message.get(code::DESCRIPTION).unwrap_or_default()
                 });
                 self.present.insert(id, n.expect("made by a host"));
             }
-            Kind::Release if self.present.contains_key(&id) => {
+            MessageKind::Release if self.present.contains_key(&id) => {
                 if self.told.insert(id, self.now).is_some() {
                     self.faults.push(format!("{id} told twice"));
                 }
@@ -278,16 +278,19 @@
     fn host_reads(&mut self, link: u64, message: &Message) {
         let id = message.id;
         match message.kind {
-            Kind::SetUp if self.rng.u8(0..8) == 0 => {
+            MessageKind::SetUp if self.rng.u8(0..8) == 0 => {
                 self.say(link, Message::release(id, cause::FULL))
             }
-            Kind::SetUp => self.held.push(Held {
+            MessageKind::SetUp => self.held.push(Held {
                 id,
                 link,
                 state: State::Starting,
             }),
-            Kind::Test => self.say(link, Message::new(Kind::Tested, id).with(code::CAUSE, &[1])),
-            Kind::Release => {
+            MessageKind::Test => self.say(
+                link,
+                Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]),
+            ),
+            MessageKind::Release => {
                 let starting =
                     |h: &&mut Held| h.id == id && h.link == link && h.state == State::Starting;
                 if let Some(held) = self.held.iter_mut().find(starting) {
@@ -363,10 +366,10 @@
         match word {
             Word::Up => {
                 wire.desk_has = true;
-                self.put(Input::LinkUp(LinkId(link)));
+                self.put(Input::NodeConnected(NodeConnectionId(link)));
             }
             Word::Said(message) => {
-                let of_standing = message.kind == Kind::Release
+                let of_standing = message.kind == MessageKind::Release
                     && self
                         .present
                         .get(&message.id)
@@ -374,20 +377,20 @@
                 if of_standing {
                     self.heard.entry(message.id).or_insert(self.now);
                 }
-                self.put(Input::Host(LinkId(link), message));
+                self.put(Input::NodeMessage(NodeConnectionId(link), message));
             }
             Word::Closed | Word::Broke => {
                 let (was_up, whole) = (wire.desk_has, matches!(word, Word::Closed));
                 wire.desk_has = false;
                 let how = if was_up {
-                    Down::Broke {
-                        written: u64::MAX,
-                        whole,
+                    Disconnect::Broken {
+                        bytes_written: u64::MAX,
+                        is_clean: whole,
                     }
                 } else {
-                    Down::NotUp
+                    Disconnect::ConnectFailed
                 };
-                self.put(Input::LinkDown(LinkId(link), how));
+                self.put(Input::NodeDisconnected(NodeConnectionId(link), how));
             }
         }
     }
@@ -433,7 +436,7 @@
         let state = self.held.get(n).map(|h| h.state);
         match self.rng.u8(0..20) {
             0..=1 if !quiet => {
-                self.put(Input::Owner(OwnerId(1), set_up(*next_id, "plain")));
+                self.put(Input::ClientMessage(ClientId(1), set_up(*next_id, "plain")));
                 *next_id += 1;
             }
             2 if self.rng.u8(0..4) == 0 => {
@@ -446,8 +449,8 @@
                     .collect();
                 if let Some(id) = self.rng.choice(&known).copied() {
                     self.told.insert(id, self.now);
-                    self.put(Input::Owner(
-                        OwnerId(1),
+                    self.put(Input::ClientMessage(
+                        ClientId(1),
                         Message::release(id, cause::CALLED_OFF),
                     ));
                 }
@@ -461,8 +464,8 @@
             9..=12 => self.arrive_at_desk(link),
             13..=14 if state == Some(State::Starting) => {
                 let (held, to) = (&self.held[n], self.held[n].link);
-                let answer =
-                    Message::new(Kind::Answer, held.id).with(code::DESCRIPTION, &description(held));
+                let answer = Message::new(MessageKind::Answer, held.id)
+                    .with(code::DESCRIPTION, &description(held));
                 self.held[n].state = State::Standing;
                 self.say(to, answer);
             }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::row::At;
 use anyhow::Result;
 use bytes::BytesMut;
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -74,16 +74,16 @@
     carry(stream, said, &bytes, |message| {
         let id = message.id;
         match message.kind {
-            Kind::Test => {
-                let _ = out.send(Message::new(Kind::Tested, id).with(code::CAUSE, &[1]));
+            MessageKind::Test => {
+                let _ = out.send(Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]));
             }
-            Kind::SetUp => {
+            MessageKind::SetUp => {
                 if !std::mem::replace(&mut known, true) {
                     let ends = untold.borrow_mut().remove(&(id >> 40)).unwrap_or_default();
                     ends.into_iter().for_each(|end| drop(out.send(end)));
                 }
-                let answer =
-                    Message::new(Kind::Answer, id).with(code::DESCRIPTION, &[b'h'; DESCRIPTION]);
+                let answer = Message::new(MessageKind::Answer, id)
+                    .with(code::DESCRIPTION, &[b'h'; DESCRIPTION]);
                 let _ = out.send(answer);
                 if id & LASTING == 0 {
                     let (out, untold) = (out.clone(), untold.clone());
@@ -193,7 +193,7 @@
         for _ in 0..connections.max(1) {
             let stream = TcpStream::connect(address).await?;
             let (out, said) = unbounded_channel();
-            let _ = out.send(Message::new(Kind::Test, 1).with(code::CAUSE, &[0]));
+            let _ = out.send(Message::new(MessageKind::Test, 1).with(code::CAUSE, &[0]));
             owners.out.push(out);
             let (heard, bytes) = (owners.heard.clone(), bytes.clone());
             spawn_local(async move {
@@ -249,13 +249,13 @@
 impl Heard {
     fn hear(&mut self, message: &Message) {
         match (message.kind, self.asked.remove(&message.id)) {
-            (Kind::Tested, _) => self.tested += 1,
-            (Kind::Answer, Some(at)) => {
+            (MessageKind::Tested, _) => self.tested += 1,
+            (MessageKind::Answer, Some(at)) => {
                 self.placed += 1;
                 self.delays.push(at.elapsed().as_secs_f64() * 1e6);
             }
-            (Kind::Release, Some(_)) => self.refused += 1,
-            (Kind::Release, None) => self.ended += 1,
+            (MessageKind::Release, Some(_)) => self.refused += 1,
+            (MessageKind::Release, None) => self.ended += 1,
             _ => {}
         }
     }
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -6,10 +6,12 @@
 use anyhow::{Result, ensure};
 use bytes::BytesMut;
 use peppercove::{Micros, Scheduler};
-use peppercove_fleet::{Decider, View};
+use peppercove_fleet::{NodeSubset, SubsetScheduler};
 use peppercove_platform::config::Config;
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
-use peppercove_platform::{Bounds, Desk, Down, Input, LinkId, Output, OwnerId};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
+use peppercove_platform::{
+    Bounds, ClientId, Disconnect, Input, NodeConnectionId, Output, PlatformEngine,
+};
 use std::collections::BTreeMap;
 
 /// From a host's answer to the end of the task, microseconds: shorter than the silence after which a connection with a
@@ -19,7 +21,7 @@
 const SOON: Micros = 500;
 /// Bytes of a description, an owner's and a host's.
 pub const DESCRIPTION: usize = 200;
-const OWNER: OwnerId = OwnerId(1);
+const OWNER: ClientId = ClientId(1);
 
 /// Messages of a wire, both ways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -62,12 +64,12 @@
 struct Play {
     /// How long tasks stand; none is for good.
     life: Option<Micros>,
-    desk: Desk<Decider>,
+    desk: PlatformEngine<SubsetScheduler>,
     now: Micros,
     due: BTreeMap<(Micros, u64), Input>,
     next: u64,
     /// Open connections, and bytes written to each.
-    links: BTreeMap<LinkId, u64>,
+    links: BTreeMap<NodeConnectionId, u64>,
     crossed: Crossed,
 }
 
@@ -109,12 +111,12 @@
 impl Play {
     fn begin(at: &At, life: Option<Micros>) -> Result<Play> {
         let config = Config::parse(&config(at, address(0), &hosts(0..at.machines)), None, None)?;
-        let bounds = Bounds::of(&config);
-        let module = View::new(
+        let bounds = Bounds::for_config(&config);
+        let module = NodeSubset::new(
             Scheduler::new(config.settings.clone(), config.seed),
             &config.settings,
         );
-        let desk = Desk::new(module, config.settings, config.shape, bounds, config.seed);
+        let desk = PlatformEngine::new(module, config.settings, config.shape, bounds, config.seed);
         let (due, links, crossed) = (BTreeMap::new(), BTreeMap::new(), Crossed::default());
         let mut play = Play {
             life,
@@ -125,7 +127,7 @@
             links,
             crossed,
         };
-        play.input(Input::Begin(config.known.entries));
+        play.input(Input::Start(config.known.entries));
         Ok(play)
     }
 
@@ -134,7 +136,7 @@
             let message = set_up(at, i, DESCRIPTION);
             self.later(
                 i * 1_000_000 / at.starts.max(1),
-                Input::Owner(OWNER, message),
+                Input::ClientMessage(OWNER, message),
             );
         }
     }
@@ -166,19 +168,19 @@
                 }
                 None => self.input(Input::Tick(self.now)),
             }
-            while self.desk.has_waiting() {
-                self.input(Input::Turn);
+            while self.desk.has_queued_requests() {
+                self.input(Input::AdmitNext);
             }
         }
     }
 
     fn heard(&mut self, input: &Input) {
         match input {
-            Input::Owner(_, message) => {
+            Input::ClientMessage(_, message) => {
                 self.crossed.asked += 1;
                 self.crossed.owner.add(message.encode().len());
             }
-            Input::Host(link, message) if self.links.contains_key(link) => {
+            Input::NodeMessage(link, message) if self.links.contains_key(link) => {
                 self.crossed.hosts.add(message.encode().len());
             }
             _ => {}
@@ -188,46 +190,47 @@
     fn input(&mut self, input: Input) {
         for output in self.desk.handle(self.now, input) {
             match output {
-                Output::Reply(_, frame) => {
+                Output::SendToClient(_, frame) => {
                     self.crossed.owner.add(frame.len());
                     match decode(&mut BytesMut::from(&frame[..])) {
-                        Ok(Some(m)) if m.kind == Kind::Answer => self.crossed.placed += 1,
+                        Ok(Some(m)) if m.kind == MessageKind::Answer => self.crossed.placed += 1,
                         Ok(Some(m))
-                            if m.kind == Kind::Release && m.cause() == Some(cause::ORDINARY) =>
+                            if m.kind == MessageKind::Release
+                                && m.cause() == Some(cause::ORDINARY) =>
                         {
                             self.crossed.ended += 1;
                         }
                         _ => {}
                     }
                 }
-                Output::Dial(link, _) => {
+                Output::Connect(link, _) => {
                     self.crossed.dials += 1;
                     self.links.insert(link, 0);
-                    self.later(SOON, Input::LinkUp(link));
+                    self.later(SOON, Input::NodeConnected(link));
                 }
-                Output::Send(link, frame) | Output::TakeBack(link, frame) => {
+                Output::SendToNode(link, frame) | Output::Cancel(link, frame) => {
                     self.at_host(link, &frame)
                 }
-                Output::Hang(link) => {
+                Output::Close(link) => {
                     if let Some(written) = self.links.remove(&link) {
                         self.later(
                             SOON,
-                            Input::LinkDown(
+                            Input::NodeDisconnected(
                                 link,
-                                Down::Broke {
-                                    written,
-                                    whole: true,
+                                Disconnect::Broken {
+                                    bytes_written: written,
+                                    is_clean: true,
                                 },
                             ),
                         );
                     }
                 }
-                Output::Watch | Output::Log(_) => {}
+                Output::WatchEndpoints | Output::Log(_) => {}
             }
         }
     }
 
-    fn at_host(&mut self, link: LinkId, frame: &[u8]) {
+    fn at_host(&mut self, link: NodeConnectionId, frame: &[u8]) {
         let Some(written) = self.links.get_mut(&link) else {
             return;
         };
@@ -237,19 +240,19 @@
             return;
         };
         match message.kind {
-            Kind::SetUp => {
-                let answer = Message::new(Kind::Answer, message.id);
+            MessageKind::SetUp => {
+                let answer = Message::new(MessageKind::Answer, message.id);
                 let answer = answer.with(code::DESCRIPTION, &[b'h'; DESCRIPTION]);
-                self.later(SOON, Input::Host(link, answer));
+                self.later(SOON, Input::NodeMessage(link, answer));
                 if let Some(life) = self.life {
                     let end = Message::release(message.id, cause::ORDINARY);
-                    self.later(SOON + life, Input::Host(link, end));
+                    self.later(SOON + life, Input::NodeMessage(link, end));
                 }
             }
-            Kind::Test => {
+            MessageKind::Test => {
                 self.crossed.tests += 1;
-                let tested = Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]);
-                self.later(SOON, Input::Host(link, tested));
+                let tested = Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]);
+                self.later(SOON, Input::NodeMessage(link, tested));
             }
             _ => {}
         }
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -1,7 +1,7 @@
 //! What the platform hands a controller: hosts, events and a configuration, in the words of its page.
 
 use crate::row::At;
-use peppercove_platform::wire::{Kind, Message, code};
+use peppercove_platform::wire::{Message, MessageKind, code};
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -79,7 +79,7 @@
 
 /// A task's set-up as its owner sends it, with a description of `description` bytes.
 pub fn set_up(at: &At, id: u64, description: usize) -> Message {
-    Message::new(Kind::SetUp, id)
+    Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, class(id % at.classes.max(1)).as_bytes())
         .with(code::WAIT, b"4000")
         .with(code::TASK, format!("{id:016x}").as_bytes())
--- a/crates/scale/src/roles/configuration.rs
+++ b/crates/scale/src/roles/configuration.rs
@@ -9,9 +9,9 @@
 use crate::row::{At, Axis, Basis, Measure};
 use anyhow::Result;
 use peppercove::Scheduler;
-use peppercove_fleet::View;
+use peppercove_fleet::NodeSubset;
 use peppercove_platform::config::Config;
-use peppercove_platform::{Bounds, Desk, Input};
+use peppercove_platform::{Bounds, Input, PlatformEngine};
 use std::time::Instant;
 
 /// The role.
@@ -54,13 +54,14 @@
     out.extend(timed("config_in_force_time", repeats, || {
         let config = Config::parse(&text, None, None)?;
         let read = Instant::now();
-        let bounds = Bounds::of(&config);
-        let module = View::new(
+        let bounds = Bounds::for_config(&config);
+        let module = NodeSubset::new(
             Scheduler::new(config.settings.clone(), config.seed),
             &config.settings,
         );
-        let mut desk = Desk::new(module, config.settings, config.shape, bounds, config.seed);
-        desk.handle(0, Input::Begin(config.known.entries));
+        let mut desk =
+            PlatformEngine::new(module, config.settings, config.shape, bounds, config.seed);
+        desk.handle(0, Input::Start(config.known.entries));
         listed.push(read.elapsed().as_secs_f64() * 1e6);
         Ok(desk)
     })?);
--- a/crates/scale/src/roles/controller/rig.rs
+++ b/crates/scale/src/roles/controller/rig.rs
@@ -7,10 +7,13 @@
 use bytes::{Bytes, BytesMut};
 use peppercove::{Micros, NodeId, Scheduler};
 use peppercove_config::Config;
-use peppercove_core::nodes::id_of;
-use peppercove_core::{Alarms, Core, Input, Output};
-use peppercove_exchange::{Greeting, Heard, Step, frame, heard, limits, list_input, work_of};
-use peppercove_fleet::{Decider, View};
+use peppercove_core::nodes::node_id_of;
+use peppercove_core::{Core, Input, Output, Timers};
+use peppercove_exchange::{
+    DecodedMessage, Handshake, HandshakeProgress, core_limits, decode_message, encode_output,
+    node_list_input, work_of,
+};
+use peppercove_fleet::{NodeSubset, SubsetScheduler};
 use peppercove_protocol::VERSION;
 use peppercove_protocol::codec::{LIST_FRAME, Messages, NODE_FRAME};
 use peppercove_protocol::list::{FromList, Line, NodeState, Scope, ToList};
@@ -40,12 +43,12 @@
 
 /// A controller's core, and all that talks to it.
 pub struct Rig {
-    core: Core<Decider>,
+    core: Core<SubsetScheduler>,
     config: Config,
     cluster: Cluster,
     /// What was noted.
     pub timings: Timings,
-    agenda: Alarms<Happens>,
+    agenda: Timers<Happens>,
     now: Micros,
     generation: u64,
     next: u64,
@@ -68,17 +71,17 @@
     pub fn new(at: &At) -> Result<Rig> {
         let cluster = Cluster::new(at).held_by(HOLDERS);
         let config = config(&cluster)?;
-        let module = View::new(Scheduler::new(config.module.clone(), 1), &config.module);
+        let module = NodeSubset::new(Scheduler::new(config.module.clone(), 1), &config.module);
         let mut held: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
         for n in 0..at.standing {
             held.entry(cluster.machine_of(n)).or_default().push(n);
         }
         Ok(Rig {
-            core: Core::new(module, limits(&config, LIFE)),
+            core: Core::new(module, core_limits(&config, LIFE)),
             config,
             cluster,
             timings: Timings::new()?,
-            agenda: Alarms::default(),
+            agenda: Timers::default(),
             now: BEGIN,
             generation: 0,
             next: 0,
@@ -119,11 +122,11 @@
                 } else {
                     AWAY * 3
                 };
-                self.agenda.set(self.now + after, Happens::Up(node));
+                self.agenda.schedule(self.now + after, Happens::Up(node));
             }
             Output::Journal(entries) => self.count("journal", entries.len(), 0),
-            Output::Accepted { .. } | Output::Settled { .. } => self.count("client_out", 1, 0),
-            Output::TurnedAway { .. } => self.count("turned_away", 1, 0),
+            Output::Accepted { .. } | Output::Answered { .. } => self.count("client_out", 1, 0),
+            Output::Rejected { .. } => self.count("turned_away", 1, 0),
             Output::Finished(job) => {
                 self.count("client_out", 1, 0);
                 let job = *job;
@@ -138,7 +141,7 @@
     fn send(&mut self, output: &Output) -> Result<()> {
         let (sent, nanos) = self.timings.take(|| {
             let job = |job| self.core.jobs().get(job);
-            let Some((node, message)) = frame(&self.config, 0, output, job) else {
+            let Some((node, message)) = encode_output(&self.config, 0, output, job) else {
                 return Ok(None);
             };
             Ok(Some((node, encoded(&message, NODE_FRAME)?, message)))
@@ -167,7 +170,7 @@
                             load: None,
                         };
                         self.agenda
-                            .set(self.now + AWAY * 2, Happens::News(node, Box::new(accepted)));
+                            .schedule(self.now + AWAY * 2, Happens::News(node, Box::new(accepted)));
                         FromNode::Running {
                             attempt,
                             load: None,
@@ -184,7 +187,7 @@
                         load,
                     },
                 };
-                self.agenda.set(
+                self.agenda.schedule(
                     self.now + AWAY * 2 + took,
                     Happens::News(node, Box::new(news)),
                 );
@@ -219,14 +222,14 @@
         };
         let mut bytes = encoded(message, NODE_FRAME)?;
         self.count("node_in", 1, bytes.len());
-        let machine = id_of(address(node));
+        let machine = node_id_of(address(node));
         let mut reply = None;
         self.input(kind, || {
             let message = Messages::<FromNode, ToNode>::new(NODE_FRAME).decode(&mut bytes)?;
-            let Heard {
+            let DecodedMessage {
                 input,
                 reply: answer,
-            } = heard(machine, message.context("a whole frame")?);
+            } = decode_message(machine, message.context("a whole frame")?);
             reply = answer;
             input.context("news")
         })?;
@@ -285,7 +288,7 @@
         let mut bytes = BytesMut::from(&frame[..]);
         self.input(kind, || {
             let news = Messages::<FromList, ToList>::new(LIST_FRAME).decode(&mut bytes)?;
-            list_input(news.context("a whole frame")?).context("news of the list")
+            node_list_input(news.context("a whole frame")?).context("news of the list")
         })
     }
 
@@ -337,13 +340,17 @@
             };
             bytes.extend_from_slice(&encoded(&told, NODE_FRAME)?);
         }
-        let (machine, name, most) = (id_of(address(node)), name(node), self.config.limits.jobs);
+        let (machine, name, most) = (
+            node_id_of(address(node)),
+            name(node),
+            self.config.limits.jobs,
+        );
         self.input(kind, || {
-            let mut greeting = Greeting::new(machine, &name, most);
+            let mut greeting = Handshake::new(machine, &name, most);
             let mut codec = Messages::<FromNode, ToNode>::new(NODE_FRAME);
             loop {
                 let message = codec.decode(&mut bytes)?.context("a whole greeting")?;
-                if let Step::Up(_, up) = greeting.hear(message)? {
+                if let HandshakeProgress::Complete(_, up) = greeting.on_message(message)? {
                     return Ok(up);
                 }
             }
@@ -389,11 +396,11 @@
         match happens {
             Happens::Start => {
                 let wait = self.cluster.next_start();
-                self.agenda.set(self.now + wait, Happens::Start);
+                self.agenda.schedule(self.now + wait, Happens::Start);
                 self.start()
             }
             Happens::Change => {
-                self.agenda.set(
+                self.agenda.schedule(
                     self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
                     Happens::Change,
                 );
@@ -416,7 +423,7 @@
         while self.started < last && until.is_none_or(|until| Instant::now() < until) {
             let next = self
                 .agenda
-                .next()
+                .next_deadline()
                 .into_iter()
                 .chain(self.core.next_wake())
                 .min();
@@ -425,7 +432,7 @@
                 return Ok(());
             };
             self.now = self.now.max(at);
-            match self.agenda.due(self.now) {
+            match self.agenda.pop_due(self.now) {
                 Some(happens) => self.happen(happens)?,
                 None => self.input("tick", || Ok(Input::Tick))?,
             }
@@ -438,8 +445,8 @@
     /// # Errors
     /// A message can't be read.
     pub fn warm_up(&mut self, play: &Play) -> Result<()> {
-        self.agenda.set(self.now + 1, Happens::Start);
-        self.agenda.set(
+        self.agenda.schedule(self.now + 1, Happens::Start);
+        self.agenda.schedule(
             self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
             Happens::Change,
         );
@@ -485,7 +492,7 @@
             ),
             Measure::counted("held_jobs", "count", self.core.jobs().len() as f64),
             Measure::counted("held_standing", "count", self.core.placed_tasks() as f64),
-            Measure::counted("held_open", "count", self.core.open_asks() as f64),
+            Measure::counted("held_open", "count", self.core.open_requests() as f64),
             Measure::counted("descriptors", "count", open as f64),
         ]
     }
--- a/crates/scale/src/roles/discovery.rs
+++ b/crates/scale/src/roles/discovery.rs
@@ -5,7 +5,9 @@
 use crate::row::{At, Axis, Basis, Measure};
 use anyhow::{Context, Result};
 use bytes::BytesMut;
-use peppercove_platform::feed::{self, FeedError, Line, Step, longest, step};
+use peppercove_platform::feed::{
+    self, EndpointWatchError, SequenceCheck, WatchLine, check_sequence, max_line_bytes,
+};
 use peppercove_protocol::codec::{LIST_FRAME, Messages};
 use peppercove_protocol::list::{self, FromList, NodeState, Scope, ToList};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -59,12 +61,18 @@
 ///
 /// # Errors
 /// As a scheduler meets it: it ends the connection.
-pub fn take(text: &str, held: u64) -> Result<Option<(Line, Step)>, FeedError> {
-    let (mut buffer, mut lines) = (BytesMut::new(), feed::Lines::new(longest(GRANTED.1)));
+pub fn take(
+    text: &str,
+    held: u64,
+) -> Result<Option<(WatchLine, SequenceCheck)>, EndpointWatchError> {
+    let (mut buffer, mut lines) = (
+        BytesMut::new(),
+        feed::LineDecoder::new(max_line_bytes(GRANTED.1)),
+    );
     for part in text.as_bytes().chunks(AT_ONCE) {
         buffer.extend_from_slice(part);
         if let Some(line) = lines.next(&mut buffer)? {
-            let step = step(held, &line);
+            let step = check_sequence(held, &line);
             return Ok(Some((line, step)));
         }
     }
@@ -100,7 +108,7 @@
         number,
     } = lines(at.machines);
     let counted = |measure, unit, figure: usize| Measure::counted(measure, unit, figure as f64);
-    let taken = matches!(take(&whole, 0), Ok(Some((_, Step::Take))));
+    let taken = matches!(take(&whole, 0), Ok(Some((_, SequenceCheck::Apply))));
     let mut out = vec![
         counted("list_bytes", "bytes", whole.len()),
         counted("change_bytes", "bytes", change.len()),
@@ -108,7 +116,7 @@
         Measure::counted(
             "list_of_longest",
             "share",
-            whole.len() as f64 / longest(GRANTED.1) as f64,
+            whole.len() as f64 / max_line_bytes(GRANTED.1) as f64,
         ),
     ];
     let second = at.changes as usize * change.len() + number.len();
--- a/crates/scale/src/roles/module.rs
+++ b/crates/scale/src/roles/module.rs
@@ -13,7 +13,7 @@
     Action, AttemptOutcome, EndReason, Event, ListUpdateKind, Micros, NodeEntry, NodeId,
     PlacementRequest, RequestId, Scheduler, ServiceId,
 };
-use peppercove_core::Alarms;
+use peppercove_core::Timers;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
@@ -54,7 +54,7 @@
     scheduler: Scheduler,
     cluster: Cluster,
     timings: Timings,
-    agenda: Alarms<Happens>,
+    agenda: Timers<Happens>,
     now: Micros,
     version: u64,
     next: u64,
@@ -82,7 +82,7 @@
             scheduler: Scheduler::new(cluster.settings(), 1),
             cluster,
             timings: Timings::new()?,
-            agenda: Alarms::default(),
+            agenda: Timers::default(),
             now: BEGIN,
             version: 0,
             next: 1,
@@ -129,13 +129,13 @@
                     return;
                 };
                 let (after, word) = self.cluster.answer(machine, *service);
-                self.agenda.set(
+                self.agenda.schedule(
                     self.now + after,
                     Happens::Answer(request, *attempts, machine, word),
                 );
                 *attempts += 1;
             }
-            Action::SetTimer { label, at } => self.agenda.set(at, Happens::Timer(label)),
+            Action::SetTimer { label, at } => self.agenda.schedule(at, Happens::Timer(label)),
             Action::Reject { request, .. } | Action::Fail(request) => {
                 self.asked.remove(&request);
                 self.turned_away += 1;
@@ -258,11 +258,11 @@
         match happens {
             Happens::Start => {
                 let wait = self.cluster.next_start();
-                self.agenda.set(self.now + wait, Happens::Start);
+                self.agenda.schedule(self.now + wait, Happens::Start);
                 self.start();
             }
             Happens::Change => {
-                self.agenda.set(
+                self.agenda.schedule(
                     self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
                     Happens::Change,
                 );
@@ -302,9 +302,11 @@
     pub fn play(&mut self, starts: u64, until: Option<Instant>) {
         let last = self.started + starts;
         while self.started < last && until.is_none_or(|until| Instant::now() < until) {
-            let Some(at) = self.agenda.next() else { return };
+            let Some(at) = self.agenda.next_deadline() else {
+                return;
+            };
             self.now = self.now.max(at);
-            if let Some(happens) = self.agenda.due(self.now) {
+            if let Some(happens) = self.agenda.pop_due(self.now) {
                 self.happen(happens);
             }
         }
@@ -312,8 +314,8 @@
 
     /// Tasks and changes come from now on; the first ones all of new services.
     pub fn warm_up(&mut self, play: &Play) {
-        self.agenda.set(self.now + 1, Happens::Start);
-        self.agenda.set(
+        self.agenda.schedule(self.now + 1, Happens::Start);
+        self.agenda.schedule(
             self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
             Happens::Change,
         );
--- a/crates/scale/src/roles/serve/rig.rs
+++ b/crates/scale/src/roles/serve/rig.rs
@@ -6,11 +6,11 @@
 use anyhow::{Context, Result};
 use bytes::{Bytes, BytesMut};
 use peppercove::{Micros, Scheduler, ServiceId};
-use peppercove_core::Alarms;
-use peppercove_fleet::{Decider, View};
-use peppercove_platform::feed::{Entry, Line, Lines, longest};
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
-use peppercove_platform::{Bounds, Desk, Input, LinkId, Output, OwnerId};
+use peppercove_core::Timers;
+use peppercove_fleet::{NodeSubset, SubsetScheduler};
+use peppercove_platform::feed::{EndpointEvent, LineDecoder, WatchLine, max_line_bytes};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
+use peppercove_platform::{Bounds, ClientId, Input, NodeConnectionId, Output, PlatformEngine};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
@@ -26,8 +26,8 @@
 enum Happens {
     Start,
     Change,
-    Up(LinkId),
-    Word(LinkId, Message),
+    Up(NodeConnectionId),
+    Word(NodeConnectionId, Message),
     Told,
 }
 
@@ -40,13 +40,13 @@
 
 /// A desk, and the owners, hosts and journal service that it talks to.
 pub struct Rig {
-    desk: Desk<Decider>,
+    desk: PlatformEngine<SubsetScheduler>,
     /// Longest line of the feed, bytes.
     longest: usize,
     cluster: Cluster,
     /// What was noted.
     pub timings: Timings,
-    agenda: Alarms<Happens>,
+    agenda: Timers<Happens>,
     now: Micros,
     pos: u64,
     next: u64,
@@ -55,8 +55,8 @@
     services: BTreeMap<u64, ServiceId>,
     /// Tasks that stand, oldest first: the id they go by, and the host.
     standing: VecDeque<(u64, u64)>,
-    links: BTreeMap<u64, LinkId>,
-    hosts: BTreeMap<LinkId, u64>,
+    links: BTreeMap<u64, NodeConnectionId>,
+    hosts: BTreeMap<NodeConnectionId, u64>,
     traffic: BTreeMap<&'static str, Traffic>,
     turned_away: u64,
 }
@@ -69,15 +69,15 @@
     pub fn new(at: &At) -> Result<Rig> {
         let cluster = Cluster::new(at);
         let config = words::config(&cluster);
-        let bounds = Bounds::of(&config);
+        let bounds = Bounds::for_config(&config);
         let module = Scheduler::new(config.settings.clone(), config.seed);
-        let module = View::new(module, &config.settings);
+        let module = NodeSubset::new(module, &config.settings);
         Ok(Rig {
-            longest: longest(config.limits.memory_mb),
-            desk: Desk::new(module, config.settings, config.shape, bounds, config.seed),
+            longest: max_line_bytes(config.limits.memory_mb),
+            desk: PlatformEngine::new(module, config.settings, config.shape, bounds, config.seed),
             cluster,
             timings: Timings::new()?,
-            agenda: Alarms::default(),
+            agenda: Timers::default(),
             now: BEGIN,
             pos: 0,
             next: 0,
@@ -125,33 +125,35 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Reply(_, frame) => {
+            Output::SendToClient(_, frame) => {
                 self.count("owner_out", frame.len());
                 // Type and cause of the platform's page; a refusal or failure is a final answer without a task.
-                if frame.get(2) == Some(&(Kind::Release as u8))
+                if frame.get(2) == Some(&(MessageKind::Release as u8))
                     && frame.last() != Some(&cause::ORDINARY)
                 {
                     self.turned_away += 1;
                 }
             }
-            Output::Send(link, frame) | Output::TakeBack(link, frame) => self.at_host(link, &frame),
-            Output::Dial(link, address) => {
+            Output::SendToNode(link, frame) | Output::Cancel(link, frame) => {
+                self.at_host(link, &frame)
+            }
+            Output::Connect(link, address) => {
                 self.hosts.insert(link, words::host_of(address));
-                self.agenda.set(self.now + AWAY * 3, Happens::Up(link));
+                self.agenda.schedule(self.now + AWAY * 3, Happens::Up(link));
             }
-            Output::Watch => self.agenda.set(self.now + AWAY * 4, Happens::Told),
+            Output::WatchEndpoints => self.agenda.schedule(self.now + AWAY * 4, Happens::Told),
             // No connection breaks here, and none is one too many.
-            Output::Hang(_) | Output::Log(_) => {}
+            Output::Close(_) | Output::Log(_) => {}
         }
     }
 
-    fn at_host(&mut self, link: LinkId, frame: &Bytes) {
+    fn at_host(&mut self, link: NodeConnectionId, frame: &Bytes) {
         let message = decode(&mut BytesMut::from(&frame[..])).ok().flatten();
         let (Some(message), Some(&host)) = (message, self.hosts.get(&link)) else {
             return;
         };
         self.count(
-            if message.kind == Kind::Test {
+            if message.kind == MessageKind::Test {
                 "test_out"
             } else {
                 "host_out"
@@ -159,11 +161,11 @@
             frame.len(),
         );
         let (after, word) = match message.kind {
-            Kind::Test => (
+            MessageKind::Test => (
                 AWAY,
-                Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]),
+                Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
             ),
-            Kind::SetUp => {
+            MessageKind::SetUp => {
                 let service = self.services.get(&message.id).copied().unwrap_or_default();
                 let (took, word) = self.cluster.answer(peppercove::NodeId(host), service);
                 (took, self.word(host, message.id, word))
@@ -171,13 +173,13 @@
             _ => return,
         };
         self.agenda
-            .set(self.now + AWAY + after, Happens::Word(link, word));
+            .schedule(self.now + AWAY + after, Happens::Word(link, word));
     }
 
     fn word(&mut self, host: u64, id: u64, word: Word) -> Message {
         match word {
             Word::Runs => {
-                Message::new(Kind::Answer, id).with(code::DESCRIPTION, &words::DESCRIPTION)
+                Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, &words::DESCRIPTION)
             }
             Word::Refused => self.reported(
                 host,
@@ -195,10 +197,10 @@
         )
     }
 
-    fn heard(&mut self, link: LinkId, message: &Message) -> Result<()> {
+    fn heard(&mut self, link: NodeConnectionId, message: &Message) -> Result<()> {
         let kind = match (message.kind, message.cause()) {
-            (Kind::Tested, _) => "tested",
-            (Kind::Answer, _) => "answer",
+            (MessageKind::Tested, _) => "tested",
+            (MessageKind::Answer, _) => "answer",
             (_, Some(cause::ORDINARY)) => "end",
             _ => "refused",
         };
@@ -215,7 +217,7 @@
             let host = self.hosts.get(&link).copied().unwrap_or(0);
             self.standing.push_back((message.id, host));
         }
-        self.message(kind, message, |message| Input::Host(link, message))
+        self.message(kind, message, |message| Input::NodeMessage(link, message))
     }
 
     // ---- The list ----
@@ -237,12 +239,12 @@
     /// The feed can't read it.
     pub fn list(&mut self, kind: &'static str, text: &str) -> Result<()> {
         self.count(kind, text.len());
-        let mut lines = Lines::new(self.longest);
-        let mut read = || -> Result<Vec<Entry>> {
+        let mut lines = LineDecoder::new(self.longest);
+        let mut read = || -> Result<Vec<EndpointEvent>> {
             let (mut buffer, mut entries) = (BytesMut::new(), Vec::new());
             for part in text.as_bytes().chunks(AT_ONCE) {
                 buffer.extend_from_slice(part);
-                if let Some(Line::Event(entry)) = lines.next(&mut buffer)? {
+                if let Some(WatchLine::Event(entry)) = lines.next(&mut buffer)? {
                     entries.push(entry);
                 }
             }
@@ -251,9 +253,9 @@
         self.input(kind, || {
             let entries = read()?;
             Ok(if kind == "first_list" {
-                Input::Begin(entries)
+                Input::Start(entries)
             } else {
-                Input::List(entries)
+                Input::EndpointEvents(entries)
             })
         })
     }
@@ -275,8 +277,8 @@
         words::wire_id(self.next)
     }
 
-    fn owner(&self, n: u64) -> OwnerId {
-        OwnerId(1 + n % self.cluster.at.connections.max(1))
+    fn owner(&self, n: u64) -> ClientId {
+        ClientId(1 + n % self.cluster.at.connections.max(1))
     }
 
     /// Tasks that stand already are handed over, all on one connection.
@@ -289,7 +291,7 @@
             let message = words::set_up(id, &self.cluster.standing(n), Some(host));
             self.standing.push_back((id, host));
             self.message("standing", &message, |message| {
-                Input::Owner(OwnerId(1), message)
+                Input::ClientMessage(ClientId(1), message)
             })?;
         }
         Ok(())
@@ -301,7 +303,7 @@
     /// A message can't be read.
     pub fn connect(&mut self) -> Result<()> {
         let open = self.cluster.at.connections as usize;
-        self.input("owners", || Ok(Input::Owners(open)))?;
+        self.input("owners", || Ok(Input::ClientCount(open)))?;
         for n in 1..self.cluster.at.connections {
             let index = n % self.cluster.at.standing.max(1);
             let id = self.new_id();
@@ -311,7 +313,7 @@
             task.0 = id;
             let message = words::set_up(id, &self.cluster.standing(index), Some(task.1));
             self.message("renamed", &message, |message| {
-                Input::Owner(OwnerId(1 + n), message)
+                Input::ClientMessage(ClientId(1 + n), message)
             })?;
         }
         Ok(())
@@ -324,9 +326,11 @@
         self.services.insert(id, ask.service);
         self.started += 1;
         self.count("owner_in", message.encode().len());
-        self.message("set_up", &message, |message| Input::Owner(owner, message))?;
-        while self.desk.has_waiting() {
-            self.input("turn", || Ok(Input::Turn))?;
+        self.message("set_up", &message, |message| {
+            Input::ClientMessage(owner, message)
+        })?;
+        while self.desk.has_queued_requests() {
+            self.input("turn", || Ok(Input::AdmitNext))?;
         }
         // One comes and one ends: as many stand as before.
         while self.standing.len() as u64 > self.cluster.at.standing {
@@ -348,11 +352,11 @@
         match happens {
             Happens::Start => {
                 let wait = self.cluster.next_start();
-                self.agenda.set(self.now + wait, Happens::Start);
+                self.agenda.schedule(self.now + wait, Happens::Start);
                 self.start()
             }
             Happens::Change => {
-                self.agenda.set(
+                self.agenda.schedule(
                     self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
                     Happens::Change,
                 );
@@ -361,10 +365,10 @@
             Happens::Up(link) => {
                 let host = self.hosts.get(&link).copied().unwrap_or(0);
                 self.links.insert(host, link);
-                self.input("link_up", || Ok(Input::LinkUp(link)))
+                self.input("link_up", || Ok(Input::NodeConnected(link)))
             }
             Happens::Word(link, message) => self.heard(link, &message),
-            Happens::Told => self.input("told", || Ok(Input::List(Vec::new()))),
+            Happens::Told => self.input("told", || Ok(Input::EndpointEvents(Vec::new()))),
         }
     }
 
@@ -380,7 +384,7 @@
         while self.started < last && until.is_none_or(|until| Instant::now() < until) {
             let next = self
                 .agenda
-                .next()
+                .next_deadline()
                 .into_iter()
                 .chain(self.desk.next_wake())
                 .min();
@@ -389,7 +393,7 @@
                 return Ok(());
             };
             self.now = self.now.max(at);
-            match self.agenda.due(self.now) {
+            match self.agenda.pop_due(self.now) {
                 Some(happens) => self.happen(happens)?,
                 None => self.input("tick", || Ok(Input::Tick(at)))?,
             }
@@ -402,8 +406,8 @@
     /// # Errors
     /// A message can't be read.
     pub fn warm_up(&mut self, play: &Play) -> Result<()> {
-        self.agenda.set(self.now + 1, Happens::Start);
-        self.agenda.set(
+        self.agenda.schedule(self.now + 1, Happens::Start);
+        self.agenda.schedule(
             self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
             Happens::Change,
         );
@@ -423,9 +427,9 @@
     pub fn held(&self) -> Vec<Measure> {
         let open = self.cluster.at.connections + self.links.len() as u64;
         vec![
-            Measure::counted("held_hosts", "count", self.desk.hosts() as f64),
-            Measure::counted("held_standing", "count", self.desk.standing() as f64),
-            Measure::counted("held_open", "count", self.desk.open() as f64),
+            Measure::counted("held_hosts", "count", self.desk.known_nodes() as f64),
+            Measure::counted("held_standing", "count", self.desk.running_tasks() as f64),
+            Measure::counted("held_open", "count", self.desk.open_requests() as f64),
             Measure::counted("held_links", "count", self.links.len() as f64),
             Measure::counted("descriptors", "count", open as f64),
         ]
--- a/crates/scale/src/roles/serve/words.rs
+++ b/crates/scale/src/roles/serve/words.rs
@@ -4,8 +4,8 @@
 use crate::row::At;
 use peppercove::PlacementRequest;
 use peppercove::wire::RecordSchema;
-use peppercove_platform::config::{Config, Known, Limits};
-use peppercove_platform::wire::{Kind, Message, code};
+use peppercove_platform::config::{Config, InitialEndpoints, Limits};
+use peppercove_platform::wire::{Message, MessageKind, code};
 use std::fmt::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -38,7 +38,7 @@
             sockets: 1 << 17,
         },
         journal: nowhere,
-        known: Known {
+        known: InitialEndpoints {
             pos: 0,
             entries: Vec::new(),
         },
@@ -115,7 +115,7 @@
     if let Some(host) = at {
         figures.push_str(&format!(";at:{}", name(host)));
     }
-    let message = Message::new(Kind::SetUp, id)
+    let message = Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, format!("c{class}").as_bytes())
         .with(code::WAIT, b"5000")
         .with(code::TASK, format!("{:016x}", task.0).as_bytes())
--- a/crates/scale/src/standins.rs
+++ b/crates/scale/src/standins.rs
@@ -128,7 +128,7 @@
         }
         config.listen.node_list = list.address().into();
         let controller = Controller::start(config).await?;
-        while controller.status().nodes_up < nodes {
+        while controller.status().connected_nodes < nodes {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let lines = || {
@@ -138,7 +138,7 @@
         let contact = relay(controller.address(), client, lines).await?;
         let _ = ready.send(contact.into());
         let _ = stopped.await;
-        controller.stop().await;
+        controller.shut_down().await;
         Ok(())
     })
 }
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -253,7 +253,9 @@
     /// the machines in its view has one open to each to which a start went within the life of an idle connection.
     pub fn connections(&self, role: &str) -> f64 {
         let schedulers = self.taken(Assumed::Schedulers);
-        let view = self.machines.min(peppercove_fleet::SIZE as f64);
+        let view = self
+            .machines
+            .min(peppercove_fleet::TARGET_SUBSET_SIZE as f64);
         let each = self.starts_a_second / schedulers * self.taken(Assumed::ConnectionLifeS) / view;
         let open = view * (1.0 - (-each).exp());
         match role {
--- a/crates/scale/tests/around.rs
+++ b/crates/scale/tests/around.rs
@@ -1,6 +1,6 @@
 //! How what is around a scheduler grows: counted figures alone, at sizes a factor of eight apart. No times.
 
-use peppercove_platform::feed::Step;
+use peppercove_platform::feed::SequenceCheck;
 use peppercove_protocol::codec::LIST_FRAME;
 use peppercove_protocol::list::Scope;
 use peppercove_scale::platform::{config, hosts, settings};
@@ -45,7 +45,7 @@
     // way to it.
     let whole = lines(13_000 * FACTOR).whole;
     assert!(
-        matches!(take(&whole, 0), Ok(Some((_, Step::Take)))),
+        matches!(take(&whole, 0), Ok(Some((_, SequenceCheck::Apply)))),
         "{} bytes",
         whole.len()
     );
--- a/crates/serve/src/feed.rs
+++ b/crates/serve/src/feed.rs
@@ -3,7 +3,9 @@
 use crate::shell::Shell;
 use bytes::BytesMut;
 use peppercove_platform::Input;
-use peppercove_platform::feed::{FeedError, Line, Lines, SILENT, Step, step};
+use peppercove_platform::feed::{
+    EndpointWatchError, LineDecoder, SILENT, SequenceCheck, WatchLine, check_sequence,
+};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +30,7 @@
     #[error("silent")]
     Silent,
     #[error(transparent)]
-    Unreadable(#[from] FeedError),
+    Unreadable(#[from] EndpointWatchError),
     #[error("events are missing")]
     Gap,
     #[error("the module asks anew")]
@@ -58,7 +60,7 @@
         wait = !again;
         tracing::debug!(%end, pos = shell.pos.get(), "journal service");
         if !again {
-            shell.input(Input::ListFailed);
+            shell.input(Input::EndpointWatchFailed);
         }
     }
 }
@@ -78,7 +80,7 @@
         return End::Broken(error);
     }
     let mut buffer = BytesMut::new();
-    let mut lines = Lines::new(shell.longest_line);
+    let mut lines = LineDecoder::new(shell.longest_line);
     let mut answered = false;
     // Danger: bytes that come without ever ending a line are no sign of life.
     let silent_for = Duration::from_micros(SILENT);
@@ -102,14 +104,14 @@
             match lines.next(&mut buffer) {
                 Ok(Some(line)) => {
                     silent_at = Instant::now() + silent_for;
-                    match (step(shell.pos.get(), &line), line) {
-                        (Step::Take, Line::Event(entry)) => {
+                    match (check_sequence(shell.pos.get(), &line), line) {
+                        (SequenceCheck::Apply, WatchLine::Event(entry)) => {
                             shell.pos.set(entry.pos);
                             entries.push(entry);
                         }
-                        (Step::AskAgain, _) => break Some(End::Gap),
-                        (Step::Skip | Step::Take, line) => {
-                            numbered |= matches!(line, Line::Last(_))
+                        (SequenceCheck::Resync, _) => break Some(End::Gap),
+                        (SequenceCheck::Skip | SequenceCheck::Apply, line) => {
+                            numbered |= matches!(line, WatchLine::Last(_))
                         }
                     }
                 }
@@ -121,7 +123,7 @@
         let first = numbered && !answered;
         answered |= first || !entries.is_empty();
         if first || !entries.is_empty() {
-            shell.input(Input::List(entries));
+            shell.input(Input::EndpointEvents(entries));
         }
         if let Some(end) = end {
             return end;
--- a/crates/serve/src/hosts.rs
+++ b/crates/serve/src/hosts.rs
@@ -4,7 +4,7 @@
 use crate::shell::Shell;
 use bytes::BytesMut;
 use peppercove_platform::wire::{Message, decode};
-use peppercove_platform::{Down, Input, LinkId};
+use peppercove_platform::{Disconnect, Input, NodeConnectionId};
 use peppercove_runtime::{Closed, carry};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 /// Opens a connection and keeps it until it ends.
 pub(crate) fn dial(
     shell: Rc<Shell>,
-    link: LinkId,
+    link: NodeConnectionId,
     address: SocketAddr,
     connection: Rc<Connection>,
 ) {
@@ -24,31 +24,36 @@
 }
 
 /// Connects and carries messages both ways until the connection ends.
-async fn keep(shell: Rc<Shell>, link: LinkId, address: SocketAddr, connection: Rc<Connection>) {
+async fn keep(
+    shell: Rc<Shell>,
+    link: NodeConnectionId,
+    address: SocketAddr,
+    connection: Rc<Connection>,
+) {
     let how = match timeout(shell.dial_timeout, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
             let _ = stream.set_nodelay(true);
             let stream = Rc::new(stream);
-            shell.input(Input::LinkUp(link));
+            shell.input(Input::NodeConnected(link));
             let end = carry(&stream, &connection.outbox, |buffer| {
                 read(&shell, &connection, buffer, |message| {
-                    shell.input(Input::Host(link, message))
+                    shell.input(Input::NodeMessage(link, message))
                 })
             });
             let end = end.await;
             tracing::debug!(link = link.0, %address, ?end, "connection to a host ended");
             // What a host said is all read where it closed behind a whole message.
             let whole = matches!(end, Closed::Peer) && connection.half_since.get().is_none();
-            Down::Broke {
-                written: connection.outbox.written(),
-                whole,
+            Disconnect::Broken {
+                bytes_written: connection.outbox.written(),
+                is_clean: whole,
             }
         }
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Down::Refused,
-        Ok(Err(_)) | Err(_) => Down::NotUp,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Disconnect::Refused,
+        Ok(Err(_)) | Err(_) => Disconnect::ConnectFailed,
     };
     shell.drop_link(link);
-    shell.input(Input::LinkDown(link, how));
+    shell.input(Input::NodeDisconnected(link, how));
 }
 
 /// Takes whole messages off the buffer; false where they cannot be read.
--- a/crates/serve/src/owners.rs
+++ b/crates/serve/src/owners.rs
@@ -44,7 +44,7 @@
             .await;
             drop(stream);
             shell.drop_owner(owner);
-            shell.input(Input::OwnerGone(owner));
+            shell.input(Input::ClientDisconnected(owner));
         });
     }
 }
--- a/crates/serve/src/shell.rs
+++ b/crates/serve/src/shell.rs
@@ -2,11 +2,13 @@
 
 use crate::connection::Connection;
 use peppercove::{Micros, Scheduler};
-use peppercove_fleet::{Decider, View};
+use peppercove_fleet::{NodeSubset, SubsetScheduler};
 use peppercove_platform::config::Config;
-use peppercove_platform::feed::longest;
+use peppercove_platform::feed::max_line_bytes;
 use peppercove_platform::wire::Message;
-use peppercove_platform::{Bounds, Counters, Desk, Input, LinkId, Output, OwnerId};
+use peppercove_platform::{
+    Bounds, ClientId, Counters, Input, NodeConnectionId, Output, PlatformEngine,
+};
 use peppercove_runtime::{Budget, Clock, Timer};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,10 +25,10 @@
 const SWEEP: Duration = Duration::from_millis(100);
 
 /// Starts what keeps a connection to a host.
-pub(crate) type Dial = fn(Rc<Shell>, LinkId, SocketAddr, Rc<Connection>);
+pub(crate) type Dial = fn(Rc<Shell>, NodeConnectionId, SocketAddr, Rc<Connection>);
 
 pub(crate) struct Shell {
-    desk: RefCell<Desk<Decider>>,
+    desk: RefCell<PlatformEngine<SubsetScheduler>>,
     pub(crate) clock: Clock,
     timer: Timer,
     bounds: Bounds,
@@ -48,37 +50,37 @@
     pub(crate) watch: Notify,
     /// The journal service has another address.
     pub(crate) moved: Notify,
-    known: RefCell<Vec<peppercove_platform::feed::Entry>>,
-    owners: RefCell<BTreeMap<OwnerId, Rc<Connection>>>,
+    known: RefCell<Vec<peppercove_platform::feed::EndpointEvent>>,
+    owners: RefCell<BTreeMap<ClientId, Rc<Connection>>>,
     next_owner: Cell<u64>,
     /// Connections taken and reads from them, as a count that only a quiet front leaves alone.
     activity: Cell<u64>,
     /// As the desk was told last.
     crowded: Cell<bool>,
-    links: RefCell<BTreeMap<LinkId, Rc<Connection>>>,
+    links: RefCell<BTreeMap<NodeConnectionId, Rc<Connection>>>,
     dial: Dial,
     me: Weak<Shell>,
 }
 
 impl Shell {
     pub(crate) fn new(config: Config, dial: Dial) -> Shell {
-        let bounds = Bounds::of(&config);
+        let bounds = Bounds::for_config(&config);
         let dial_timeout = Duration::from_micros(config.dial_timeout());
         let slice = Duration::from_micros(config.settings.tick.max(1));
         let pushed = !config.settings.is_list_polled;
         let module = Scheduler::new(config.settings.clone(), config.seed);
-        let module = View::new(module, &config.settings);
-        let desk = Desk::new(module, config.settings, config.shape, bounds, config.seed);
+        let module = NodeSubset::new(module, &config.settings);
+        let desk = PlatformEngine::new(module, config.settings, config.shape, bounds, config.seed);
         Shell {
             desk: RefCell::new(desk),
             clock: Clock::start(),
             timer: Timer::default(),
             bounds,
-            budget: Budget::new(bounds.unread),
+            budget: Budget::new(bounds.send_buffer_bytes),
             waiting: Notify::new(),
             slice,
             dial_timeout,
-            longest_line: longest(config.limits.memory_mb),
+            longest_line: max_line_bytes(config.limits.memory_mb),
             pushed,
             journal: Cell::new(config.journal),
             pos: Cell::new(config.known.pos),
@@ -97,7 +99,7 @@
 
     /// Hands the desk the list of the start.
     pub(crate) fn begin(&self) {
-        self.input(Input::Begin(self.known.take()));
+        self.input(Input::Start(self.known.take()));
     }
 
     /// Hands an input to the desk and carries its outputs out.
@@ -105,7 +107,7 @@
         let outputs = self.desk.borrow_mut().handle(self.clock.now(), input);
         let mut told = BTreeSet::new();
         for output in outputs {
-            if let Output::Reply(owner, _) = &output {
+            if let Output::SendToClient(owner, _) = &output {
                 told.insert(*owner);
             }
             self.carry_out(output);
@@ -117,7 +119,7 @@
                 connection.outbox.write();
             }
         }
-        if self.desk.borrow().has_waiting() {
+        if self.desk.borrow().has_queued_requests() {
             self.waiting.notify_one();
         }
         self.timer.changed(self.desk.borrow().next_wake());
@@ -126,22 +128,22 @@
     fn carry_out(&self, output: Output) {
         tracing::trace!(?output, "out");
         match output {
-            Output::Reply(owner, frame) => {
+            Output::SendToClient(owner, frame) => {
                 if let Some(connection) = self.owners.borrow().get(&owner) {
                     connection.outbox.push(&frame);
                 }
             }
-            Output::Send(link, frame) => {
+            Output::SendToNode(link, frame) => {
                 if let Some(connection) = self.links.borrow().get(&link) {
                     connection.send(&frame);
                 }
             }
-            Output::TakeBack(link, frame) => {
+            Output::Cancel(link, frame) => {
                 if let Some(connection) = self.links.borrow().get(&link) {
                     connection.take_back(&frame);
                 }
             }
-            Output::Dial(link, address) => {
+            Output::Connect(link, address) => {
                 let Some(shell) = self.me.upgrade() else {
                     return;
                 };
@@ -149,27 +151,27 @@
                 self.links.borrow_mut().insert(link, connection.clone());
                 (self.dial)(shell, link, address, connection);
             }
-            Output::Hang(link) => {
+            Output::Close(link) => {
                 if let Some(connection) = self.links.borrow().get(&link) {
                     connection.outbox.close();
                 }
             }
-            Output::Watch => self.watch.notify_one(),
+            Output::WatchEndpoints => self.watch.notify_one(),
             Output::Log(line) => tracing::info!(target: "peppercove::module", "{line}"),
         }
     }
 
-    pub(crate) fn drop_link(&self, link: LinkId) {
+    pub(crate) fn drop_link(&self, link: NodeConnectionId) {
         self.links.borrow_mut().remove(&link);
     }
 
     /// A connection of owners, numbered; `None` where there is no descriptor to spare for it.
-    pub(crate) fn admit(&self) -> Option<(OwnerId, Rc<Connection>)> {
-        if self.owners.borrow().len() >= self.bounds.owners && !self.make_room() {
+    pub(crate) fn admit(&self) -> Option<(ClientId, Rc<Connection>)> {
+        if self.owners.borrow().len() >= self.bounds.client_connections && !self.make_room() {
             return None;
         }
         self.is_active();
-        let id = OwnerId(self.next_owner.get());
+        let id = ClientId(self.next_owner.get());
         self.next_owner.set(id.0 + 1);
         let connection = Connection::new(self.clock.now(), &self.budget);
         self.owners.borrow_mut().insert(id, connection.clone());
@@ -177,21 +179,21 @@
         Some((id, connection))
     }
 
-    pub(crate) fn drop_owner(&self, owner: OwnerId) {
+    pub(crate) fn drop_owner(&self, owner: ClientId) {
         self.owners.borrow_mut().remove(&owner);
         self.count_owners();
     }
 
     /// Owners have taken descriptors that connections to hosts use while they are free.
     pub(crate) fn is_crowded(&self) -> bool {
-        self.owners.borrow().len() > self.bounds.owners / 2
+        self.owners.borrow().len() > self.bounds.client_connections / 2
     }
 
     fn count_owners(&self) {
         let crowded = self.is_crowded();
         if crowded || self.crowded.get() {
             self.crowded.set(crowded);
-            self.input(Input::Owners(self.owners.borrow().len()));
+            self.input(Input::ClientCount(self.owners.borrow().len()));
         }
     }
 
@@ -200,12 +202,16 @@
     fn make_room(&self) -> bool {
         let desk = self.desk.borrow();
         let owners = self.owners.borrow();
-        let unused = |id: OwnerId, c: &Connection| c.outbox.is_empty() && !desk.is_waited_for(id);
+        let unused =
+            |id: ClientId, c: &Connection| c.outbox.is_empty() && !desk.has_open_requests(id);
         let idle = owners
             .iter()
             .filter(|(id, c)| !c.outbox.is_ending() && unused(**id, c));
-        let rank = |id: &OwnerId, c: &Connection| {
-            (desk.is_usual(*id), c.heard_at.get().unwrap_or(c.since))
+        let rank = |id: &ClientId, c: &Connection| {
+            (
+                desk.has_sent_request(*id),
+                c.heard_at.get().unwrap_or(c.since),
+            )
         };
         let Some((_, connection)) = idle.min_by_key(|(id, c)| rank(id, c)) else {
             return false;
@@ -226,9 +232,9 @@
 
     /// A message of an owner. Danger: one that crosses the end of its idle connection is owed its answer there, for its owner
     /// sends it again only where it came just before the close.
-    pub(crate) fn take_in(&self, owner: OwnerId, connection: &Connection, message: Message) {
-        self.input(Input::Owner(owner, message));
-        if connection.outbox.is_ending() && self.desk.borrow().is_waited_for(owner) {
+    pub(crate) fn take_in(&self, owner: ClientId, connection: &Connection, message: Message) {
+        self.input(Input::ClientMessage(owner, message));
+        if connection.outbox.is_ending() && self.desk.borrow().has_open_requests(owner) {
             connection.outbox.stay();
         }
     }
@@ -240,7 +246,7 @@
     }
 
     pub(crate) fn open(&self) -> usize {
-        self.desk.borrow().open()
+        self.desk.borrow().open_requests()
     }
 
     pub(crate) fn counters(&self) -> Counters {
@@ -268,9 +274,9 @@
             let half = connection.half_since.get();
             let silent =
                 connection.heard_at.get().is_none() && late(Some(connection.since), SILENT);
-            if late(half, HALF_A_MESSAGE * 2) && !desk.is_waited_for(*owner) {
+            if late(half, HALF_A_MESSAGE * 2) && !desk.has_open_requests(*owner) {
                 connection.outbox.close();
-            } else if silent || late(half, HALF_A_MESSAGE) && !desk.is_waited_for(*owner) {
+            } else if silent || late(half, HALF_A_MESSAGE) && !desk.has_open_requests(*owner) {
                 // Danger: what it asked before is owed an answer, whatever it begins and does not end; and so is what it
                 // asked for while nobody looked.
                 connection.outbox.finish();
@@ -304,8 +310,8 @@
         shell.waiting.notified().await;
         let until = shell.clock.now() + u64::try_from(shell.slice.as_micros()).unwrap_or(0);
         loop {
-            shell.input(Input::Turn);
-            if shell.clock.now() >= until || !shell.desk.borrow().has_waiting() {
+            shell.input(Input::AdmitNext);
+            if shell.clock.now() >= until || !shell.desk.borrow().has_queued_requests() {
                 break;
             }
         }
