--- a/crates/day/src/play.rs
+++ b/crates/day/src/runner.rs
@@ -1,21 +1,21 @@
 //! A day played: everything started on loopback, the load and the faults over time, and the verdict at the end.
 
+use crate::capturing_proxy::{Book, ClassFacts, Line, Tap};
 use crate::clients::{Owners, misbehave};
-use crate::tap::{Book, ClassFacts, Line, Tap};
 use peppercove::Idempotency;
-use peppercove_audit::{Event, Seen};
+use peppercove_audit::{Event, Observation};
 use peppercove_config::Config;
 use peppercove_controller::{Controller, StartError};
 use peppercove_core::Counters;
-use peppercove_kernel::Report;
-use peppercove_kernel::owners::ClassFact;
-use peppercove_kernel::script::{Arrival, Fault, Hits, Script};
+use peppercove_kernel::ScenarioReport;
+use peppercove_kernel::client_model::ClassFact;
+use peppercove_kernel::scenario::{Fault, FaultTarget, JobArrival, Scenario};
 use peppercove_protocol::list::NodeState;
 use peppercove_protocol::node;
 use peppercove_standins::Clock;
-use peppercove_standins::list::List;
-use peppercove_standins::model::{ClassFault, Shared};
-use peppercove_standins::node::Node;
+use peppercove_standins::list::FakeNodeList;
+use peppercove_standins::node::FakeNode;
+use peppercove_standins::node_model::{ClassFault, FleetState};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -47,7 +47,7 @@
 
 /// How a day's controllers run.
 #[derive(Clone, Debug, Default)]
-pub struct How {
+pub struct RunOptions {
     /// Where the records of the controllers and what the taps saw are written, if anywhere.
     pub records: Option<PathBuf>,
     /// The program that runs each controller as a process (`PROGRAM controller --config FILE --set ...`); in this
@@ -67,7 +67,7 @@
 impl Seat {
     fn kill(&self, book: &Book) {
         if let Some(controller) = self.running.borrow_mut().take() {
-            book.write(Seen::Killed {
+            book.write(Observation::Killed {
                 controller: self.config.name.clone(),
             });
             match controller {
@@ -82,7 +82,7 @@
     }
 
     async fn start(&self, book: &Book) -> Result<(), PlayError> {
-        book.write(Seen::Started {
+        book.write(Observation::Started {
             controller: self.config.name.clone(),
         });
         let (running, address) = match &self.program {
@@ -108,9 +108,9 @@
 }
 
 impl Program {
-    fn new(file: PathBuf, settings: PathBuf, script: &Script, config: &Config) -> Program {
+    fn new(file: PathBuf, settings: PathBuf, script: &Scenario, config: &Config) -> Program {
         let text = |path: &Option<PathBuf>| path.as_ref().map(|p| p.display().to_string());
-        let m = &config.module;
+        let m = &config.scheduler;
         let confirms = match m.placement_ack {
             peppercove::PlacementAck::Accepted => "accepted",
             peppercove::PlacementAck::Running => "running",
@@ -121,11 +121,11 @@
             ("controller/number", Some(m.own_index.to_string())),
             ("controller/of", Some(script.controllers.to_string())),
             ("controller/seed", config.seed.map(|s| s.to_string())),
-            ("controller/journal", text(&config.journal)),
-            ("controller/record", text(&config.record)),
+            ("controller/journal", text(&config.journal_path)),
+            ("controller/record", text(&config.record_path)),
             (
                 "node-list/address",
-                Some(config.listen.node_list.to_string()),
+                Some(config.network.node_list.to_string()),
             ),
             ("nodes/confirms", Some(confirms.into())),
             ("nodes/preempts", Some(m.allows_preemption.to_string())),
@@ -177,9 +177,9 @@
 struct Stage {
     clock: Clock,
     book: Book,
-    shared: Shared,
-    list: List,
-    nodes: Vec<Node>,
+    shared: FleetState,
+    list: FakeNodeList,
+    nodes: Vec<FakeNode>,
     taps: Vec<Tap>,
     seats: Vec<Rc<Seat>>,
     rate: Cell<f64>,
@@ -191,7 +191,11 @@
 ///
 /// # Errors
 /// [`PlayError`] where a socket or a controller cannot be had.
-pub fn play(script: &Script, seed: u64, how: &How) -> Result<Report, PlayError> {
+pub fn run_scenario(
+    script: &Scenario,
+    seed: u64,
+    how: &RunOptions,
+) -> Result<ScenarioReport, PlayError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -202,16 +206,17 @@
 }
 
 impl Stage {
-    async fn build(script: &Script, seed: u64, how: &How) -> Result<Stage, PlayError> {
-        let (clock, shared) = (Clock::default(), Shared::default());
+    async fn build(script: &Scenario, seed: u64, how: &RunOptions) -> Result<Stage, PlayError> {
+        let (clock, shared) = (Clock::default(), FleetState::default());
         let book = Book::new(clock);
         let micros = |d: Duration| d.as_micros() as u64;
-        let list = List::start(clock, micros(script.list_late), script.list_refresh).await?;
+        let list =
+            FakeNodeList::start(clock, micros(script.list_late), script.list_refresh).await?;
         let list_tap = Tap::start(list.address().into(), Line::List, book.clone()).await?;
         let (mut nodes, mut taps) = (Vec::new(), Vec::new());
         for (i, spec) in script.nodes.iter().enumerate() {
-            let node =
-                Node::start(spec.clone(), shared.clone(), clock, seed ^ (i as u64) << 8).await?;
+            let node = FakeNode::start(spec.clone(), shared.clone(), clock, seed ^ (i as u64) << 8)
+                .await?;
             let line = Line::Node(spec.name.clone());
             let tap = Tap::start(node.address().into(), line, book.clone()).await?;
             list.add(&node, tap.address());
@@ -225,12 +230,12 @@
             let mut config = script.config.clone();
             config.name = format!("controller-{i}");
             config.seed = Some(seed.wrapping_mul(1000) + i as u64);
-            config.listen.clients = ([127, 0, 0, 1], 0).into();
-            config.listen.node_list = list_tap.address().into();
-            config.module.schedulers = script.controllers as u32;
-            config.module.own_index = i as u32;
-            config.journal = script.journal.then(|| disk.path().join(&config.name));
-            config.record = how
+            config.network.clients = ([127, 0, 0, 1], 0).into();
+            config.network.node_list = list_tap.address().into();
+            config.scheduler.schedulers = script.controllers as u32;
+            config.scheduler.own_index = i as u32;
+            config.journal_path = script.journal.then(|| disk.path().join(&config.name));
+            config.record_path = how
                 .records
                 .as_ref()
                 .map(|folder| folder.join(format!("controller-{i}.jsonl")));
@@ -281,15 +286,15 @@
         }
     }
 
-    fn hit_nodes(&self, hits: &Hits, rng: &mut fastrand::Rng) -> Vec<usize> {
+    fn hit_nodes(&self, hits: &FaultTarget, rng: &mut fastrand::Rng) -> Vec<usize> {
         let all = 0..self.nodes.len();
         match hits {
-            Hits::Node(name) => all.filter(|i| self.nodes[*i].name() == name).collect(),
-            Hits::Rack(rack) => all
+            FaultTarget::Node(name) => all.filter(|i| self.nodes[*i].name() == name).collect(),
+            FaultTarget::Rack(rack) => all
                 .filter(|i| self.nodes[*i].read(|m| m.spec().rack) == *rack)
                 .collect(),
-            Hits::Controller(_) => Vec::new(),
-            Hits::Share(share) => {
+            FaultTarget::Controller(_) => Vec::new(),
+            FaultTarget::Share(share) => {
                 let count = ((self.nodes.len() as f64 * share).round() as usize).max(1);
                 let mut all: Vec<usize> = all.collect();
                 rng.shuffle(&mut all);
@@ -302,11 +307,11 @@
 
 fn facts(config: &Config) -> ClassFacts {
     let repeat = |r: Idempotency| match r {
-        Idempotency::Idempotent => node::Repeat::Safe,
-        Idempotency::Keyed { .. } => node::Repeat::Keyed,
-        Idempotency::NonIdempotent => node::Repeat::Unsafe,
+        Idempotency::Idempotent => node::Idempotency::Idempotent,
+        Idempotency::Keyed { .. } => node::Idempotency::Keyed,
+        Idempotency::NonIdempotent => node::Idempotency::NonIdempotent,
     };
-    let classes = config.classes.iter().zip(&config.module.classes);
+    let classes = config.classes.iter().zip(&config.scheduler.classes);
     ClassFacts {
         classes: classes
             .map(|(n, c)| (n.clone(), (c.deadline, Some(repeat(c.idempotency)))))
@@ -315,7 +320,7 @@
     }
 }
 
-async fn run(script: &Script, seed: u64, how: &How) -> Result<Report, PlayError> {
+async fn run(script: &Scenario, seed: u64, how: &RunOptions) -> Result<ScenarioReport, PlayError> {
     let stage = Rc::new(Stage::build(script, seed, how).await?);
     stage.ready().await;
     let stall = Rc::new(Cell::new(0));
@@ -331,9 +336,9 @@
         .config
         .classes
         .iter()
-        .zip(&script.config.module.classes);
+        .zip(&script.config.scheduler.classes);
     let classes: BTreeMap<String, ClassFact> = classes.map(|(n, c)| (n.clone(), safe(c))).collect();
-    let settle = Duration::from_micros(script.config.module.ambiguous_retry_delay);
+    let settle = Duration::from_micros(script.config.scheduler.ambiguous_retry_delay);
     let owners = Rc::new(Owners::open(
         &addresses,
         &classes,
@@ -371,7 +376,7 @@
     }
     let events = stage.book.take();
     if let Some(folder) = &how.records {
-        write_taps(
+        write_captured_events(
             &folder.join(format!("taps-{}-{seed}.txt", script.name)),
             &events,
         )?;
@@ -383,7 +388,7 @@
 ///
 /// # Errors
 /// Where the file cannot be written.
-pub fn write_taps(file: &std::path::Path, events: &[Event]) -> io::Result<()> {
+pub fn write_captured_events(file: &std::path::Path, events: &[Event]) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(file)?);
     for event in events {
         writeln!(out, "{:.6} {:?}", event.at as f64 / 1e6, event.seen)?;
@@ -392,13 +397,13 @@
 }
 
 fn report(
-    script: &Script,
+    script: &Scenario,
     seed: u64,
     stage: &Stage,
     owners: &Owners,
     events: &[Event],
     stall: u64,
-) -> Report {
+) -> ScenarioReport {
     let mut counters = Counters::default();
     for seat in &stage.seats {
         let now = match seat.running.borrow().as_ref() {
@@ -412,7 +417,7 @@
     // From a tap to the controller: as late as the machine is, and a millisecond where that is less.
     let travel = stall.max(1_000);
     let (tally, open) = (owners.tally.borrow(), owners.open_asks());
-    Report::judged(
+    ScenarioReport::judged(
         script,
         seed,
         events,
@@ -439,7 +444,7 @@
 async fn arrive(
     stage: Rc<Stage>,
     owners: Rc<Owners>,
-    script: Script,
+    script: Scenario,
     index: usize,
     begin: Instant,
     end: Instant,
@@ -459,7 +464,7 @@
         number += 1;
         let controller = rng.usize(0..owners.desks.len());
         let life = load.life.mul_f64(0.3 - 0.7 * (1.0 - rng.f64()).ln());
-        let arrival = Arrival {
+        let arrival = JobArrival {
             at: at - begin,
             class: load.class.clone(),
             service: format!("{}-{}", load.class, rng.u64(0..load.services)),
@@ -473,7 +478,7 @@
     }
 }
 
-async fn arrive_stated(owners: Rc<Owners>, mut jobs: Vec<Arrival>, begin: Instant) {
+async fn arrive_stated(owners: Rc<Owners>, mut jobs: Vec<JobArrival>, begin: Instant) {
     jobs.sort_by_key(|j| j.at);
     for (i, job) in jobs.into_iter().enumerate() {
         sleep_until(begin + job.at).await;
@@ -487,19 +492,19 @@
     sleep_until(begin + fault.at).await;
     let end = begin + fault.at + fault.lasts;
     let hit = stage.hit_nodes(&fault.hits, &mut rng);
-    let nodes: Vec<Node> = hit.iter().map(|i| stage.nodes[*i].clone()).collect();
+    let nodes: Vec<FakeNode> = hit.iter().map(|i| stage.nodes[*i].clone()).collect();
     let size = fault.size;
     match fault.kind.as_str() {
         "list-down" => {
-            stage.list.trouble(|t| t.down = true);
+            stage.list.change_faults(|t| t.down = true);
             sleep_until(end).await;
-            stage.list.trouble(|t| t.down = false);
+            stage.list.change_faults(|t| t.down = false);
         }
         "list-stale" => {
             let more = (size * 1e6) as u64;
-            stage.list.trouble(|t| t.late += more);
+            stage.list.change_faults(|t| t.late += more);
             sleep_until(end).await;
-            stage.list.trouble(|t| t.late -= more);
+            stage.list.change_faults(|t| t.late -= more);
         }
         "burst" => {
             stage.rate.set(stage.rate.get() * size);
@@ -524,14 +529,14 @@
             .for_each(|n| n.cut(fault.kind == "cut-midframe")),
         "flush" => nodes.iter().for_each(|n| n.flush(size)),
         "dies" => {
-            nodes.iter().for_each(Node::kill);
+            nodes.iter().for_each(FakeNode::kill);
             // The list hears of it late; a dead node stays away.
             nodes
                 .iter()
-                .for_each(|n| stage.list.change(n.name(), NodeState::Gone));
+                .for_each(|n| stage.list.change(n.name(), NodeState::Removed));
         }
         "restarts" => {
-            nodes.iter().for_each(Node::kill);
+            nodes.iter().for_each(FakeNode::kill);
             sleep_until(end).await;
             for node in &nodes {
                 node.restart();
@@ -546,13 +551,13 @@
             sleep_until(end).await;
             for node in &nodes {
                 node.kill();
-                stage.list.change(node.name(), NodeState::Gone);
+                stage.list.change(node.name(), NodeState::Removed);
             }
         }
         kind => {
             let set = |on: bool| {
                 for node in &nodes {
-                    node.fault(|f| match kind {
+                    node.change_faults(|f| match kind {
                         "hang" => f.hangs = on,
                         "answers-lost" => f.loses = if on { size } else { 0.0 },
                         "never-confirms" => f.never_confirms = on,
@@ -587,12 +592,12 @@
 async fn kill_controllers(stage: &Stage, fault: &Fault, end: Instant, rng: &mut fastrand::Rng) {
     let mut all: Vec<usize> = (0..stage.seats.len()).collect();
     match fault.hits {
-        Hits::Controller(i) => all.retain(|s| *s == i),
-        Hits::Share(share) => {
+        FaultTarget::Controller(i) => all.retain(|s| *s == i),
+        FaultTarget::Share(share) => {
             rng.shuffle(&mut all);
             all.truncate(((stage.seats.len() as f64 * share).round() as usize).max(1));
         }
-        Hits::Node(_) | Hits::Rack(_) => all.clear(),
+        FaultTarget::Node(_) | FaultTarget::Rack(_) => all.clear(),
     }
     all.iter().for_each(|i| stage.seats[*i].kill(&stage.book));
     sleep_until(end).await;
--- a/crates/day/tests/days.rs
+++ b/crates/day/tests/days.rs
@@ -1,52 +1,54 @@
 //! Every shipped day keeps the five rules and leaves nothing open.
 
-use peppercove_day::{How, Script, play, shipped};
+use peppercove_day::{RunOptions, Scenario, built_in_scenarios, run_scenario};
 use std::path::Path;
 
 #[test]
 fn every_shipped_day_keeps_the_rules() {
-    let scripts: Vec<Script> = shipped()
+    let scripts: Vec<Scenario> = built_in_scenarios()
         .iter()
         .map(|(name, text)| {
-            Script::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"))
+            Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"))
         })
         .collect();
     // They mostly wait, so all may run at once; the audit allows for what the machine stalls.
     let reports: Vec<_> = std::thread::scope(|scope| {
         let running: Vec<_> = scripts
             .iter()
-            .map(|s| scope.spawn(move || play(s, s.seed, &How::default()).unwrap()))
+            .map(|s| scope.spawn(move || run_scenario(s, s.seed, &RunOptions::default()).unwrap()))
             .collect();
         running.into_iter().map(|r| r.join().unwrap()).collect()
     });
     for report in &reports {
         assert!(
-            report.verdict.is_clean(),
+            report.audit.is_clean(),
             "{}: {:#?}",
-            report.day,
-            report.verdict.breaches
+            report.scenario,
+            report.audit.violations
         );
-        assert_eq!(report.unanswered, 0, "{}", report.day);
+        assert_eq!(report.unanswered_requests, 0, "{}", report.scenario);
         assert!(
-            report.jobs > 20 && report.verdict.taken > 20,
+            report.jobs > 20 && report.audit.accepted > 20,
             "{}: nothing was tried",
-            report.day
+            report.scenario
         );
         let c = report.counters;
         assert_eq!(
             (c.invalid_transitions, c.unsafe_rejections),
             (0, 0),
             "{}",
-            report.day
+            report.scenario
         );
     }
     // A day that shows nothing of its fault would prove nothing.
-    let of = |name: &str| reports.iter().find(|r| r.day == name).unwrap();
-    assert!(of("cut").counters.adopted + of("cut").counters.orphans_stopped + of("cut").again > 0);
-    assert!(of("controller-killed").verdict.excused > 0 || of("controller-killed").again > 0);
+    let of = |name: &str| reports.iter().find(|r| r.scenario == name).unwrap();
+    assert!(
+        of("cut").counters.adopted + of("cut").counters.orphans_stopped + of("cut").retries > 0
+    );
+    assert!(of("controller-killed").audit.excused > 0 || of("controller-killed").retries > 0);
     assert!(of("liars").counters.unexpected_messages > 0);
     assert!(of("update-in-doubt").counters.adopted > 0);
-    assert!(of("never-confirms").verdict.unsafe_starts > 0);
+    assert!(of("never-confirms").audit.unsafe_starts > 0);
 }
 
 #[test]
@@ -74,11 +76,13 @@
         ),
     ];
     for (text, expected) in cases {
-        let error = Script::parse(text, Path::new(".")).unwrap_err().to_string();
+        let error = Scenario::parse(text, Path::new("."))
+            .unwrap_err()
+            .to_string();
         assert!(error.contains(expected), "{error}");
     }
     let schema = include_str!("../../../schema/day.xsd");
-    let made = peppercove_config::schema::xsd(&peppercove_day::script::DAY);
+    let made = peppercove_config::schema::xsd(&peppercove_day::scenario::SCENARIO_ELEMENT);
     assert!(
         schema == made,
         "make it anew: peppercove config schema --day > schema/day.xsd"
@@ -87,15 +91,18 @@
 
 #[test]
 fn a_record_of_a_day_put_through_the_core_again_comes_to_the_same() {
-    use peppercove_core::record;
-    let (name, text) = shipped().iter().find(|(name, _)| *name == "cut").unwrap();
-    let script = Script::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"));
+    use peppercove_core::recording;
+    let (name, text) = built_in_scenarios()
+        .iter()
+        .find(|(name, _)| *name == "cut")
+        .unwrap();
+    let script = Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"));
     let folder = std::env::temp_dir().join(format!("peppercove-records-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let report = play(
+    let report = run_scenario(
         &script,
         3,
-        &How {
+        &RunOptions {
             records: Some(folder.clone()),
             program: None,
         },
@@ -105,14 +112,14 @@
     for i in 0..script.controllers {
         let text = std::fs::read_to_string(folder.join(format!("controller-{i}.jsonl"))).unwrap();
         let (first, rest) = text.split_once('\n').unwrap();
-        let head: record::RecordingHeader = serde_json::from_str(first).unwrap();
+        let head: recording::RecordingHeader = serde_json::from_str(first).unwrap();
         let limits = peppercove_controller::core_limits(&script.config, head.incarnation);
         let scheduler =
-            || peppercove::Scheduler::new(head.module(&script.config.module), head.seed);
+            || peppercove::Scheduler::new(head.module(&script.config.scheduler), head.seed);
         let mut outputs = [Vec::new(), Vec::new()];
         for outputs in &mut outputs {
-            let each = |_: &record::RecordedInput, o: &[_]| outputs.extend_from_slice(o);
-            let core = record::replay(&head, rest, scheduler(), limits.clone(), each).unwrap();
+            let each = |_: &recording::RecordedInput, o: &[_]| outputs.extend_from_slice(o);
+            let core = recording::replay(&head, rest, scheduler(), limits.clone(), each).unwrap();
             replayed = if outputs.is_empty() {
                 replayed
             } else {
--- a/crates/day/tests/trouble.rs
+++ b/crates/day/tests/trouble.rs
@@ -1,7 +1,7 @@
 //! A small recording made by hand becomes a day that shows what it shows.
 
-use peppercove_day::trouble::{ImportError, import};
-use peppercove_day::{How, Script, play};
+use peppercove_day::incident_import::{ImportError, import_recording};
+use peppercove_day::{RunOptions, Scenario, run_scenario};
 
 const FACTS: &str = r#"{"caps": {"max-attempts": 3, "may-cancel": true, "may-duplicate": false},
  "classes": [{"deadline": 4000000, "late-worth": 0.2, "objective": 800000, "repeat": "idempotent", "worth": 1.0},
@@ -159,7 +159,7 @@
 
 #[test]
 fn a_recording_becomes_a_day_with_its_faults_and_the_day_can_be_played() {
-    let imported = import(recording().as_bytes(), "made", 10.0, 1).unwrap();
+    let imported = import_recording(recording().as_bytes(), "made", 10.0, 1).unwrap();
     assert_eq!(
         imported.summary,
         "1 controllers, 3 nodes, 11 jobs in 3.1 s, 4 faults"
@@ -171,29 +171,29 @@
         "kind=\"list-down\"",
     ] {
         assert!(
-            imported.day.contains(part),
+            imported.scenario.contains(part),
             "{part} is not in {}",
-            imported.day
+            imported.scenario
         );
     }
     let folder = std::env::temp_dir().join(format!("peppercove-trouble-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("made-settings.xml"), &imported.settings).unwrap();
-    let script = Script::parse(&imported.day, &folder).unwrap();
+    let script = Scenario::parse(&imported.scenario, &folder).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!(script.config.module.slow_start_budget, 28.0);
+    assert_eq!(script.config.scheduler.slow_start_budget, 28.0);
     assert_eq!(
-        script.config.module.classes[1].idempotency,
+        script.config.scheduler.classes[1].idempotency,
         peppercove::Idempotency::NonIdempotent
     );
-    let report = play(&script, 1, &How::default()).unwrap();
-    assert!(report.is_clean(), "{:#?}", report.verdict.breaches);
+    let report = run_scenario(&script, 1, &RunOptions::default()).unwrap();
+    assert!(report.is_clean(), "{:#?}", report.audit.violations);
     assert_eq!(report.jobs, 11);
 }
 
 #[test]
 fn what_is_no_recording_is_told_with_its_line() {
-    let line = |text: &str| match import(text.as_bytes(), "x", 1.0, 1).unwrap_err() {
+    let line = |text: &str| match import_recording(text.as_bytes(), "x", 1.0, 1).unwrap_err() {
         ImportError::Line { line, .. } => line,
         ImportError::Empty(_) => 0,
     };
--- a/crates/drmaa/src/connection.rs
+++ b/crates/drmaa/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::Error;
 use peppercove_protocol::drmaa::Errno;
-use peppercove_protocol::rpc::{self, Call, Fault, Init, Reply, Session};
+use peppercove_protocol::rpc::{self, Init, RpcError, RpcRequest, RpcResponse, SessionInfo};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -22,7 +22,7 @@
 pub(crate) struct Connection {
     reader: BufReader<TcpStream>,
     next: u64,
-    pub(crate) info: Session,
+    pub(crate) info: SessionInfo,
 }
 
 const CONNECT: Duration = Duration::from_secs(2);
@@ -38,7 +38,7 @@
         let mut connection = Connection {
             reader: BufReader::new(stream),
             next: 0,
-            info: Session::default(),
+            info: SessionInfo::default(),
         };
         let params = serde_json::to_value(Init {
             session: session.into(),
@@ -66,7 +66,7 @@
     ) -> Result<Value, Failure> {
         self.next += 1;
         let id = Value::from(self.next);
-        let call = Call {
+        let call = RpcRequest {
             jsonrpc: "2.0".into(),
             id: Some(id.clone()),
             method: method.into(),
@@ -74,11 +74,11 @@
         };
         let mut line = serde_json::to_string(&call).map_err(|e| Failure::NotSent(e.to_string()))?;
         line.push('\n');
-        if line.len() > rpc::LONGEST_LINE {
+        if line.len() > rpc::MAX_LINE_BYTES {
             let what = format!(
                 "the call takes {} bytes, {} at most",
                 line.len(),
-                rpc::LONGEST_LINE
+                rpc::MAX_LINE_BYTES
             );
             return Err(Failure::Answered(Error::new(Errno::InvalidArgument, what)));
         }
@@ -104,9 +104,9 @@
         }
     }
 
-    fn read(&mut self) -> Result<Reply, Failure> {
+    fn read(&mut self) -> Result<RpcResponse, Failure> {
         let mut line = String::new();
-        let most = rpc::LONGEST_LINE as u64 * 4;
+        let most = rpc::MAX_LINE_BYTES as u64 * 4;
         let read = (&mut self.reader).take(most).read_line(&mut line);
         match read {
             Ok(0) => Err(Failure::Unknown(
@@ -123,7 +123,7 @@
     }
 }
 
-fn error_of(fault: &Fault) -> Error {
+fn error_of(fault: &RpcError) -> Error {
     let retry_after = fault
         .data
         .as_ref()
--- a/crates/drmaa/src/lib.rs
+++ b/crates/drmaa/src/lib.rs
@@ -8,8 +8,8 @@
 mod connection;
 mod session;
 
-pub use peppercove_protocol::drmaa::{ALL_JOBS, ANY_JOB, Action, Errno, State};
-pub use peppercove_protocol::rpc::{Finished, JobTemplate, Outcome, Settled};
+pub use peppercove_protocol::drmaa::{ALL_JOBS, ANY_JOB, ControlAction, Errno, ProgramState};
+pub use peppercove_protocol::rpc::{JobInfo, JobTemplate, PlacementOutcome, PlacementResult};
 pub use session::{Session, wanted_attributes, wanted_vectors};
 
 use std::time::Duration;
--- a/crates/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -1,8 +1,11 @@
 //! A session: where jobs are submitted, and how they are found again.
 
 use crate::connection::{ANSWER, Connection, Failure};
-use crate::{ALL_JOBS, ANY_JOB, Action, Errno, Error, Finished, JobTemplate, Settled, State};
-use peppercove_protocol::drmaa::{SCALARS, VECTORS};
+use crate::{
+    ALL_JOBS, ANY_JOB, ControlAction, Errno, Error, JobInfo, JobTemplate, PlacementResult,
+    ProgramState,
+};
+use peppercove_protocol::drmaa::{SCALAR_ATTRIBUTES, VECTOR_ATTRIBUTES};
 use peppercove_protocol::native;
 use peppercove_protocol::rpc::Category;
 use serde::de::DeserializeOwned;
@@ -19,12 +22,12 @@
 
 /// Names of the scalar attributes that a job template may have (`drmaa_get_attribute_names`).
 pub fn wanted_attributes() -> &'static [&'static str] {
-    SCALARS
+    SCALAR_ATTRIBUTES
 }
 
 /// Names of the vector attributes (`drmaa_get_vector_attribute_names`).
 pub fn wanted_vectors() -> &'static [&'static str] {
-    VECTORS
+    VECTOR_ATTRIBUTES
 }
 
 /// One controller of the contact.
@@ -154,7 +157,7 @@
         let connection = Connection::open(address, &self.name)?;
         let mut shared = self.lock();
         let info = &connection.info;
-        shared.endpoints[endpoint].known = Some((info.controller.clone(), info.life));
+        shared.endpoints[endpoint].known = Some((info.controller.clone(), info.incarnation));
         shared.categories.clone_from(&info.categories);
         shared.default_category.clone_from(&info.default_category);
         shared.drm_system.clone_from(&info.drm_system);
@@ -178,7 +181,7 @@
         within: Duration,
     ) -> Result<(Value, u64), Failure> {
         let mut connection = self.connect(endpoint)?;
-        let life = connection.info.life;
+        let life = connection.info.incarnation;
         match connection.call(method, params.clone(), within) {
             Ok(value) => {
                 self.give_back(endpoint, connection);
@@ -220,7 +223,7 @@
         shared
             .categories
             .get(named.as_deref().unwrap_or(category))
-            .is_some_and(|c| c.safe)
+            .is_some_and(|c| c.is_idempotent)
     }
 
     // ---- Submission ----
@@ -338,7 +341,7 @@
                 Ok(connection) => {
                     let same = was
                         .as_ref()
-                        .is_some_and(|(_, life)| *life == connection.info.life);
+                        .is_some_and(|(_, life)| *life == connection.info.incarnation);
                     self.give_back(endpoint, connection);
                     Some(same)
                 }
@@ -470,7 +473,7 @@
     ///
     /// # Errors
     /// What the controller says; the error of an inconsistent state is that of the action.
-    pub fn control(&self, id: &str, action: Action) -> Result<(), Error> {
+    pub fn control(&self, id: &str, action: ControlAction) -> Result<(), Error> {
         let extra = json!({ "action": action.name() });
         if id != ALL_JOBS {
             return self
@@ -502,10 +505,10 @@
     ///
     /// # Errors
     /// `InvalidJob` where it is not known.
-    pub fn job_ps(&self, id: &str) -> Result<State, Error> {
+    pub fn job_ps(&self, id: &str) -> Result<ProgramState, Error> {
         let value = self.call_for(id, "jobPs", &json!({}), ANSWER, None)?;
         let number: i32 = field(&value, "state")?;
-        State::from_number(number)
+        ProgramState::from_number(number)
             .ok_or_else(|| Error::new(Errno::InternalError, format!("no state {number}")))
     }
 
@@ -513,8 +516,8 @@
     ///
     /// # Errors
     /// `ExitTimeout` when the time is over.
-    pub fn outcome(&self, id: &str, timeout: Option<Duration>) -> Result<Settled, Error> {
-        let mut settled: Settled = self.waited(id, "outcome", timeout)?;
+    pub fn outcome(&self, id: &str, timeout: Option<Duration>) -> Result<PlacementResult, Error> {
+        let mut settled: PlacementResult = self.waited(id, "outcome", timeout)?;
         settled.job_id = id.into();
         Ok(settled)
     }
@@ -523,11 +526,11 @@
     ///
     /// # Errors
     /// `ExitTimeout` when the time is over, `InvalidJob` where there is none to wait for.
-    pub fn wait(&self, id: &str, timeout: Option<Duration>) -> Result<Finished, Error> {
+    pub fn wait(&self, id: &str, timeout: Option<Duration>) -> Result<JobInfo, Error> {
         if id == ANY_JOB {
             return self.wait_any(timeout);
         }
-        let mut finished: Finished = self.waited(id, "wait", timeout)?;
+        let mut finished: JobInfo = self.waited(id, "wait", timeout)?;
         finished.job_id = id.into();
         self.lock().jobs.remove(id);
         Ok(finished)
@@ -551,7 +554,7 @@
         }
     }
 
-    fn wait_any(&self, timeout: Option<Duration>) -> Result<Finished, Error> {
+    fn wait_any(&self, timeout: Option<Duration>) -> Result<JobInfo, Error> {
         let until = timeout.and_then(|t| Instant::now().checked_add(t));
         loop {
             let (mut endpoints, none) = {
@@ -623,7 +626,7 @@
         Ok(())
     }
 
-    fn reaped(&self, mut finished: Finished) -> Result<Finished, Error> {
+    fn reaped(&self, mut finished: JobInfo) -> Result<JobInfo, Error> {
         let mut shared = self.lock();
         let ours = shared
             .jobs
--- a/crates/drmaa/tests/failover.rs
+++ b/crates/drmaa/tests/failover.rs
@@ -2,7 +2,9 @@
 
 use peppercove_config::{Config, embedded_default};
 use peppercove_day::cluster::Cluster;
-use peppercove_drmaa::{ANY_JOB, Action, Errno, JobTemplate, Outcome, Session, State};
+use peppercove_drmaa::{
+    ANY_JOB, ControlAction, Errno, JobTemplate, PlacementOutcome, ProgramState, Session,
+};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -103,10 +105,10 @@
             .outcome(&job, Some(Duration::from_secs(20)))
             .unwrap()
             .outcome,
-        Outcome::Placed
+        PlacementOutcome::Placed
     );
     // Only one job of the session is there to be ended and waited for.
-    session.control(&job, Action::Terminate).unwrap();
+    session.control(&job, ControlAction::Terminate).unwrap();
     assert_eq!(
         session
             .wait(ANY_JOB, Some(Duration::from_secs(20)))
@@ -166,14 +168,14 @@
     first.outcome(&job, Some(Duration::from_secs(20))).unwrap();
     drop(first);
     let second = Session::resume(&contact, &name).unwrap();
-    assert_eq!(second.job_ps(&job).unwrap(), State::Running);
+    assert_eq!(second.job_ps(&job).unwrap(), ProgramState::Running);
     let stranger = Session::init(&contact).unwrap();
     assert_eq!(
         stranger.job_ps(&job).unwrap_err().errno,
         Errno::InvalidJob,
         "a job is its session's alone"
     );
-    second.control(&job, Action::Terminate).unwrap();
+    second.control(&job, ControlAction::Terminate).unwrap();
     assert_eq!(
         second
             .wait(&job, Some(Duration::from_secs(20)))
--- a/crates/exchange/src/greeting.rs
+++ b/crates/exchange/src/greeting.rs
@@ -4,7 +4,7 @@
 use peppercove::{EndReason, NodeId};
 use peppercove_config::Config;
 use peppercove_core::{Input, Standing};
-use peppercove_protocol::node::{FromNode, Party, ToNode};
+use peppercove_protocol::node::{FromNode, ProcessIdentity, ToNode};
 
 /// Why a node's greeting was not accepted.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -60,9 +60,9 @@
 
     /// The message that opens a link.
     pub fn hello(config: &Config, life: u64) -> ToNode {
-        let controller = Party {
+        let controller = ProcessIdentity {
             name: config.name.clone(),
-            life,
+            incarnation: life,
         };
         ToNode::Hello {
             version: peppercove_protocol::VERSION,
@@ -82,8 +82,8 @@
                 FromNode::Welcome {
                     version,
                     node,
-                    standing,
-                    whole,
+                    known_tasks: standing,
+                    is_complete: whole,
                 },
             ) => {
                 if version != peppercove_protocol::VERSION {
@@ -95,15 +95,15 @@
                 if standing as usize > self.most {
                     return Err(HandshakeError::TooMuch(standing));
                 }
-                (self.life, self.left, self.whole) = (Some(node.life), standing, whole);
+                (self.life, self.left, self.whole) = (Some(node.incarnation), standing, whole);
             }
             (None, _) => return Err(HandshakeError::NotGreeted),
             (
                 Some(_),
-                FromNode::Standing {
-                    life,
+                FromNode::KnownTask {
+                    incarnation: life,
                     attempt,
-                    work,
+                    task: work,
                     ended,
                 },
             ) => {
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -3,14 +3,14 @@
 use peppercove::{ListUpdateKind, NodeStatus};
 use peppercove_core::Input;
 use peppercove_core::nodes::ListedNode;
-use peppercove_protocol::list::{FromList, Line, NodeState, Scope};
+use peppercove_protocol::list::{FromList, ListEntry, NodeState, Scope};
 
 /// The input that a message of the list is; `None` where it holds no news.
 pub fn node_list_input(news: FromList) -> Option<Input> {
-    let FromList::News {
+    let FromList::Update {
         generation,
         scope,
-        lines,
+        entries: lines,
     } = news
     else {
         return None;
@@ -26,7 +26,7 @@
     })
 }
 
-fn line(line: Line) -> ListedNode {
+fn line(line: ListEntry) -> ListedNode {
     let finite = |x: Option<f64>| x.filter(|x| x.is_finite());
     ListedNode {
         address: line.address,
@@ -34,12 +34,12 @@
         state: match line.state {
             NodeState::Ready => NodeStatus::Ready,
             NodeState::Draining => NodeStatus::Draining,
-            NodeState::Gone => NodeStatus::Gone,
+            NodeState::Removed => NodeStatus::Gone,
         },
         kind: line.kind,
         rack: line.rack,
         zone: line.zone,
-        life: line.life,
+        life: line.incarnation,
         age: line.age,
         free_cores: finite(line.free_cores),
         free_memory: finite(line.free_memory),
--- a/crates/exchange/src/nodes.rs
+++ b/crates/exchange/src/nodes.rs
@@ -4,7 +4,7 @@
 use peppercove_config::Config;
 use peppercove_core::{Control, Input, Job, Limits, NodeNews, Output, Submission, TaskEnd};
 use peppercove_protocol::node::{
-    self, AttemptId, FromNode, Program, Reason, Report, TaskNote, ToNode, Work,
+    self, AttemptId, FromNode, NodeLoad, NodeReason, OfferedTask, Program, TaskMeasurement, ToNode,
 };
 use std::time::Duration;
 
@@ -13,29 +13,29 @@
     let micros = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(u64::MAX);
     Limits {
         life,
-        classes: config.module.classes.clone(),
-        confirms: config.module.placement_ack,
-        max_attempts: config.module.max_attempts,
-        most_open: config.limits.open_asks,
+        classes: config.scheduler.classes.clone(),
+        confirms: config.scheduler.placement_ack,
+        max_attempts: config.scheduler.max_attempts,
+        most_open: config.limits.open_requests,
         most_jobs: config.limits.jobs,
         most_session_jobs: config.limits.session_jobs,
-        answer_reserve: micros(config.limits.answer_reserve),
+        answer_reserve: micros(config.limits.deadline_margin),
         retry_after: micros(config.limits.retry_after),
-        settle: config.module.ambiguous_retry_delay,
-        fate_memory: micros(config.limits.fate_memory),
-        most_fates: config.limits.doubtful,
+        settle: config.scheduler.ambiguous_retry_delay,
+        fate_memory: micros(config.limits.outcome_retention),
+        most_fates: config.limits.ambiguous_tasks,
         lost_after: micros(config.limits.lost_after),
-        journal: config.journal.is_some(),
+        journal: config.journal_path.is_some(),
     }
 }
 
 /// A task as nodes know it.
-pub fn work_of(config: &Config, s: &Submission) -> Work {
-    let class = config.module.classes.get(usize::from(s.class));
+pub fn work_of(config: &Config, s: &Submission) -> OfferedTask {
+    let class = config.scheduler.classes.get(usize::from(s.class));
     let repeat = match class.map(|c| c.idempotency) {
-        Some(peppercove::Idempotency::Idempotent) => node::Repeat::Safe,
-        Some(peppercove::Idempotency::Keyed { .. }) => node::Repeat::Keyed,
-        _ => node::Repeat::Unsafe,
+        Some(peppercove::Idempotency::Idempotent) => node::Idempotency::Idempotent,
+        Some(peppercove::Idempotency::Keyed { .. }) => node::Idempotency::Keyed,
+        _ => node::Idempotency::NonIdempotent,
     };
     let program = Program {
         command: s.program.command.clone(),
@@ -44,7 +44,7 @@
         working_directory: s.program.working_directory.clone(),
         key: format!("{}\n{}", s.session, s.key),
     };
-    Work {
+    OfferedTask {
         task: s.task.0,
         service: s.service.0,
         class: s.class,
@@ -52,13 +52,13 @@
         cores: s.cores,
         memory: s.memory,
         priority: class.map_or(0, |c| c.priority),
-        repeat,
+        idempotency: repeat,
         program,
     }
 }
 
 /// A standing task as the core knows submissions.
-pub fn submission_of(work: Work) -> Submission {
+pub fn submission_of(work: OfferedTask) -> Submission {
     let (session, key) = work
         .program
         .key
@@ -118,7 +118,7 @@
                 ToNode::Offer {
                     attempt: id(request, attempt),
                     expires_in,
-                    work,
+                    task: work,
                 },
             )
         }
@@ -128,7 +128,7 @@
             attempt,
         } => (
             node,
-            ToNode::Withdraw {
+            ToNode::CancelAttempt {
                 attempt: id(request, attempt),
             },
         ),
@@ -160,9 +160,9 @@
         } => (
             node,
             ToNode::Adopt {
-                life,
+                incarnation: life,
                 attempt: id(was, attempt),
-                named: id(request, 0),
+                new_attempt: id(request, 0),
             },
         ),
         Output::DiscardOrphan {
@@ -173,7 +173,7 @@
         } => (
             node,
             ToNode::Discard {
-                life,
+                incarnation: life,
                 attempt: id(was, attempt),
             },
         ),
@@ -197,18 +197,21 @@
     let (attempt, news, load) = match message {
         FromNode::Accepted { attempt, load } => (attempt, NodeNews::Accepted, load),
         FromNode::Running { attempt, load } => (attempt, NodeNews::Running, load),
-        FromNode::Refused {
+        FromNode::Rejected {
             attempt,
             reason,
             load,
         } => (attempt, NodeNews::Refused(why(reason)), load),
         FromNode::Ended { attempt, end, load } => {
             // The node keeps an end until it is taken note of; it may have been told on a link that broke.
-            reply = Some(ToNode::Noted { attempt });
+            reply = Some(ToNode::AcknowledgeEnd { attempt });
             (attempt, ended(end), load)
         }
-        FromNode::Note { attempt, note } => (attempt, NodeNews::Note(noted(note)), None),
-        FromNode::Probed { load, .. } => {
+        FromNode::Measurement {
+            attempt,
+            measurement: note,
+        } => (attempt, NodeNews::Note(noted(note)), None),
+        FromNode::ProbeReply { load, .. } => {
             let input = Some(Input::Probed {
                 node,
                 answered: true,
@@ -217,7 +220,7 @@
             return DecodedMessage { input, reply };
         }
         // Out of turn: a node tells what it holds when it is greeted.
-        FromNode::Welcome { .. } | FromNode::Standing { .. } => return DecodedMessage::default(),
+        FromNode::Welcome { .. } | FromNode::KnownTask { .. } => return DecodedMessage::default(),
     };
     let (request, attempt) = (request_id_of(attempt), attempt.number);
     let input = Some(Input::News {
@@ -230,32 +233,32 @@
     DecodedMessage { input, reply }
 }
 
-fn loaded(report: Report) -> LoadReport {
+fn loaded(report: NodeLoad) -> LoadReport {
     let finite = |x: Option<f64>| x.filter(|x| x.is_finite());
     LoadReport {
         free_cores: finite(report.free_cores),
         free_memory: finite(report.free_memory),
-        cpu_utilization: finite(report.busy),
-        queue_depth: finite(report.waiting),
+        cpu_utilization: finite(report.cpu_utilization),
+        queue_depth: finite(report.queue_depth),
     }
 }
 
-fn why(reason: Reason) -> EndReason {
+fn why(reason: NodeReason) -> EndReason {
     match reason {
-        Reason::Unknown => EndReason::Unknown,
-        Reason::NoCores => EndReason::InsufficientCores,
-        Reason::NoMemory => EndReason::InsufficientMemory,
-        Reason::Busy => EndReason::QueueFull,
-        Reason::NotHere => EndReason::Ineligible,
-        Reason::Evicted => EndReason::Evicted,
-        Reason::PushedOut => EndReason::Preempted,
-        Reason::SentAway => EndReason::Drained,
+        NodeReason::Unknown => EndReason::Unknown,
+        NodeReason::InsufficientCores => EndReason::InsufficientCores,
+        NodeReason::InsufficientMemory => EndReason::InsufficientMemory,
+        NodeReason::QueueFull => EndReason::QueueFull,
+        NodeReason::Ineligible => EndReason::Ineligible,
+        NodeReason::Evicted => EndReason::Evicted,
+        NodeReason::Preempted => EndReason::Preempted,
+        NodeReason::Drained => EndReason::Drained,
     }
 }
 
-fn ended(end: node::End) -> NodeNews {
+fn ended(end: node::TaskExit) -> NodeNews {
     match end {
-        node::End::Exited { status, usage: u } => NodeNews::Ended(
+        node::TaskExit::Exited { status, usage: u } => NodeNews::Ended(
             TaskEnd::Exited {
                 status,
                 wall: u.wall,
@@ -264,7 +267,7 @@
             },
             EndReason::Unknown,
         ),
-        node::End::Signalled { signal, usage: u } => NodeNews::Ended(
+        node::TaskExit::Signalled { signal, usage: u } => NodeNews::Ended(
             TaskEnd::Signalled {
                 signal,
                 wall: u.wall,
@@ -273,23 +276,23 @@
             },
             EndReason::Unknown,
         ),
-        node::End::Error => NodeNews::Error,
-        node::End::GivenUp(reason) => NodeNews::Ended(TaskEnd::GivenUp, why(reason)),
+        node::TaskExit::Error => NodeNews::Error,
+        node::TaskExit::Evicted(reason) => NodeNews::Ended(TaskEnd::GivenUp, why(reason)),
     }
 }
 
-pub(crate) fn past(end: node::End) -> (Option<TaskEnd>, EndReason) {
+pub(crate) fn past(end: node::TaskExit) -> (Option<TaskEnd>, EndReason) {
     match ended(end) {
         NodeNews::Ended(end, why) => (Some(end), why),
         _ => (Some(TaskEnd::Lost), EndReason::Unknown),
     }
 }
 
-fn noted(note: TaskNote) -> TaskUpdate {
+fn noted(note: TaskMeasurement) -> TaskUpdate {
     match note {
-        TaskNote::CoresUsed(x) => TaskUpdate::CoresUsed(x),
-        TaskNote::MemoryUsed(x) => TaskUpdate::MemoryUsed(x),
-        TaskNote::Served(x) => TaskUpdate::ServedShare(x),
-        TaskNote::NodeMemory(x) => TaskUpdate::NodeMemoryShare(x),
+        TaskMeasurement::CoresUsed(x) => TaskUpdate::CoresUsed(x),
+        TaskMeasurement::MemoryUsed(x) => TaskUpdate::MemoryUsed(x),
+        TaskMeasurement::ServedShare(x) => TaskUpdate::ServedShare(x),
+        TaskMeasurement::NodeMemoryShare(x) => TaskUpdate::NodeMemoryShare(x),
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,10 +6,10 @@
 //! May use: the decision module's interface and the core's `Decide`. Must not know: sockets, clocks, files, frames.
 #![forbid(unsafe_code)]
 
-mod places;
-mod slots;
-mod view;
+mod node_subset;
+mod replica_slots;
+mod topology;
 
-pub use places::MIN_NODES_PER_ZONE_AND_KIND;
-pub use slots::{COLD_START_SLOTS, cold_start_share, slot_owner};
-pub use view::{NodeSubset, SubsetScheduler, TARGET_SUBSET_SIZE};
+pub use node_subset::{NodeSubset, SubsetScheduler, TARGET_SUBSET_SIZE};
+pub use replica_slots::{COLD_START_SLOTS, cold_start_share, slot_owner};
+pub use topology::MIN_NODES_PER_ZONE_AND_KIND;
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/node_subset.rs
@@ -1,7 +1,7 @@
 //! A bounded view: the machines of a large fleet that one scheduler works with.
 //!
 //! In the view are
-//! - the machines that have one of the first slots with this scheduler as owner ([`crate::slots`]): so many slots that each
+//! - the machines that have one of the first slots with this scheduler as owner ([`crate::replica_slots`]): so many slots that each
 //!   view has about [`SIZE`] machines, some of each kind in each zone, and that each machine is in several views;
 //! - the homes of the services whose tasks came lately: the module ranks homes over the whole fleet, and all schedulers
 //!   come to the same ones only if they see them;
@@ -11,8 +11,8 @@
 //! What is outside is not told to the module. What leaves is told as gone, so that nothing new is sent there; tasks that
 //! stand there go on to be counted at their place.
 
-use crate::places::{MIN_NODES_PER_ZONE_AND_KIND, Places, place};
-use crate::slots::{cold_start_share, slot_owner};
+use crate::replica_slots::{cold_start_share, slot_owner};
+use crate::topology::{MIN_NODES_PER_ZONE_AND_KIND, Places, place};
 use peppercove::{
     Action, AttemptOutcome, DedupScope, Event, Idempotency, ListUpdateKind, Micros, NodeEntry,
     NodeId, NodeStatus, RequestId, Scheduler, ServiceId, Settings, preferred_node_rank,
--- a/crates/fleet/src/places.rs
+++ b/crates/fleet/src/topology.rs
@@ -1,6 +1,6 @@
 //! The machines that the list names, counted by zone and kind, and how many slots put one into a view there.
 
-use crate::slots::COLD_START_SLOTS;
+use crate::replica_slots::COLD_START_SLOTS;
 use peppercove::{NodeEntry, NodeStatus};
 use std::collections::BTreeMap;
 
--- a/crates/kernel/examples/first.rs
+++ b/crates/kernel/examples/first.rs
@@ -1,6 +1,6 @@
 //! Plays random days one after the other until a rule breaks, and says which day it was: `first FROM MOST`.
 
-use peppercove_kernel::hunt::{broken, hunt};
+use peppercove_kernel::fuzz::{run_seed, violated_rules};
 
 fn main() {
     let number = |i: usize, or: u64| {
@@ -11,17 +11,17 @@
     };
     let (from, most) = (number(1, 1), number(2, 10_000));
     for seed in from..from + most {
-        let (_, report) = hunt(seed);
+        let (_, report) = run_seed(seed);
         if !report.is_clean() {
             let what = report
-                .verdict
-                .breaches
+                .audit
+                .violations
                 .first()
-                .map_or("left open", |b| b.what.as_str());
+                .map_or("left open", |b| b.description.as_str());
             println!(
                 "day {} of the hunt, rules {:?}: {what}",
                 seed - from + 1,
-                broken(&report)
+                violated_rules(&report)
             );
             return;
         }
--- a/crates/kernel/src/owners.rs
+++ b/crates/kernel/src/client_model.rs
@@ -1,7 +1,7 @@
 //! How the owners of a day's jobs behave: what they do with each answer, and what they count.
 
 use hdrhistogram::Histogram;
-use peppercove_protocol::rpc::Outcome;
+use peppercove_protocol::rpc::PlacementOutcome;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -39,16 +39,16 @@
 
 /// After the final answer. Owners wait a while before they ask again, and `settle` where a task may run.
 pub fn after_answer(
-    outcome: Outcome,
+    outcome: PlacementOutcome,
     safe: bool,
     settle: Duration,
     rng: &mut fastrand::Rng,
 ) -> Next {
     match outcome {
-        Outcome::Placed | Outcome::Withdrawn => Next::Done,
-        Outcome::Refused => Next::Again(scattered(rng, 300, 900)),
-        Outcome::Failed if safe => Next::Again(scattered(rng, 300, 900)),
-        Outcome::Failed => Next::Again(settle + scattered(rng, 0, 200)),
+        PlacementOutcome::Placed | PlacementOutcome::Withdrawn => Next::Done,
+        PlacementOutcome::Refused => Next::Again(scattered(rng, 300, 900)),
+        PlacementOutcome::Failed if safe => Next::Again(scattered(rng, 300, 900)),
+        PlacementOutcome::Failed => Next::Again(settle + scattered(rng, 0, 200)),
     }
 }
 
@@ -94,7 +94,7 @@
 
 impl Tally {
     /// An answer to a task came after this long, in microseconds.
-    pub fn answered(&mut self, task: u64, class: &str, outcome: Outcome, after: u64) {
+    pub fn answered(&mut self, task: u64, class: &str, outcome: PlacementOutcome, after: u64) {
         self.by_job
             .entry(task)
             .or_default()
@@ -103,7 +103,7 @@
             .answers
             .entry((class.into(), outcome_name(outcome)))
             .or_insert(0) += 1;
-        if outcome == Outcome::Placed {
+        if outcome == PlacementOutcome::Placed {
             let delays = self
                 .delays
                 .entry(class.into())
@@ -122,11 +122,11 @@
 }
 
 /// The answer that a client was told, as a word.
-pub fn outcome_name(outcome: Outcome) -> &'static str {
+pub fn outcome_name(outcome: PlacementOutcome) -> &'static str {
     match outcome {
-        Outcome::Placed => "placed",
-        Outcome::Refused => "refused",
-        Outcome::Failed => "failed",
-        Outcome::Withdrawn => "withdrawn",
+        PlacementOutcome::Placed => "placed",
+        PlacementOutcome::Refused => "refused",
+        PlacementOutcome::Failed => "failed",
+        PlacementOutcome::Withdrawn => "withdrawn",
     }
 }
--- a/crates/kernel/src/hunt.rs
+++ b/crates/kernel/src/fuzz.rs
@@ -1,14 +1,14 @@
 //! Random days: made from a seed, written as the XML that `peppercove day` plays too, and made smaller while they fail.
 
-use crate::report::Report;
-use crate::script::Script;
-use crate::world::play;
+use crate::report::ScenarioReport;
+use crate::scenario::Scenario;
+use crate::simulator::simulate;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::Path;
 
 /// Kinds of faults that a random day draws from.
-pub const KINDS: &[&str] = &[
+pub const FAULT_KINDS: &[&str] = &[
     "hang",
     "answers-lost",
     "never-confirms",
@@ -74,7 +74,7 @@
 
 /// A random day, as it can be written down and made smaller.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct RandomScenario {
     seed: u64,
     length_ms: u64,
     controllers: u64,
@@ -92,21 +92,24 @@
 
 /// All pairs of kinds, each with itself included: day after day begins with the next one, so that none is left out.
 fn pair(seed: u64) -> [&'static str; 2] {
-    let n = KINDS.len() as u64;
+    let n = FAULT_KINDS.len() as u64;
     let mut i = seed % (n * (n + 1) / 2);
     for first in 0..n {
         let seconds = n - first;
         if i < seconds {
-            return [KINDS[first as usize], KINDS[(first + i) as usize]];
+            return [
+                FAULT_KINDS[first as usize],
+                FAULT_KINDS[(first + i) as usize],
+            ];
         }
         i -= seconds;
     }
-    [KINDS[0]; 2]
+    [FAULT_KINDS[0]; 2]
 }
 
-impl Plan {
+impl RandomScenario {
     /// The day of a seed: 1 to 12 faults that overlap as they will.
-    pub fn random(seed: u64) -> Plan {
+    pub fn random(seed: u64) -> RandomScenario {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x6875_6e74);
         let length_ms = rng.u64(4_000..12_000);
         let controllers = *pick(&mut rng, &[1, 2, 2, 3, 4, 6]);
@@ -137,7 +140,7 @@
                 });
             }
         }
-        let mut plan = Plan {
+        let mut plan = RandomScenario {
             seed: rng.u64(1..1 << 40),
             length_ms,
             controllers,
@@ -159,7 +162,7 @@
             plan.faults.push(fault);
         }
         for _ in 0..more {
-            let kind = *pick(&mut rng, KINDS);
+            let kind = *pick(&mut rng, FAULT_KINDS);
             // Half of them close to the first two: what overlaps is what breaks.
             let at = if rng.bool() {
                 (together + rng.u64(0..1_500)).saturating_sub(500)
@@ -178,9 +181,9 @@
 
     /// The day of a seed with jobs at stated times and only faults whose effect does not hang on moments, so that two
     /// ways to play it must come to the same answers.
-    pub fn timeless(seed: u64) -> Plan {
+    pub fn timing_independent(seed: u64) -> RandomScenario {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x7469_6d65);
-        let mut plan = Plan::random(seed);
+        let mut plan = RandomScenario::random(seed);
         plan.faults.clear();
         plan.moves = 0.0;
         plan.length_ms = plan.length_ms.min(5_000);
@@ -247,7 +250,7 @@
     }
 
     /// The day as a file.
-    pub fn xml(&self) -> String {
+    pub fn to_xml(&self) -> String {
         let mut x = String::new();
         let p = self;
         let _ = writeln!(
@@ -302,10 +305,13 @@
     ///
     /// # Panics
     /// Never: a plan is made so that it can be read.
-    pub fn script(&self) -> Script {
-        match Script::parse(&self.xml(), Path::new(".")) {
+    pub fn to_scenario(&self) -> Scenario {
+        match Scenario::parse(&self.to_xml(), Path::new(".")) {
             Ok(script) => script,
-            Err(error) => unreachable!("a random day that cannot be read: {error}\n{}", self.xml()),
+            Err(error) => unreachable!(
+                "a random day that cannot be read: {error}\n{}",
+                self.to_xml()
+            ),
         }
     }
 
@@ -325,9 +331,9 @@
     }
 
     /// Smaller days, the greatest steps first.
-    fn smaller(&self) -> Vec<Plan> {
+    fn smaller(&self) -> Vec<RandomScenario> {
         let mut all = Vec::new();
-        let mut with = |change: &dyn Fn(&mut Plan)| {
+        let mut with = |change: &dyn Fn(&mut RandomScenario)| {
             let mut plan = self.clone();
             change(&mut plan);
             if plan != *self {
@@ -387,9 +393,9 @@
 }
 
 /// Rules that a report breaks; 0 stands for asks left open.
-pub fn broken(report: &Report) -> Vec<u8> {
-    let mut rules: Vec<u8> = report.verdict.breaches.iter().map(|b| b.rule).collect();
-    if report.unanswered > 0 {
+pub fn violated_rules(report: &ScenarioReport) -> Vec<u8> {
+    let mut rules: Vec<u8> = report.audit.violations.iter().map(|b| b.rule).collect();
+    if report.unanswered_requests > 0 {
         rules.push(0);
     }
     rules.sort_unstable();
@@ -398,9 +404,9 @@
 }
 
 /// Makes a failing day smaller while it still breaks one of the same rules, within so many plays.
-pub fn shrink(plan: &Plan, budget: usize) -> (Plan, Report) {
-    let mut best = (plan.clone(), play(&plan.script(), plan.seed));
-    let wanted = broken(&best.1);
+pub fn shrink(plan: &RandomScenario, budget: usize) -> (RandomScenario, ScenarioReport) {
+    let mut best = (plan.clone(), simulate(&plan.to_scenario(), plan.seed));
+    let wanted = violated_rules(&best.1);
     let mut left = budget;
     'smaller: loop {
         for candidate in best.0.smaller() {
@@ -412,8 +418,8 @@
                 left -= 1;
                 let mut candidate = candidate.clone();
                 candidate.seed = plan.seed + seed;
-                let report = play(&candidate.script(), candidate.seed);
-                if broken(&report).iter().any(|r| wanted.contains(r)) {
+                let report = simulate(&candidate.to_scenario(), candidate.seed);
+                if violated_rules(&report).iter().any(|r| wanted.contains(r)) {
                     best = (candidate, report);
                     continue 'smaller;
                 }
@@ -424,15 +430,15 @@
 }
 
 /// Plays the day of a seed.
-pub fn hunt(seed: u64) -> (Plan, Report) {
-    let plan = Plan::random(seed);
-    let report = play(&plan.script(), plan.seed);
+pub fn run_seed(seed: u64) -> (RandomScenario, ScenarioReport) {
+    let plan = RandomScenario::random(seed);
+    let report = simulate(&plan.to_scenario(), plan.seed);
     (plan, report)
 }
 
 /// What a hunt came to, added up day by day.
 #[derive(Clone, Debug, Default)]
-pub struct Sum {
+pub struct FuzzSummary {
     /// Days played.
     pub days: u64,
     /// Days with a rule broken or an ask left open.
@@ -455,11 +461,11 @@
     pub delays: BTreeMap<String, (u64, u64, u64)>,
 }
 
-impl Sum {
+impl FuzzSummary {
     /// Adds a day.
-    pub fn add(&mut self, plan: &Plan, report: &Report) {
+    pub fn add(&mut self, plan: &RandomScenario, report: &ScenarioReport) {
         self.days += 1;
-        let rules = broken(report);
+        let rules = violated_rules(report);
         self.broken += u64::from(!rules.is_empty());
         for rule in rules {
             *self.by_rule.entry(rule).or_insert(0) += 1;
@@ -473,7 +479,7 @@
         for (answer, n) in &report.answers {
             *self.answers.entry(answer.clone()).or_insert(0) += n;
         }
-        for (errno, n) in &report.turned_away {
+        for (errno, n) in &report.rejections {
             *self.turned_away.entry(errno).or_insert(0) += n;
         }
         for (class, d) in &report.delays {
@@ -481,11 +487,11 @@
             *sum = (sum.0 + d.p50, sum.1 + d.p99, sum.2 + 1);
         }
         self.jobs += report.jobs;
-        self.offers += report.verdict.offers;
+        self.offers += report.audit.dispatches;
     }
 
     /// Adds another sum.
-    pub fn merge(&mut self, other: Sum) {
+    pub fn merge(&mut self, other: FuzzSummary) {
         self.days += other.days;
         self.broken += other.broken;
         self.jobs += other.jobs;
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -5,18 +5,18 @@
 //! plays the same scripts on real sockets. What the daemon's I/O code would decide is in `peppercove-exchange` and used
 //! here as there.
 
-pub mod hunt;
-pub mod owners;
+pub mod client_model;
+pub mod fuzz;
 pub mod report;
-pub mod script;
-mod world;
+pub mod scenario;
+mod simulator;
 
-pub use report::{Delays, Report};
-pub use script::Script;
-pub use world::{play, play_bounded, play_seen, play_with};
+pub use report::{PlacementDelays, ScenarioReport};
+pub use scenario::Scenario;
+pub use simulator::{simulate, simulate_with_decider, simulate_with_events, simulate_with_subset};
 
 /// The days that the program carries with it, by name.
-pub fn shipped() -> &'static [(&'static str, &'static str)] {
+pub fn built_in_scenarios() -> &'static [(&'static str, &'static str)] {
     &[
         ("quiet", include_str!("../days/quiet.xml")),
         ("hang", include_str!("../days/hang.xml")),
--- a/crates/kernel/src/report.rs
+++ b/crates/kernel/src/report.rs
@@ -1,18 +1,18 @@
 //! What a day came to, on sockets or in the kernel.
 
-use crate::owners::Tally;
-use crate::script::Script;
+use crate::client_model::Tally;
+use crate::scenario::Scenario;
 use peppercove::{DedupScope, Idempotency, TopologySpread};
-use peppercove_audit::{ClassFigures, Event, Figures, Place, Started, Verdict, judge};
+use peppercove_audit::{AuditReport, ClassFigures, Event, Figures, Place, Started, judge};
 use peppercove_config::Config;
 use peppercove_core::Counters;
-use peppercove_standins::model::Shared;
+use peppercove_standins::node_model::FleetState;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// Placing delays of one class, in microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Delays {
+pub struct PlacementDelays {
     /// Jobs placed.
     pub count: u64,
     /// Median.
@@ -25,9 +25,10 @@
 
 /// What a day came to.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Report {
+pub struct ScenarioReport {
     /// Name of the day.
-    pub day: String,
+    #[serde(rename = "day")]
+    pub scenario: String,
     /// Its seed.
     pub seed: u64,
     /// Controllers.
@@ -37,48 +38,52 @@
     /// Jobs asked for.
     pub jobs: u64,
     /// Asks made again.
-    pub again: u64,
+    #[serde(rename = "again")]
+    pub retries: u64,
     /// Answers, by class and answer.
     pub answers: BTreeMap<String, u64>,
     /// Submissions turned away, by error.
-    pub turned_away: BTreeMap<&'static str, u64>,
+    #[serde(rename = "turned_away")]
+    pub rejections: BTreeMap<&'static str, u64>,
     /// Placing delays by class.
-    pub delays: BTreeMap<String, Delays>,
+    pub delays: BTreeMap<String, PlacementDelays>,
     /// What the audit found.
-    pub verdict: Verdict,
+    #[serde(rename = "verdict")]
+    pub audit: AuditReport,
     /// What the controllers counted, added up; the audit does not use it.
     pub counters: Counters,
     /// The longest that this machine stalled, in microseconds; the audit allows for it.
     pub stall: u64,
     /// Asks that their owners still had open at the end.
-    pub unanswered: usize,
+    #[serde(rename = "unanswered")]
+    pub unanswered_requests: usize,
     /// Answers to each job, in order, by the number of its task.
     #[serde(skip)]
-    pub by_job: BTreeMap<u64, Vec<&'static str>>,
+    pub answers_by_job: BTreeMap<u64, Vec<&'static str>>,
     /// Hard cases that did happen, and how often; only the kernel knows them.
     pub hazards: BTreeMap<&'static str, u64>,
 }
 
-impl Report {
+impl ScenarioReport {
     /// No rule is broken and nothing is left open.
     pub fn is_clean(&self) -> bool {
-        self.verdict.is_clean() && self.unanswered == 0
+        self.audit.is_clean() && self.unanswered_requests == 0
     }
 
     /// Judges a day.
     #[allow(clippy::too_many_arguments)]
     pub fn judged(
-        script: &Script,
+        script: &Scenario,
         seed: u64,
         events: &[Event],
-        shared: &Shared,
+        shared: &FleetState,
         tally: &Tally,
         counters: Counters,
         stall: u64,
         travel: u64,
         unanswered: usize,
         hazards: BTreeMap<&'static str, u64>,
-    ) -> Report {
+    ) -> ScenarioReport {
         let rack = |name: &str| {
             script
                 .nodes
@@ -103,17 +108,17 @@
         let mut verdict = judge(events, &starts, &figures(&script.config, stall, travel));
         for (at, node) in &ledger.fallen {
             let what = format!("{node} fell over");
-            verdict.breaches.push(peppercove_audit::Breach {
+            verdict.violations.push(peppercove_audit::Violation {
                 at: *at,
                 rule: 4,
-                what,
+                description: what,
             });
         }
         let delays = tally.delays.iter().map(|(class, h)| {
             let at = |q| h.value_at_quantile(q);
             (
                 class.clone(),
-                Delays {
+                PlacementDelays {
                     count: h.len(),
                     p50: at(0.5),
                     p99: at(0.99),
@@ -121,25 +126,25 @@
                 },
             )
         });
-        Report {
-            day: script.name.clone(),
+        ScenarioReport {
+            scenario: script.name.clone(),
             seed,
             controllers: script.controllers,
             nodes: script.nodes.len(),
             jobs: tally.jobs,
-            again: tally.again,
+            retries: tally.again,
             answers: tally
                 .answers
                 .iter()
                 .map(|((class, answer), n)| (format!("{class} {answer}"), *n))
                 .collect(),
-            turned_away: tally.turned_away.clone(),
+            rejections: tally.turned_away.clone(),
             delays: delays.collect(),
-            verdict,
+            audit: verdict,
             counters,
             stall,
-            unanswered,
-            by_job: tally.by_job.clone(),
+            unanswered_requests: unanswered,
+            answers_by_job: tally.by_job.clone(),
             hazards,
         }
     }
@@ -147,7 +152,7 @@
 
 /// The figures of the rules, by the settings.
 fn figures(config: &Config, stall: u64, travel: u64) -> Figures {
-    let m = &config.module;
+    let m = &config.scheduler;
     let place = |spread: TopologySpread| match spread {
         TopologySpread::Off => Place::Off,
         TopologySpread::Node => Place::Node,
--- a/crates/kernel/src/script.rs
+++ b/crates/kernel/src/scenario.rs
@@ -1,15 +1,15 @@
 //! A day as a file: the fleet, the load, and the faults over time.
 
 use peppercove::{DedupScope, Idempotency};
-use peppercove_config::schema::{Attribute, Document, Element, Kind, Often, Problem};
+use peppercove_config::schema::{Attribute, Document, Element, Occurrence, Problem, ValueKind};
 use peppercove_config::{Config, ConfigError, embedded_default};
-use peppercove_standins::model::{Evicts, Spec};
+use peppercove_standins::node_model::{EvictionPolicy, NodeSpec};
 use std::path::Path;
 use std::time::Duration;
 
 const fn attribute(
     name: &'static str,
-    kind: Kind,
+    kind: ValueKind,
     default: Option<&'static str>,
     about: &'static str,
 ) -> Attribute {
@@ -21,8 +21,8 @@
     }
 }
 
-const SHARE: Kind = Kind::Number(0.0, 1.0);
-const POSITIVE: Kind = Kind::Number(1e-9, f64::MAX);
+const SHARE: ValueKind = ValueKind::Number(0.0, 1.0);
+const POSITIVE: ValueKind = ValueKind::Number(1e-9, f64::MAX);
 
 /// Kinds of faults.
 const FAULTS: &[&str] = &[
@@ -55,28 +55,33 @@
 ];
 
 /// The table of a day.
-pub static DAY: Element = Element {
+pub static SCENARIO_ELEMENT: Element = Element {
     name: "day",
-    often: Often::Once,
+    often: Occurrence::Once,
     about: "A scripted day on loopback sockets.",
     attributes: &[
-        attribute("name", Kind::Name, None, "Its name."),
-        attribute("length", Kind::Span, None, "How long jobs are submitted."),
+        attribute("name", ValueKind::Name, None, "Its name."),
+        attribute(
+            "length",
+            ValueKind::Span,
+            None,
+            "How long jobs are submitted.",
+        ),
         attribute(
             "after",
-            Kind::Span,
+            ValueKind::Span,
             Some("10s"),
             "How long the day goes on at most until all is answered.",
         ),
         attribute(
             "seed",
-            Kind::Count(0, u64::MAX),
+            ValueKind::Count(0, u64::MAX),
             Some("1"),
             "Seed of all that is drawn.",
         ),
         attribute(
             "settings",
-            Kind::Text,
+            ValueKind::Text,
             Some(""),
             "Settings file of the controllers, beside the day; the embedded default where left out.",
         ),
@@ -84,36 +89,36 @@
     children: &[
         Element {
             name: "fleet",
-            often: Often::Once,
+            often: Occurrence::Once,
             about: "Controllers, nodes and the node list.",
             attributes: &[
                 attribute(
                     "controllers",
-                    Kind::Count(1, 1000),
+                    ValueKind::Count(1, 1000),
                     Some("2"),
                     "Controllers.",
                 ),
                 attribute(
                     "list-late",
-                    Kind::Span,
+                    ValueKind::Span,
                     Some("300ms"),
                     "How late the list tells changes.",
                 ),
                 attribute(
                     "list-refresh",
-                    Kind::Span,
+                    ValueKind::Span,
                     Some("500ms"),
                     "How often it looks at free room.",
                 ),
                 attribute(
                     "confirms",
-                    Kind::Choice(&["accepted", "running"]),
+                    ValueKind::Choice(&["accepted", "running"]),
                     Some(""),
                     "In place of what the settings say.",
                 ),
                 attribute(
                     "journal",
-                    Kind::Flag,
+                    ValueKind::Flag,
                     Some("true"),
                     "Controllers keep a journal of what they send.",
                 ),
@@ -125,62 +130,62 @@
                 ),
                 attribute(
                     "preempts",
-                    Kind::Flag,
+                    ValueKind::Flag,
                     Some(""),
                     "In place of what the settings say.",
                 ),
                 attribute(
                     "probes",
-                    Kind::Flag,
+                    ValueKind::Flag,
                     Some(""),
                     "In place of what the settings say.",
                 ),
             ],
             children: &[Element {
                 name: "nodes",
-                often: Often::Some,
+                often: Occurrence::Some,
                 about: "Nodes of one kind.",
                 attributes: &[
-                    attribute("count", Kind::Count(1, 10_000), None, "How many."),
+                    attribute("count", ValueKind::Count(1, 10_000), None, "How many."),
                     attribute(
                         "kind",
-                        Kind::Name,
+                        ValueKind::Name,
                         None,
                         "Their kind, by its name in the settings.",
                     ),
                     attribute(
                         "racks",
-                        Kind::Count(1, 10_000),
+                        ValueKind::Count(1, 10_000),
                         Some("2"),
                         "Over so many racks, in turn.",
                     ),
                     attribute(
                         "first-rack",
-                        Kind::Count(0, 60_000),
+                        ValueKind::Count(0, 60_000),
                         Some("0"),
                         "Number of the first.",
                     ),
                     attribute(
                         "admit",
-                        Kind::Span,
+                        ValueKind::Span,
                         Some("3ms"),
                         "Time to look at one offer.",
                     ),
                     attribute(
                         "line",
-                        Kind::Count(1, 10_000),
+                        ValueKind::Count(1, 10_000),
                         Some("16"),
                         "Offers that may wait.",
                     ),
                     attribute(
                         "starts",
-                        Kind::Count(1, 1000),
+                        ValueKind::Count(1, 1000),
                         Some("4"),
                         "Tasks started at a time.",
                     ),
                     attribute(
                         "start",
-                        Kind::Span,
+                        ValueKind::Span,
                         Some("30ms"),
                         "Time of a start where the program is kept.",
                     ),
@@ -190,23 +195,28 @@
                         Some("6"),
                         "Times longer where it is not.",
                     ),
-                    attribute("kept", Kind::Count(0, 1000), Some("8"), "Programs kept."),
+                    attribute(
+                        "kept",
+                        ValueKind::Count(0, 1000),
+                        Some("8"),
+                        "Programs kept.",
+                    ),
                     attribute(
                         "cold-from",
                         SHARE,
                         Some("0.16"),
                         "Share of the pace just after a start.",
                     ),
-                    attribute("cold-for", Kind::Span, Some("8s"), "Warm after this."),
+                    attribute("cold-for", ValueKind::Span, Some("8s"), "Warm after this."),
                     attribute(
                         "report-every",
-                        Kind::Span,
+                        ValueKind::Span,
                         Some("200ms"),
                         "How often load is measured.",
                     ),
                     attribute(
                         "report-late",
-                        Kind::Span,
+                        ValueKind::Span,
                         Some("100ms"),
                         "How late it is told.",
                     ),
@@ -218,13 +228,13 @@
                     ),
                     attribute(
                         "uses-most",
-                        Kind::Number(0.0, 10.0),
+                        ValueKind::Number(0.0, 10.0),
                         Some("0.9"),
                         "And at most.",
                     ),
                     attribute(
                         "drain",
-                        Kind::Choice(&["none", "paced", "at-once"]),
+                        ValueKind::Choice(&["none", "paced", "at-once"]),
                         Some("at-once"),
                         "What a draining node does with its tasks.",
                     ),
@@ -234,10 +244,10 @@
         },
         Element {
             name: "load",
-            often: Often::Any,
+            often: Occurrence::Any,
             about: "Jobs of one class, submitted at random times.",
             attributes: &[
-                attribute("class", Kind::Name, None, "Their class."),
+                attribute("class", ValueKind::Name, None, "Their class."),
                 attribute(
                     "rate",
                     POSITIVE,
@@ -246,13 +256,13 @@
                 ),
                 attribute(
                     "life",
-                    Kind::Span,
+                    ValueKind::Span,
                     Some("2s"),
                     "How long one runs, in the mean.",
                 ),
                 attribute(
                     "services",
-                    Kind::Count(1, 100_000),
+                    ValueKind::Count(1, 100_000),
                     Some("4"),
                     "Over so many services.",
                 ),
@@ -263,24 +273,24 @@
                     "Cores a job; that of its class where left out.",
                 ),
                 attribute("memory", POSITIVE, Some(""), "Memory a job."),
-                attribute("tenant", Kind::Name, Some(""), "Their tenant."),
+                attribute("tenant", ValueKind::Name, Some(""), "Their tenant."),
             ],
             children: &[],
         },
         Element {
             name: "job",
-            often: Often::Any,
+            often: Occurrence::Any,
             about: "One job at a stated time, as a recording has it.",
             attributes: &[
-                attribute("at", Kind::Span, None, "When."),
-                attribute("class", Kind::Name, None, "Its class."),
-                attribute("service", Kind::Name, None, "Its service."),
-                attribute("life", Kind::Span, Some("2s"), "How long it runs."),
+                attribute("at", ValueKind::Span, None, "When."),
+                attribute("class", ValueKind::Name, None, "Its class."),
+                attribute("service", ValueKind::Name, None, "Its service."),
+                attribute("life", ValueKind::Span, Some("2s"), "How long it runs."),
                 attribute("cores", POSITIVE, Some(""), "Cores."),
                 attribute("memory", POSITIVE, Some(""), "Memory."),
                 attribute(
                     "controller",
-                    Kind::Count(0, 1000),
+                    ValueKind::Count(0, 1000),
                     Some("0"),
                     "Which controller it goes to.",
                 ),
@@ -289,12 +299,12 @@
         },
         Element {
             name: "fault",
-            often: Often::Any,
+            often: Occurrence::Any,
             about: "Something that goes wrong.",
             attributes: &[
-                attribute("kind", Kind::Choice(FAULTS), None, "What."),
-                attribute("at", Kind::Span, None, "When it begins."),
-                attribute("for", Kind::Span, Some("2s"), "How long it lasts."),
+                attribute("kind", ValueKind::Choice(FAULTS), None, "What."),
+                attribute("at", ValueKind::Span, None, "When it begins."),
+                attribute("for", ValueKind::Span, Some("2s"), "How long it lasts."),
                 attribute(
                     "share",
                     SHARE,
@@ -303,26 +313,26 @@
                 ),
                 attribute(
                     "node",
-                    Kind::Name,
+                    ValueKind::Name,
                     Some(""),
                     "Or this node: n0, n1 and so on.",
                 ),
                 attribute(
                     "rack",
-                    Kind::Count(0, 60_000),
+                    ValueKind::Count(0, 60_000),
                     Some(""),
                     "Or the nodes of this rack.",
                 ),
                 attribute(
                     "controller",
-                    Kind::Count(0, 1000),
+                    ValueKind::Count(0, 1000),
                     Some(""),
                     "Or this controller.",
                 ),
-                attribute("class", Kind::Name, Some(""), "The class that fails."),
+                attribute("class", ValueKind::Name, Some(""), "The class that fails."),
                 attribute(
                     "size",
-                    Kind::Number(0.0, 1e6),
+                    ValueKind::Number(0.0, 1e6),
                     Some("1"),
                     "How bad: a share, a multiple, or seconds, as the kind says.",
                 ),
@@ -353,7 +363,7 @@
 
 /// One job at a stated time.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct JobArrival {
     /// When, from the beginning of the day.
     pub at: Duration,
     /// Name of the class.
@@ -374,7 +384,7 @@
 
 /// Which nodes or controllers a fault hits.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Hits {
+pub enum FaultTarget {
     /// A share of all, at least one.
     Share(f64),
     /// The node of that name.
@@ -395,7 +405,7 @@
     /// How long it lasts.
     pub lasts: Duration,
     /// Whom it hits.
-    pub hits: Hits,
+    pub hits: FaultTarget,
     /// Index of the class that fails.
     pub class: u16,
     /// How bad.
@@ -404,7 +414,7 @@
 
 /// A day, read and checked.
 #[derive(Clone, Debug)]
-pub struct Script {
+pub struct Scenario {
     /// Its name.
     pub name: String,
     /// How long jobs are submitted.
@@ -428,18 +438,18 @@
     /// How often it looks at free room.
     pub list_refresh: Duration,
     /// The nodes.
-    pub nodes: Vec<Spec>,
+    pub nodes: Vec<NodeSpec>,
     /// The load.
     pub loads: Vec<Load>,
     /// Jobs at stated times.
-    pub jobs: Vec<Arrival>,
+    pub jobs: Vec<JobArrival>,
     /// The faults.
     pub faults: Vec<Fault>,
 }
 
 /// Why a day could not be read.
 #[derive(Debug, thiserror::Error)]
-pub enum ScriptError {
+pub enum ScenarioError {
     /// The day itself is wrong.
     #[error("{0}")]
     Day(#[from] ConfigError),
@@ -461,35 +471,37 @@
     },
 }
 
-impl Script {
+impl Scenario {
     /// Reads a day; `folder` is where its settings file is looked for.
     ///
     /// # Errors
-    /// [`ScriptError`] names the file, line, column and element.
-    pub fn parse(text: &str, folder: &Path) -> Result<Script, ScriptError> {
-        let day = Document::parse(text, &DAY)?;
+    /// [`ScenarioError`] names the file, line, column and element.
+    pub fn parse(text: &str, folder: &Path) -> Result<Scenario, ScenarioError> {
+        let day = Document::parse(text, &SCENARIO_ELEMENT)?;
         let (settings, config) = match day.text("settings") {
             None => {
-                let config =
-                    Config::parse(embedded_default()).map_err(|source| ScriptError::Settings {
+                let config = Config::parse(embedded_default()).map_err(|source| {
+                    ScenarioError::Settings {
                         path: "embedded default".into(),
                         source,
-                    })?;
+                    }
+                })?;
                 (embedded_default().to_owned(), config)
             }
             Some(file) => {
                 let path = folder.join(file);
-                let text = std::fs::read_to_string(&path).map_err(|source| ScriptError::Read {
-                    path: path.clone(),
-                    source,
-                })?;
+                let text =
+                    std::fs::read_to_string(&path).map_err(|source| ScenarioError::Read {
+                        path: path.clone(),
+                        source,
+                    })?;
                 let config = Config::parse(&text)
-                    .map_err(|source| ScriptError::Settings { path, source })?;
+                    .map_err(|source| ScenarioError::Settings { path, source })?;
                 (text, config)
             }
         };
         let mut problems = Vec::new();
-        let script = Script {
+        let script = Scenario {
             settings,
             ..read(&day, config, &mut problems)
         };
@@ -501,9 +513,9 @@
     }
 }
 
-fn read(day: &Document, mut config: Config, problems: &mut Vec<Problem>) -> Script {
+fn read(day: &Document, mut config: Config, problems: &mut Vec<Problem>) -> Scenario {
     let fleet = day.child("fleet");
-    let module = &mut config.module;
+    let module = &mut config.scheduler;
     match fleet.text("confirms") {
         Some("accepted") => module.placement_ack = peppercove::PlacementAck::Accepted,
         Some(_) => module.placement_ack = peppercove::PlacementAck::Running,
@@ -527,7 +539,10 @@
     let number = |d: &Document, name: &str| d.text(name).and_then(|t| t.parse::<f64>().ok());
     let mut nodes = Vec::new();
     for group in fleet.children("nodes") {
-        let kind = config.kinds.iter().position(|k| k == group.word("kind"));
+        let kind = config
+            .node_kinds
+            .iter()
+            .position(|k| k == group.word("kind"));
         let Some(kind) = kind else {
             problems.push(group.problem(format!(
                 "kind=\"{}\" is no kind of the settings",
@@ -555,7 +570,7 @@
     let jobs = day
         .children("job")
         .iter()
-        .map(|j| Arrival {
+        .map(|j| JobArrival {
             at: j.span("at"),
             class: class(j, problems).0,
             service: j.word("service").into(),
@@ -575,11 +590,13 @@
                     if !nodes.iter().any(|n| n.name == node) {
                         problems.push(f.problem(format!("there is no node '{node}'")));
                     }
-                    Hits::Node(node.into())
+                    FaultTarget::Node(node.into())
+                }
+                (_, Some(_), _) => FaultTarget::Rack(f.count("rack") as u16),
+                (_, _, Some(_)) => {
+                    FaultTarget::Controller(f.count("controller") as usize % controllers)
                 }
-                (_, Some(_), _) => Hits::Rack(f.count("rack") as u16),
-                (_, _, Some(_)) => Hits::Controller(f.count("controller") as usize % controllers),
-                _ => Hits::Share(f.number("share")),
+                _ => FaultTarget::Share(f.number("share")),
             };
             let (kind, class) = (f.word("kind").to_owned(), class(f, problems).1);
             if kind.starts_with("class-") && f.text("class").is_none() {
@@ -595,7 +612,7 @@
             }
         })
         .collect();
-    Script {
+    Scenario {
         name: day.word("name").into(),
         length: day.span("length"),
         after: day.span("after"),
@@ -614,9 +631,9 @@
     }
 }
 
-fn node(group: &Document, config: &Config, kind: usize, number: usize, i: u64) -> Spec {
-    let module = &config.module;
-    Spec {
+fn node(group: &Document, config: &Config, kind: usize, number: usize, i: u64) -> NodeSpec {
+    let module = &config.scheduler;
+    NodeSpec {
         name: format!("n{number}"),
         kind: kind as u8,
         rack: (group.count("first-rack") + i % group.count("racks")) as u16,
@@ -642,9 +659,9 @@
         counts_used: module.load_basis == peppercove::LoadBasis::Used,
         uses: (group.number("uses-least"), group.number("uses-most")),
         drain: match group.word("drain") {
-            "none" => Evicts::None,
-            "paced" => Evicts::Paced(200_000),
-            _ => Evicts::AtOnce,
+            "none" => EvictionPolicy::None,
+            "paced" => EvictionPolicy::Paced(200_000),
+            _ => EvictionPolicy::AtOnce,
         },
         life: 2_000_000,
         key_group: match group_of(module) {
--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/simulator.rs
@@ -5,23 +5,23 @@
 mod listing;
 mod wire;
 
-use crate::owners::Tally;
-use crate::report::Report;
-use crate::script::{Arrival, Script};
+use crate::client_model::Tally;
+use crate::report::ScenarioReport;
+use crate::scenario::{JobArrival, Scenario};
 use clients::{Ask, Desk, Reply};
 use listing::Subscription;
 use peppercove::{Micros, NodeId, Scheduler, Settings};
-use peppercove_audit::{Event, Seen};
+use peppercove_audit::{Event, Observation};
 use peppercove_config::Config;
-use peppercove_core::evidence::JournalEntry;
+use peppercove_core::attempt_log::JournalEntry;
 use peppercove_core::nodes::node_id_of;
 use peppercove_core::{Core, Counters, Decide, Input, Output};
 use peppercove_exchange::{Backoff, core_limits};
 use peppercove_fleet::NodeSubset;
 use peppercove_protocol::list::FromList;
-use peppercove_protocol::node::{FromNode, Party, ToNode};
-use peppercove_standins::model::{Model, Shared};
-use peppercove_standins::roster::{Facts, Roster};
+use peppercove_protocol::node::{FromNode, ProcessIdentity, ToNode};
+use peppercove_standins::node_model::{FleetState, NodeModel};
+use peppercove_standins::node_registry::{Facts, NodeRegistry};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -106,7 +106,7 @@
 
 /// A node: its model, and which link of each controller it speaks to.
 struct Station {
-    model: Model,
+    model: NodeModel,
     address: SocketAddrV4,
     links: BTreeMap<String, usize>,
     dead: bool,
@@ -119,7 +119,7 @@
 pub type MakeDecider<'a> = &'a dyn Fn(&Settings, u64) -> Box<dyn Decide>;
 
 pub(crate) struct World<'a> {
-    script: &'a Script,
+    script: &'a Scenario,
     decider: MakeDecider<'a>,
     seed: u64,
     now: Micros,
@@ -130,36 +130,36 @@
     stations: Vec<Station>,
     by_id: BTreeMap<NodeId, usize>,
     wires: Vec<Wire>,
-    roster: Roster,
+    roster: NodeRegistry,
     list_down: u32,
     desks: Vec<Desk>,
     tally: Tally,
     rate: f64,
     book: Vec<Event>,
-    shared: Shared,
+    shared: FleetState,
     hazards: BTreeMap<&'static str, u64>,
     hit: BTreeMap<usize, Vec<usize>>,
     end: Micros,
 }
 
 /// Plays a day in simulated time. The same day and seed give the same report.
-pub fn play(script: &Script, seed: u64) -> Report {
-    play_seen(script, seed).0
+pub fn simulate(script: &Scenario, seed: u64) -> ScenarioReport {
+    simulate_with_events(script, seed).0
 }
 
 /// Plays a day and gives what crossed the network as well, for people who look into a breach.
-pub fn play_seen(script: &Script, seed: u64) -> (Report, Vec<Event>) {
+pub fn simulate_with_events(script: &Scenario, seed: u64) -> (ScenarioReport, Vec<Event>) {
     let module = |settings: &Settings, seed| -> Box<dyn Decide> {
         Box::new(NodeSubset::new(
             Scheduler::new(settings.clone(), seed),
             settings,
         ))
     };
-    play_with(script, seed, &module)
+    simulate_with_decider(script, seed, &module)
 }
 
 /// Plays a day whose controllers have views of so many machines beside one of each zone and kind, as a large fleet's have.
-pub fn play_bounded(script: &Script, seed: u64, size: u64) -> Report {
+pub fn simulate_with_subset(script: &Scenario, seed: u64, size: u64) -> ScenarioReport {
     let module = |settings: &Settings, seed| -> Box<dyn Decide> {
         Box::new(NodeSubset::with_target_sizes(
             Scheduler::new(settings.clone(), seed),
@@ -168,11 +168,15 @@
             1,
         ))
     };
-    play_with(script, seed, &module).0
+    simulate_with_decider(script, seed, &module).0
 }
 
 /// Plays a day with other deciders than the program's own.
-pub fn play_with(script: &Script, seed: u64, decider: MakeDecider<'_>) -> (Report, Vec<Event>) {
+pub fn simulate_with_decider(
+    script: &Scenario,
+    seed: u64,
+    decider: MakeDecider<'_>,
+) -> (ScenarioReport, Vec<Event>) {
     let mut world = World::new(script, seed, decider);
     world.run();
     let report = world.report();
@@ -183,17 +187,17 @@
 const MOST_EVENTS: u64 = 200_000_000;
 
 impl<'a> World<'a> {
-    fn new(script: &'a Script, seed: u64, decider: MakeDecider<'a>) -> World<'a> {
+    fn new(script: &'a Scenario, seed: u64, decider: MakeDecider<'a>) -> World<'a> {
         let micros = |d: Duration| d.as_micros() as Micros;
-        let shared = Shared::default();
-        let mut roster = Roster::new(
+        let shared = FleetState::default();
+        let mut roster = NodeRegistry::new(
             micros(script.list_late),
             micros(script.list_refresh).max(1_000),
         );
         let mut stations = Vec::new();
         let mut by_id = BTreeMap::new();
         for (i, spec) in script.nodes.iter().enumerate() {
-            let model = Model::new(spec.clone(), shared.clone(), 1, seed ^ (i as u64) << 8);
+            let model = NodeModel::new(spec.clone(), shared.clone(), 1, seed ^ (i as u64) << 8);
             let port = i as u16;
             let address = SocketAddrV4::new(
                 [127, 0, 1 + (i >> 16) as u8, 1].into(),
@@ -300,7 +304,8 @@
 
     fn faults_over(&self, at: Micros) -> bool {
         let begin = 1_000_000;
-        let over = |f: &crate::script::Fault| begin + (f.at + f.lasts).as_micros() as Micros <= at;
+        let over =
+            |f: &crate::scenario::Fault| begin + (f.at + f.lasts).as_micros() as Micros <= at;
         self.script.faults.iter().all(over)
     }
 
@@ -343,7 +348,7 @@
             }
             Happens::Arrives { load, number } => self.arrives(load, number),
             Happens::Stated { index } => {
-                let job: Arrival = self.script.jobs[index].clone();
+                let job: JobArrival = self.script.jobs[index].clone();
                 let desk = job.controller % self.desks.len();
                 self.submit(desk, job, 1 << 56 | index as u64);
             }
@@ -359,7 +364,7 @@
         *self.hazards.entry(name).or_insert(0) += 1;
     }
 
-    fn see(&mut self, seen: Seen) {
+    fn see(&mut self, seen: Observation) {
         self.book.push(Event { at: self.now, seen });
     }
 
@@ -379,10 +384,10 @@
         self.seats[seat].process.as_mut().filter(|p| p.life == life)
     }
 
-    fn party(&self, seat: usize, life: u64) -> Party {
-        Party {
+    fn party(&self, seat: usize, life: u64) -> ProcessIdentity {
+        ProcessIdentity {
             name: self.seats[seat].config.name.clone(),
-            life,
+            incarnation: life,
         }
     }
 
@@ -398,14 +403,14 @@
         let config = &s.config;
         let seed = config.seed.unwrap_or(0).wrapping_add(s.starts << 32);
         let mut core = Core::new(
-            (self.decider)(&config.module, seed),
+            (self.decider)(&config.scheduler, seed),
             core_limits(config, life),
         );
         core.recover(wall(now), &s.journal);
-        if config.journal.is_some() {
+        if config.journal_path.is_some() {
             s.journal = core.snapshot();
         }
-        let list_retry = Backoff::new(config.listen.retry_least, config.listen.retry_most);
+        let list_retry = Backoff::new(config.network.retry_least, config.network.retry_most);
         let (links, list) = (BTreeMap::new(), Subscription::default());
         s.process = Some(Process {
             core,
@@ -415,11 +420,11 @@
             list,
             list_retry,
         });
-        if !s.config.module.is_list_polled {
+        if !s.config.scheduler.is_list_polled {
             self.at(now, Happens::CallList { seat, life });
         }
         let controller = self.seats[seat].config.name.clone();
-        self.see(Seen::Started { controller });
+        self.see(Observation::Started { controller });
         self.input(seat, Input::Tick);
         let wait = self.rng.u64(1_000..50_000);
         self.after(wait, Happens::Reach { desk: seat });
@@ -446,7 +451,7 @@
         }
         self.seats[seat].counted.push(process.core.counters());
         let name = self.seats[seat].config.name.clone();
-        self.see(Seen::Killed { controller: name });
+        self.see(Observation::Killed { controller: name });
         for link in process.links.values() {
             if let Some(wire) = link.wire() {
                 self.end_dies(wire, false);
@@ -538,7 +543,7 @@
 
     // ---- The end ----
 
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> ScenarioReport {
         let mut counters = Counters::default();
         for seat in &self.seats {
             let now = seat.process.as_ref().map(|p| p.core.counters());
@@ -551,7 +556,7 @@
         // The network may hold an answer up for as long as its slowest message. What nodes say is written down as it
         // reaches the controller, so that it takes no time from there.
         let stall = 45_000;
-        Report::judged(
+        ScenarioReport::judged(
             self.script,
             self.seed,
             &self.book,
@@ -573,15 +578,15 @@
     WALL + now
 }
 
-fn seat_config(script: &Script, seed: u64, i: usize) -> Config {
+fn seat_config(script: &Scenario, seed: u64, i: usize) -> Config {
     let mut config = script.config.clone();
     config.name = format!("controller-{i}");
     config.seed = Some(seed.wrapping_mul(1000) + i as u64);
-    config.journal = script.journal.then(|| "journal".into());
-    config.module = Settings {
+    config.journal_path = script.journal.then(|| "journal".into());
+    config.scheduler = Settings {
         schedulers: script.controllers as u32,
         own_index: i as u32,
-        ..script.config.module.clone()
+        ..script.config.scheduler.clone()
     };
     config
 }
--- a/crates/kernel/src/world/clients.rs
+++ b/crates/kernel/src/simulator/clients.rs
@@ -1,14 +1,14 @@
 //! Owners, and what passes between them and their controllers.
 
 use super::{Happens, World};
-use crate::owners::{Next, after_answer, after_door, after_loss, may_try};
-use crate::script::Arrival;
+use crate::client_model::{Next, after_answer, after_door, after_loss, may_try};
+use crate::scenario::JobArrival;
 use peppercove::{Idempotency, Micros, ServiceId, TaskKey};
-use peppercove_audit::Seen;
+use peppercove_audit::Observation;
 use peppercove_core::{Answer, Input, JobId, Program, Rejection, Submission};
 use peppercove_protocol::drmaa::Errno;
 use peppercove_protocol::node;
-use peppercove_protocol::rpc::Outcome;
+use peppercove_protocol::rpc::PlacementOutcome;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// A job that somebody waits for.
 #[derive(Clone, Debug)]
 pub(super) struct Ask {
-    arrival: Rc<Arrival>,
+    arrival: Rc<JobArrival>,
     task: u64,
     tries: u32,
     since: Micros,
@@ -41,7 +41,7 @@
     Settled {
         key: String,
         job: String,
-        outcome: Outcome,
+        outcome: PlacementOutcome,
     },
 }
 
@@ -54,7 +54,7 @@
     queue: Vec<Ask>,
     sent: BTreeMap<String, Ask>,
     taken: BTreeMap<String, Ask>,
-    early: BTreeMap<String, Outcome>,
+    early: BTreeMap<String, PlacementOutcome>,
     calls: u64,
     /// When the last message each way arrives: at the controller, at the owner.
     last: [Micros; 2],
@@ -97,7 +97,7 @@
     pub(super) fn arrives(&mut self, load: usize, number: u64) {
         let l = &self.script.loads[load];
         let desk = self.rng.usize(0..self.desks.len());
-        let arrival = Arrival {
+        let arrival = JobArrival {
             at: Duration::from_micros(self.now),
             class: l.class.clone(),
             service: format!("{}-{}", l.class, self.rng.u64(0..l.services)),
@@ -111,7 +111,7 @@
         self.next_arrival(load, number, self.now);
     }
 
-    pub(super) fn submit(&mut self, desk: usize, arrival: Arrival, task: u64) {
+    pub(super) fn submit(&mut self, desk: usize, arrival: JobArrival, task: u64) {
         self.tally.jobs += 1;
         self.desks[desk].open += 1;
         let ask = Ask {
@@ -159,7 +159,7 @@
             .iter()
             .position(|c| *c == a.class)
             .unwrap_or(0);
-        let asks = config.class_asks[class];
+        let asks = config.class_defaults[class];
         let tenant = a
             .tenant
             .as_ref()
@@ -176,7 +176,7 @@
             tenant: tenant as u32,
             cores: a.cores.unwrap_or(asks.0),
             memory: a.memory.unwrap_or(asks.1),
-            deadline_in: config.module.classes[class].deadline,
+            deadline_in: config.scheduler.classes[class].deadline,
             expected_duration: None,
             is_retry: ask.tries > 0,
             requested_elsewhere: ask.asked.is_some_and(|asked| asked != seat),
@@ -267,10 +267,10 @@
             return;
         };
         let outcome = match answer {
-            Answer::Placed(_) => Outcome::Placed,
-            Answer::Rejected(_) => Outcome::Refused,
-            Answer::Failed => Outcome::Failed,
-            Answer::Cancelled => Outcome::Withdrawn,
+            Answer::Placed(_) => PlacementOutcome::Placed,
+            Answer::Rejected(_) => PlacementOutcome::Refused,
+            Answer::Failed => PlacementOutcome::Failed,
+            Answer::Cancelled => PlacementOutcome::Withdrawn,
         };
         if j.submission.session == self.desks[seat].session {
             let key = j.submission.key.clone();
@@ -299,9 +299,9 @@
                     .iter()
                     .position(|c| *c == ask.arrival.class)
                     .unwrap_or(0);
-                let class = &config.module.classes[class];
+                let class = &config.scheduler.classes[class];
                 let (deadline, repeat) = (class.deadline, repeat_of(class.idempotency));
-                self.see(Seen::Taken {
+                self.see(Observation::Taken {
                     controller,
                     session,
                     key: key.clone(),
@@ -321,7 +321,7 @@
                 errno,
                 retry_after,
             } => {
-                self.see(Seen::TurnedAway { errno });
+                self.see(Observation::TurnedAway { errno });
                 *self.tally.turned_away.entry(errno.name()).or_insert(0) += 1;
                 let Some(ask) = self.desks[desk].sent.remove(&key) else {
                     return;
@@ -330,7 +330,7 @@
                 self.go_on(desk, ask, next);
             }
             Reply::Settled { key, job, outcome } => {
-                self.see(Seen::Settled {
+                self.see(Observation::Settled {
                     session,
                     key: key.clone(),
                     job,
@@ -346,10 +346,10 @@
         }
     }
 
-    fn answered(&mut self, desk: usize, ask: Ask, outcome: Outcome) {
+    fn answered(&mut self, desk: usize, ask: Ask, outcome: PlacementOutcome) {
         self.tally
             .answered(ask.task, &ask.arrival.class, outcome, self.now - ask.since);
-        let settle = Duration::from_micros(self.script.config.module.ambiguous_retry_delay);
+        let settle = Duration::from_micros(self.script.config.scheduler.ambiguous_retry_delay);
         let safe = self.is_safe(&ask);
         let next = after_answer(outcome, safe, settle, &mut self.desks[desk].rng);
         self.go_on(desk, ask, next);
@@ -362,7 +362,7 @@
             .iter()
             .position(|c| *c == ask.arrival.class)
             .unwrap_or(0);
-        config.module.classes[class].idempotency == Idempotency::Idempotent
+        config.scheduler.classes[class].idempotency == Idempotency::Idempotent
     }
 
     fn go_on(&mut self, desk: usize, ask: Ask, next: Next) {
@@ -414,7 +414,7 @@
         d.early.clear();
         d.connected = life;
         let queued = std::mem::take(&mut d.queue);
-        let settle = Duration::from_micros(self.script.config.module.ambiguous_retry_delay);
+        let settle = Duration::from_micros(self.script.config.scheduler.ambiguous_retry_delay);
         for ask in lost {
             let (safe, others) = (self.is_safe(&ask), self.desks.len() > 1);
             let next = after_loss(
@@ -436,10 +436,10 @@
     xxh3_64(key.as_bytes())
 }
 
-fn repeat_of(repeat: Idempotency) -> node::Repeat {
+fn repeat_of(repeat: Idempotency) -> node::Idempotency {
     match repeat {
-        Idempotency::Idempotent => node::Repeat::Safe,
-        Idempotency::Keyed { .. } => node::Repeat::Keyed,
-        Idempotency::NonIdempotent => node::Repeat::Unsafe,
+        Idempotency::Idempotent => node::Idempotency::Idempotent,
+        Idempotency::Keyed { .. } => node::Idempotency::Keyed,
+        Idempotency::NonIdempotent => node::Idempotency::NonIdempotent,
     }
 }
--- a/crates/kernel/src/world/faults.rs
+++ b/crates/kernel/src/simulator/faults.rs
@@ -1,11 +1,11 @@
 //! What goes wrong, and when it is over.
 
 use super::{Happens, World};
-use crate::script::{Fault, Hits};
+use crate::scenario::{Fault, FaultTarget};
 use peppercove::Micros;
 use peppercove_protocol::list::NodeState;
-use peppercove_standins::model::{ClassFault, Faults};
-use peppercove_standins::roster::Facts;
+use peppercove_standins::node_model::{ClassFault, Faults};
+use peppercove_standins::node_registry::Facts;
 
 impl World<'_> {
     pub(super) fn fault(&mut self, index: usize, begins: bool) {
@@ -36,10 +36,14 @@
         };
         let spec = |i: &usize| self.stations[*i].model.spec();
         match &fault.hits {
-            Hits::Controller(i) if of_seats => vec![*i],
-            Hits::Node(name) if !of_seats => (0..count).filter(|i| spec(i).name == *name).collect(),
-            Hits::Rack(rack) if !of_seats => (0..count).filter(|i| spec(i).rack == *rack).collect(),
-            Hits::Share(share) => {
+            FaultTarget::Controller(i) if of_seats => vec![*i],
+            FaultTarget::Node(name) if !of_seats => {
+                (0..count).filter(|i| spec(i).name == *name).collect()
+            }
+            FaultTarget::Rack(rack) if !of_seats => {
+                (0..count).filter(|i| spec(i).rack == *rack).collect()
+            }
+            FaultTarget::Share(share) => {
                 let mut all: Vec<usize> = (0..count).collect();
                 rng.shuffle(&mut all);
                 all.truncate(((count as f64 * share).round() as usize).max(1));
@@ -102,7 +106,7 @@
             ("dies", true) => {
                 for &node in hit {
                     self.dies(node);
-                    self.list_says(node, NodeState::Gone);
+                    self.list_says(node, NodeState::Removed);
                 }
             }
             ("restarts", true) => hit.iter().for_each(|node| self.dies(*node)),
@@ -125,7 +129,7 @@
             ("drains", false) => {
                 for &node in hit {
                     self.dies(node);
-                    self.list_says(node, NodeState::Gone);
+                    self.list_says(node, NodeState::Removed);
                 }
             }
             ("cut" | "cut-midframe" | "flush" | "dies", false) => {}
--- a/crates/kernel/src/world/listing.rs
+++ b/crates/kernel/src/simulator/listing.rs
@@ -2,11 +2,11 @@
 
 use super::{Happens, World};
 use peppercove::Micros;
-use peppercove_audit::Seen;
+use peppercove_audit::Observation;
 use peppercove_core::Input;
 use peppercove_exchange::node_list_input;
 use peppercove_protocol::list::FromList;
-use peppercove_standins::roster::Facts;
+use peppercove_standins::node_registry::Facts;
 
 /// A controller's subscription.
 #[derive(Clone, Copy, Debug, Default)]
@@ -96,7 +96,7 @@
         let Some(news) = news else {
             process.list.stands = false;
             self.input(seat, Input::NodeListFailed);
-            if !self.seats[seat].config.module.is_list_polled {
+            if !self.seats[seat].config.scheduler.is_list_polled {
                 let scatter = self.rng.f64();
                 let Some(process) = self.process(seat, life) else {
                     return;
@@ -107,7 +107,7 @@
             return;
         };
         process.list_retry.reset();
-        self.see(Seen::List {
+        self.see(Observation::List {
             controller,
             news: (*news).clone(),
         });
--- a/crates/kernel/src/world/wire.rs
+++ b/crates/kernel/src/simulator/wire.rs
@@ -3,13 +3,13 @@
 
 use super::{Happens, Station, World};
 use peppercove::{Micros, NodeId};
-use peppercove_audit::Seen;
+use peppercove_audit::Observation;
 use peppercove_core::{Input, Output};
 use peppercove_exchange::{
     Backoff, DecodedMessage, Handshake, HandshakeProgress, decode_message, encode_output,
 };
 use peppercove_protocol::node::{FromNode, ToNode};
-use peppercove_standins::model::{Model, Outgoing};
+use peppercove_standins::node_model::{NodeModel, Outgoing};
 use std::net::SocketAddrV4;
 
 /// One link, from its dialling on.
@@ -70,7 +70,7 @@
             tries: 0,
         };
         process.links.insert(machine, link);
-        let listen = &self.seats[seat].config.listen;
+        let listen = &self.seats[seat].config.network;
         let retry = Backoff::new(listen.retry_least, listen.retry_most);
         if let Some(link) = self
             .process(seat, life)
@@ -119,7 +119,7 @@
         let config = &self.seats[seat].config;
         let greeting = Handshake::new(machine, &name, config.limits.jobs);
         let hello = Handshake::hello(config, life);
-        let late = config.listen.connect_timeout.as_micros() as Micros;
+        let late = config.network.connect_timeout.as_micros() as Micros;
         let wire = self.wires.len();
         let node_life = self.stations[node].model.life();
         self.wires.push(Wire {
@@ -193,7 +193,7 @@
         let (controller, node) = (self.party(w.seat, w.life), w.node);
         if !matches!(message, ToNode::Hello { .. }) {
             let node = self.stations[node].model.spec().name.clone();
-            self.see(Seen::ToNode {
+            self.see(Observation::ToNode {
                 controller,
                 node,
                 message: message.clone(),
@@ -304,19 +304,22 @@
             ToNode::Offer {
                 attempt,
                 expires_in,
-                work,
+                task: work,
             } => model.offer(now, &controller, attempt, expires_in, work),
-            ToNode::Withdraw { attempt } => model.withdraw(now, &controller, attempt),
+            ToNode::CancelAttempt { attempt } => model.withdraw(now, &controller, attempt),
             ToNode::Adopt {
-                life,
+                incarnation: life,
                 attempt,
-                named,
+                new_attempt: named,
             } => model.adopt(now, &controller, life, attempt, named),
-            ToNode::Noted { attempt } => {
+            ToNode::AcknowledgeEnd { attempt } => {
                 model.noted(&controller, attempt);
                 Vec::new()
             }
-            ToNode::Discard { life, attempt } => model.discard(now, &controller, life, attempt),
+            ToNode::Discard {
+                incarnation: life,
+                attempt,
+            } => model.discard(now, &controller, life, attempt),
             ToNode::Control { attempt, action } => model.control(now, &controller, attempt, action),
             ToNode::Probe { nonce } => model.probe(now, &controller, nonce),
         });
@@ -332,13 +335,13 @@
             return self.hazard("frame of a node lost at a cut");
         }
         if let FromNode::Welcome { node: told, .. } = &message
-            && told.life > 1
+            && told.incarnation > 1
         {
             self.hazard("a node is reached again under another life");
         }
         let name = self.stations[node].model.spec().name.clone();
         let controller = self.party(seat, life);
-        self.see(Seen::FromNode {
+        self.see(Observation::FromNode {
             controller,
             node: name,
             message: message.clone(),
@@ -471,7 +474,7 @@
         if was_up {
             let node = self.stations[node].model.spec().name.clone();
             let controller = self.party(seat, life);
-            self.see(Seen::LinkClosed { controller, node });
+            self.see(Observation::LinkClosed { controller, node });
             self.input(seat, Input::NodeDisconnected(machine));
         }
         self.dial_again(seat, life, machine);
@@ -494,7 +497,7 @@
     pub(super) fn node_acts(
         &mut self,
         node: usize,
-        act: impl FnOnce(&mut Model, Micros) -> Vec<Outgoing>,
+        act: impl FnOnce(&mut NodeModel, Micros) -> Vec<Outgoing>,
     ) {
         let now = self.now;
         let station: &mut Station = &mut self.stations[node];
--- a/crates/kernel/tests/days.rs
+++ b/crates/kernel/tests/days.rs
@@ -1,11 +1,11 @@
 //! Days in simulated time: those that once broke a rule, the shipped ones, and random ones.
 
-use peppercove_kernel::hunt::{Sum, hunt};
-use peppercove_kernel::{Script, play, play_seen, shipped};
+use peppercove_kernel::fuzz::{FuzzSummary, run_seed};
+use peppercove_kernel::{Scenario, built_in_scenarios, simulate, simulate_with_events};
 use std::path::Path;
 
-fn script(name: &str, text: &str) -> Script {
-    Script::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"))
+fn script(name: &str, text: &str) -> Scenario {
+    Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
 /// Each of these was found by the hunt, or reported, and made smaller; its cause is in the commit that mended it.
@@ -20,15 +20,15 @@
             &std::fs::read_to_string(&path).unwrap(),
         );
         for seed in script.seed..script.seed + 4 {
-            let report = play(&script, seed);
+            let report = simulate(&script, seed);
             assert!(
                 report.is_clean(),
                 "{} seed {seed}: {:#?}",
                 path.display(),
-                report.verdict.breaches
+                report.audit.violations
             );
             assert!(
-                report.verdict.taken > 0,
+                report.audit.accepted > 0,
                 "{}: nothing was tried",
                 path.display()
             );
@@ -40,16 +40,16 @@
 
 #[test]
 fn every_shipped_day_keeps_the_rules_in_the_kernel() {
-    for (name, text) in shipped() {
+    for (name, text) in built_in_scenarios() {
         let script = script(name, text);
         for seed in 1..4 {
-            let report = play(&script, seed);
+            let report = simulate(&script, seed);
             assert!(
                 report.is_clean(),
                 "{name} seed {seed}: {:#?}",
-                report.verdict.breaches
+                report.audit.violations
             );
-            assert!(report.verdict.taken > 20, "{name}: nothing was tried");
+            assert!(report.audit.accepted > 20, "{name}: nothing was tried");
             let c = report.counters;
             assert_eq!(
                 (c.invalid_transitions, c.unsafe_rejections),
@@ -63,10 +63,10 @@
 #[test]
 fn one_seed_is_one_run_to_the_byte() {
     for seed in 900..906 {
-        let plan = peppercove_kernel::hunt::Plan::random(seed);
+        let plan = peppercove_kernel::fuzz::RandomScenario::random(seed);
         let (first, second) = (
-            play_seen(&plan.script(), seed),
-            play_seen(&plan.script(), seed),
+            simulate_with_events(&plan.to_scenario(), seed),
+            simulate_with_events(&plan.to_scenario(), seed),
         );
         assert_eq!(first.0, second.0);
         assert_eq!(format!("{:?}", first.1), format!("{:?}", second.1));
@@ -75,14 +75,14 @@
 
 #[test]
 fn random_days_keep_the_rules_and_meet_the_hard_cases() {
-    let mut sum = Sum::default();
+    let mut sum = FuzzSummary::default();
     for seed in 1..=150 {
-        let (plan, report) = hunt(seed);
+        let (plan, report) = run_seed(seed);
         assert!(
             report.is_clean(),
             "seed {seed}: {:#?}\n{}",
-            report.verdict.breaches,
-            plan.xml()
+            report.audit.violations,
+            plan.to_xml()
         );
         sum.add(&plan, &report);
     }
--- a/crates/kernel/tests/view.rs
+++ b/crates/kernel/tests/view.rs
@@ -3,8 +3,10 @@
 use peppercove::{Action, Event, Micros, Scheduler};
 use peppercove_core::Decide;
 use peppercove_fleet::NodeSubset;
-use peppercove_kernel::hunt::Plan;
-use peppercove_kernel::{Script, play_bounded, play_with, shipped};
+use peppercove_kernel::fuzz::RandomScenario;
+use peppercove_kernel::{
+    Scenario, built_in_scenarios, simulate_with_decider, simulate_with_subset,
+};
 use std::cell::Cell;
 use std::path::Path;
 
@@ -29,7 +31,7 @@
     }
 }
 
-fn compare(script: &Script, seed: u64) -> u64 {
+fn compare(script: &Scenario, seed: u64) -> u64 {
     // Controllers of the day add to one count, which outlives them.
     let events: &'static Cell<u64> = Box::leak(Box::new(Cell::new(0)));
     let both = |settings: &peppercove::Settings, seed| -> Box<dyn Decide> {
@@ -41,11 +43,11 @@
             events,
         })
     };
-    let (report, _) = play_with(script, seed, &both);
+    let (report, _) = simulate_with_decider(script, seed, &both);
     assert!(
         report.is_clean(),
         "seed {seed}: {:#?}",
-        report.verdict.breaches
+        report.audit.violations
     );
     events.get()
 }
@@ -53,13 +55,13 @@
 #[test]
 fn below_the_size_of_a_view_each_event_gets_the_same_actions() {
     let random: u64 = (4_000_000..4_000_020)
-        .map(|seed| compare(&Plan::random(seed).script(), seed))
+        .map(|seed| compare(&RandomScenario::random(seed).to_scenario(), seed))
         .sum();
-    let shipped: u64 = shipped()
+    let shipped: u64 = built_in_scenarios()
         .iter()
         .map(|(name, text)| {
             let script =
-                Script::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"));
+                Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"));
             compare(&script, script.seed)
         })
         .sum();
@@ -74,15 +76,15 @@
 fn with_bounded_views_random_days_keep_the_rules() {
     let mut placed = 0;
     for seed in 4_100_000..4_100_040 {
-        let plan = Plan::random(seed);
-        let report = play_bounded(&plan.script(), seed, 4);
+        let plan = RandomScenario::random(seed);
+        let report = simulate_with_subset(&plan.to_scenario(), seed, 4);
         assert!(
             report.is_clean(),
             "seed {seed}: {:#?}\n{}",
-            report.verdict.breaches,
-            plan.xml()
+            report.audit.violations,
+            plan.to_xml()
         );
-        placed += report.verdict.taken;
+        placed += report.audit.accepted;
     }
     assert!(placed > 1_000, "{placed} were taken");
 }
--- a/crates/libdrmaa/src/lib.rs
+++ b/crates/libdrmaa/src/lib.rs
@@ -12,7 +12,9 @@
 #![allow(unsafe_code)]
 #![allow(clippy::missing_safety_doc)]
 
-use peppercove_drmaa::{ALL_JOBS, ANY_JOB, Action, Errno, Error, Finished, JobTemplate, Session};
+use peppercove_drmaa::{
+    ALL_JOBS, ANY_JOB, ControlAction, Errno, Error, JobInfo, JobTemplate, Session,
+};
 use std::ffi::{CStr, c_char, c_int, c_long, c_uint};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -532,7 +534,7 @@
     unsafe {
         call(diagnosis, length, || {
             let id = read(job_id, "jobid")?;
-            let action = Action::from_number(action)
+            let action = ControlAction::from_number(action)
                 .ok_or_else(|| invalid(&format!("there is no action {action}")))?;
             session()?.control(&id, action)
         })
@@ -626,7 +628,7 @@
 const SIGNALLED: c_int = 2;
 const ABORTED: c_int = 4;
 
-fn encode(finished: &Finished) -> c_int {
+fn encode(finished: &JobInfo) -> c_int {
     match (finished.exit_status, finished.signal) {
         (Some(status), _) => EXITED | (status & 0xff) << 8,
         (None, Some(signal)) => SIGNALLED | (signal & 0xff) << 8,
--- a/crates/libdrmaa/tests/python.rs
+++ b/crates/libdrmaa/tests/python.rs
@@ -100,7 +100,7 @@
         let line = format!("{} = {}", errno.name(), errno.number());
         assert!(header.contains(&line), "{line} is not in drmaa.h");
     }
-    for state in peppercove_drmaa::State::ALL {
+    for state in peppercove_drmaa::ProgramState::ALL {
         let line = format!("{} = 0x{:02x}", state.name(), state.number());
         assert!(header.contains(&line), "{line} is not in drmaa.h");
     }
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -60,7 +60,7 @@
         "Time from an ask for a placing to its answer, in seconds.";
     SUBMISSIONS = "peppercove_submissions_total", Counter, ["class"],
         "Jobs taken in.";
-    TURNED_AWAY = "peppercove_turned_away_total", Counter, ["reason"],
+    SUBMISSIONS_REJECTED = "peppercove_turned_away_total", Counter, ["reason"],
         "Submissions turned away at the door.";
     ANSWERS = "peppercove_answers_total", Counter, ["class", "outcome"],
         "Asks answered: placed, refused, failed or withdrawn.";
@@ -68,21 +68,21 @@
         "Offers made to nodes.";
     ATTEMPT_ENDS = "peppercove_attempt_ends_total", Counter, ["outcome", "reason"],
         "Attempts that ended, by how and why.";
-    OPEN_ASKS = "peppercove_open_asks", Gauge, [],
+    OPEN_REQUESTS = "peppercove_open_asks", Gauge, [],
         "Asks without an answer.";
     RUNNING_TASKS = "peppercove_running_tasks", Gauge, [],
         "Tasks placed and not ended.";
-    DOUBTFUL_TASKS = "peppercove_doubtful_tasks", Gauge, [],
+    AMBIGUOUS_TASKS = "peppercove_doubtful_tasks", Gauge, [],
         "Unsafe tasks whose fate is not known.";
     ADOPTED = "peppercove_adopted_tasks_total", Counter, [],
         "Running tasks taken over from an earlier life or a doubtful attempt.";
-    STRAYS = "peppercove_stray_tasks_total", Counter, [],
+    ORPHANS = "peppercove_stray_tasks_total", Counter, [],
         "Running copies stopped because nobody waited for them.";
     NODES = "peppercove_nodes", Gauge, ["state", "link"],
         "Nodes that the list names, by state and link.";
     LIST_GENERATION = "peppercove_node_list_generation", Gauge, [],
         "Version of the node list held.";
-    LIST_HEARD = "peppercove_node_list_heard_timestamp_seconds", Gauge, [],
+    LIST_LAST_CONTACT = "peppercove_node_list_heard_timestamp_seconds", Gauge, [],
         "When the node list was heard last, in seconds since 1970.";
     LIST_FAILURES = "peppercove_node_list_failures_total", Counter, [],
         "Calls to the node list that failed and subscriptions that broke.";
@@ -94,9 +94,9 @@
         "Samples made, pushed, and dropped by reason.";
     PUSHES = "peppercove_push_requests_total", Counter, ["status"],
         "Requests to the receiver, by status or `no-answer`.";
-    BACKLOG = "peppercove_push_backlog_bytes", Gauge, [],
+    WAL_BYTES = "peppercove_push_backlog_bytes", Gauge, [],
         "Samples that wait to be pushed, in bytes on disk.";
-    LOOP_LATE = "peppercove_loop_late_seconds", Gauge, [],
+    EVENT_LOOP_LAG = "peppercove_loop_late_seconds", Gauge, [],
         "How late the daemon's own loop was when last looked at, in seconds.";
     START = "peppercove_start_timestamp_seconds", Gauge, [],
         "When the controller started, in seconds since 1970.";
@@ -117,7 +117,7 @@
 /// A name that the table does not have, or other labels than it says: a fault of the program.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("there is no {kind:?} {name} with {labels} labels")]
-pub struct NoSuchFigure {
+pub struct UnknownMetric {
     /// The name.
     pub name: String,
     /// What it was taken for.
@@ -128,7 +128,7 @@
 
 /// One value of one series at one time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Point {
+pub struct MetricPoint {
     /// Name of the series, with `_bucket`, `_sum` or `_count` where it is part of a histogram.
     pub name: String,
     /// Labels, sorted by name, without the name of the series.
@@ -204,7 +204,7 @@
     ///
     /// # Errors
     /// [`NoSuchFigure`]; the counter of faults cannot be missing, so callers may count it there.
-    pub fn add(&self, name: &'static str, labels: &[&str], more: f64) -> Result<(), NoSuchFigure> {
+    pub fn add(&self, name: &'static str, labels: &[&str], more: f64) -> Result<(), UnknownMetric> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
         let counter = self
@@ -221,7 +221,7 @@
     ///
     /// # Errors
     /// [`NoSuchFigure`].
-    pub fn set(&self, name: &'static str, labels: &[&str], to: f64) -> Result<(), NoSuchFigure> {
+    pub fn set(&self, name: &'static str, labels: &[&str], to: f64) -> Result<(), UnknownMetric> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
         let gauge = self
@@ -243,7 +243,7 @@
         name: &'static str,
         labels: &[&str],
         value: f64,
-    ) -> Result<(), NoSuchFigure> {
+    ) -> Result<(), UnknownMetric> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
         let histogram = self
@@ -277,7 +277,7 @@
     }
 
     /// Every value as it is now, sorted by name and labels.
-    pub fn gather(&self) -> Vec<Point> {
+    pub fn gather(&self) -> Vec<MetricPoint> {
         let mut points = Vec::new();
         for gathered in self.registry.gather() {
             let Some(family) = FAMILIES.iter().find(|f| f.name == gathered.name()) else {
@@ -290,7 +290,7 @@
                     .collect();
                 labels.sort();
                 let mut point = |suffix: &str, labels: Vec<(String, String)>, value: f64| {
-                    points.push(Point {
+                    points.push(MetricPoint {
                         name: format!("{}{suffix}", family.name),
                         labels,
                         family,
@@ -331,8 +331,8 @@
     }
 }
 
-fn missing(name: &str, kind: Kind, labels: usize) -> NoSuchFigure {
-    NoSuchFigure {
+fn missing(name: &str, kind: Kind, labels: usize) -> UnknownMetric {
+    UnknownMetric {
         name: name.into(),
         kind,
         labels,
--- a/crates/metrics/tests/table.rs
+++ b/crates/metrics/tests/table.rs
@@ -1,8 +1,8 @@
 //! The table of figures against Prometheus' conventions and the operators' page.
 
 use peppercove_metrics::{
-    ATTEMPTS, FAMILIES, Kind, LONGEST_VALUE, MOST_VALUES, Metrics, OTHER, PLACEMENT, TURNED_AWAY,
-    page,
+    ATTEMPTS, FAMILIES, Kind, LONGEST_VALUE, MOST_VALUES, Metrics, OTHER, PLACEMENT,
+    SUBMISSIONS_REJECTED, page,
 };
 
 #[test]
@@ -63,7 +63,10 @@
         );
     }
     assert!(m.add("peppercove_nothing_total", &[], 1.0).is_err());
-    assert!(m.add(TURNED_AWAY, &[], 1.0).is_err(), "a label is missing");
+    assert!(
+        m.add(SUBMISSIONS_REJECTED, &[], 1.0).is_err(),
+        "a label is missing"
+    );
     assert!(m.set(ATTEMPTS, &[], 1.0).is_err(), "a counter is not set");
 }
 
@@ -110,19 +113,20 @@
 fn values_of_labels_are_bounded() {
     let m = Metrics::new();
     for i in 0..MOST_VALUES + 50 {
-        m.add(TURNED_AWAY, &[&format!("reason-{i}")], 1.0).unwrap();
+        m.add(SUBMISSIONS_REJECTED, &[&format!("reason-{i}")], 1.0)
+            .unwrap();
     }
-    m.add(TURNED_AWAY, &["reason-0"], 1.0).unwrap();
+    m.add(SUBMISSIONS_REJECTED, &["reason-0"], 1.0).unwrap();
     let series: Vec<_> = m
         .gather()
         .into_iter()
-        .filter(|p| p.name == TURNED_AWAY)
+        .filter(|p| p.name == SUBMISSIONS_REJECTED)
         .collect();
     assert_eq!(series.len(), MOST_VALUES + 1);
     let of = |v: &str| series.iter().find(|p| p.labels[0].1 == v).unwrap().value;
     assert_eq!((of(OTHER), of("reason-0")), (50.0, 2.0));
     let m = Metrics::new();
-    m.add(TURNED_AWAY, &[&"é".repeat(LONGEST_VALUE)], 1.0)
+    m.add(SUBMISSIONS_REJECTED, &[&"é".repeat(LONGEST_VALUE)], 1.0)
         .unwrap();
     let cut = m.gather()[0].labels[0].1.clone();
     assert!(cut.len() <= LONGEST_VALUE && cut.chars().all(|c| c == 'é'));
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a controller, as the platform writes it.
 
-use crate::feed::{self, EndpointEvent};
-use peppercove::wire::{ProtocolError, RecordSchema, read_settings};
+use crate::endpoint_watch::{self, EndpointEvent};
+use peppercove::adapter_protocol::{ProtocolError, RecordSchema, read_settings};
 use peppercove::{Micros, Settings};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -135,7 +135,7 @@
                 "each class needs a name, and one class is needed",
             ));
         }
-        let [first, most] = feed::ask_again(settings.drain_grace, dial_timeout(&shape));
+        let [first, most] = endpoint_watch::ask_again(settings.drain_grace, dial_timeout(&shape));
         settings.poll_backoff = [
             settings.poll_backoff[0].min(first),
             settings.poll_backoff[1].min(most),
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -11,18 +11,18 @@
 mod words;
 
 use crate::config::Config;
-use crate::feed::EndpointEvent;
+use crate::endpoint_watch::EndpointEvent;
 use crate::wire::{Message, MessageKind, cause, code};
 use bytes::Bytes;
 use hosts::Hosts;
 use late::Late;
 use line::Line;
-use peppercove::wire::RecordSchema;
+use peppercove::adapter_protocol::RecordSchema;
 use peppercove::{
     Action, AttemptOutcome, EndReason, Event, ListUpdateKind, LoadReport, Micros, NodeId,
     RequestId, Settings, TaskKey,
 };
-use peppercove_core::life::RequestState;
+use peppercove_core::request_state::RequestState;
 use peppercove_core::{Decide, Timers};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/platform/src/desk/hosts.rs
+++ b/crates/platform/src/desk/hosts.rs
@@ -1,8 +1,8 @@
 //! Hosts by their ids, the connections to them, and the tasks that stand there.
 
 use super::{Bounds, NodeConnectionId, Output};
-use crate::feed;
-use peppercove::wire::RecordSchema;
+use crate::endpoint_watch;
+use peppercove::adapter_protocol::RecordSchema;
 use peppercove::{Micros, NodeEntry, NodeId, NodeStatus, RequestId, TaskKey};
 use peppercove_core::Backoff;
 use std::collections::{BTreeMap, BTreeSet};
@@ -119,7 +119,11 @@
     }
 
     /// Takes an event of the list in.
-    pub(super) fn learn(&mut self, told: &feed::NodeListUpdate, shape: &RecordSchema) -> News {
+    pub(super) fn learn(
+        &mut self,
+        told: &endpoint_watch::NodeListUpdate,
+        shape: &RecordSchema,
+    ) -> News {
         let mut news = News::default();
         let mut named = BTreeSet::new();
         for host in &told.servers {
--- a/crates/platform/src/desk/read.rs
+++ b/crates/platform/src/desk/read.rs
@@ -2,7 +2,7 @@
 
 use super::Body;
 use crate::wire::{Message, cause, code};
-use peppercove::wire::{RecordSchema, set_load_value};
+use peppercove::adapter_protocol::{RecordSchema, set_load_value};
 use peppercove::{
     AttemptOutcome, EndReason, Idempotency, LoadReport, Micros, PlacementRequest, RequestId,
     ServiceId, Settings, TaskKey, TaskUpdate,
--- a/crates/platform/src/desk/words.rs
+++ b/crates/platform/src/desk/words.rs
@@ -6,7 +6,7 @@
 use super::{Ask, NodeConnectionId, Stage};
 use crate::wire::{Message, MessageKind, cause, code};
 use peppercove::NodeId;
-use peppercove_core::life::RequestState;
+use peppercove_core::request_state::RequestState;
 
 /// Whom a word is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
 //! The users' platform without I/O: what a real controller reads, writes and must remember there.
 //!
-//! [`wire`] is the codec of the messages, [`config`] the controller's configuration, [`feed`] the lines of the journal
+//! [`wire`] is the codec of the messages, [`config`] the controller's configuration, [`endpoint_watch`] the lines of the journal
 //! service, and [`Desk`] the state machine between them and the decision module: it numbers attempts, keeps time-outs
 //! and deadlines, gives each bind one end and each set-up one answer. Time and inputs come in, outputs go out.
 //!
@@ -9,7 +9,7 @@
 
 pub mod config;
 mod desk;
-pub mod feed;
+pub mod endpoint_watch;
 pub mod wire;
 
 pub use desk::{
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -3,9 +3,9 @@
 
 use bytes::{Bytes, BytesMut};
 use peppercove::Micros;
-use peppercove::wire::RecordSchema;
+use peppercove::adapter_protocol::RecordSchema;
 use peppercove_platform::Bounds;
-use peppercove_platform::feed::{EndpointEvent, LineDecoder, WatchLine};
+use peppercove_platform::endpoint_watch::{EndpointEvent, LineDecoder, WatchLine};
 use peppercove_platform::wire::{Message, MessageKind, code, decode};
 
 pub const S: Micros = 1_000_000;
--- a/crates/platform/tests/feed.rs
+++ b/crates/platform/tests/feed.rs
@@ -1,7 +1,7 @@
 //! Lines of the journal service, and how soon it is called again.
 
 use bytes::BytesMut;
-use peppercove_platform::feed::{
+use peppercove_platform::endpoint_watch::{
     EndpointEvent, EndpointWatchError, LineDecoder, NodeLifecycle, SILENT, SequenceCheck,
     WatchLine, ask_again, check_sequence, max_line_bytes,
 };
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -6,9 +6,9 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 /// Longest frame on a link to a node, in bytes: an offer with its command, arguments and environment.
-pub const NODE_FRAME: usize = 256 << 10;
+pub const MAX_NODE_FRAME_BYTES: usize = 256 << 10;
 /// Longest frame of the node list, in bytes: a whole list of some ten thousand nodes.
-pub const LIST_FRAME: usize = 4 << 20;
+pub const MAX_LIST_FRAME_BYTES: usize = 4 << 20;
 
 /// Why a link's bytes could not be read or written.
 #[derive(Debug, thiserror::Error)]
@@ -28,25 +28,25 @@
 
 /// Encodes messages of type `Out` and decodes those of type `In`.
 #[derive(Debug)]
-pub struct Messages<In, Out> {
+pub struct MessageCodec<In, Out> {
     frames: LengthDelimitedCodec,
     types: PhantomData<fn(Out) -> In>,
 }
 
-impl<In, Out> Messages<In, Out> {
+impl<In, Out> MessageCodec<In, Out> {
     /// A codec whose frames hold at most `longest` bytes each way.
     pub fn new(longest: usize) -> Self {
         let frames = LengthDelimitedCodec::builder()
             .max_frame_length(longest)
             .new_codec();
-        Messages {
+        MessageCodec {
             frames,
             types: PhantomData,
         }
     }
 }
 
-impl<In: DeserializeOwned, Out> Decoder for Messages<In, Out> {
+impl<In: DeserializeOwned, Out> Decoder for MessageCodec<In, Out> {
     type Item = In;
     type Error = FrameError;
 
@@ -54,11 +54,11 @@
         let Some(frame) = self.frames.decode(bytes)? else {
             return Ok(None);
         };
-        from_frame(&frame).map(Some)
+        decode_frame(&frame).map(Some)
     }
 }
 
-impl<In, Out: Serialize> Encoder<&Out> for Messages<In, Out> {
+impl<In, Out: Serialize> Encoder<&Out> for MessageCodec<In, Out> {
     type Error = FrameError;
 
     fn encode(&mut self, message: &Out, bytes: &mut BytesMut) -> Result<(), FrameError> {
@@ -69,7 +69,7 @@
 }
 
 /// Decodes the body of one frame; bytes left over after the message are an error as well.
-pub fn from_frame<In: DeserializeOwned>(frame: &[u8]) -> Result<In, FrameError> {
+pub fn decode_frame<In: DeserializeOwned>(frame: &[u8]) -> Result<In, FrameError> {
     let malformed = |source| FrameError::Malformed {
         length: frame.len(),
         source,
@@ -87,20 +87,20 @@
     use super::*;
     use crate::node::{FromNode, ToNode};
 
-    type Link = Messages<FromNode, ToNode>;
+    type Link = MessageCodec<FromNode, ToNode>;
 
     #[test]
     fn a_frame_too_long_is_an_error_before_its_bytes_arrive() {
-        let mut bytes = BytesMut::from(&(NODE_FRAME as u32 + 1).to_be_bytes()[..]);
+        let mut bytes = BytesMut::from(&(MAX_NODE_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
         assert!(matches!(
-            Link::new(NODE_FRAME).decode(&mut bytes),
+            Link::new(MAX_NODE_FRAME_BYTES).decode(&mut bytes),
             Err(FrameError::Io(_))
         ));
     }
 
     #[test]
     fn half_a_frame_waits_and_rubbish_is_named() {
-        let mut link = Link::new(NODE_FRAME);
+        let mut link = Link::new(MAX_NODE_FRAME_BYTES);
         let mut bytes = BytesMut::from(&[0, 0, 0, 4, 255, 255][..]);
         assert!(matches!(link.decode(&mut bytes), Ok(None)));
         bytes.extend_from_slice(&[255, 255]);
@@ -113,8 +113,8 @@
     #[test]
     fn bytes_after_the_message_are_not_ignored() {
         let mut frame = postcard::to_stdvec(&ToNode::Probe { nonce: 7 }).unwrap();
-        assert!(from_frame::<ToNode>(&frame).is_ok());
+        assert!(decode_frame::<ToNode>(&frame).is_ok());
         frame.push(0);
-        assert!(from_frame::<ToNode>(&frame).is_err());
+        assert!(decode_frame::<ToNode>(&frame).is_err());
     }
 }
--- a/crates/protocol/src/drmaa.rs
+++ b/crates/protocol/src/drmaa.rs
@@ -86,7 +86,7 @@
 
 numbered!(
     /// Program states: GFD.133, `drmaa_job_ps`.
-    State {
+    ProgramState {
         /// Not known.
         Undetermined = 0x00 "DRMAA_PS_UNDETERMINED",
         /// Queued and eligible to run.
@@ -114,7 +114,7 @@
 
 numbered!(
     /// Control actions: GFD.133, `drmaa_control`.
-    Action {
+    ControlAction {
         /// Suspend a running job.
         Suspend = 0 "DRMAA_CONTROL_SUSPEND",
         /// Resume it.
@@ -129,7 +129,7 @@
 );
 
 /// Names of the required scalar attributes of a job template: GFD.133, section 3.2.2.
-pub const SCALARS: &[&str] = &[
+pub const SCALAR_ATTRIBUTES: &[&str] = &[
     "drmaa_remote_command",
     "drmaa_js_state",
     "drmaa_wd",
@@ -144,7 +144,7 @@
     "drmaa_join_files",
 ];
 /// Names of the required vector attributes.
-pub const VECTORS: &[&str] = &["drmaa_v_argv", "drmaa_v_env", "drmaa_v_email"];
+pub const VECTOR_ATTRIBUTES: &[&str] = &["drmaa_v_argv", "drmaa_v_env", "drmaa_v_email"];
 
 /// Stands for all jobs of the session in `drmaa_control` and `drmaa_synchronize`.
 pub const ALL_JOBS: &str = "DRMAA_JOB_IDS_SESSION_ALL";
--- a/crates/protocol/src/list.rs
+++ b/crates/protocol/src/list.rs
@@ -11,12 +11,13 @@
     /// Takes nothing new.
     Draining,
     /// Left the cluster; appears in changes alone.
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// One line of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ListEntry {
     /// Where the node listens; it stays the same when its process restarts.
     pub address: SocketAddrV4,
     /// Its name, which it must answer to.
@@ -30,7 +31,8 @@
     /// Its zone.
     pub zone: u8,
     /// A number that is higher after each start of its process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Microseconds since that start, when the list was sent; `None` is long ago. An age needs no common clock.
     pub age: Option<u64>,
     /// Cores nobody asked for, some time ago.
@@ -76,13 +78,15 @@
         version: u16,
     },
     /// News.
-    News {
+    #[serde(rename = "News")]
+    Update {
         /// Version of the list.
         generation: u64,
         /// How it relates to the one before.
         scope: Scope,
         /// The lines.
-        lines: Vec<Line>,
+        #[serde(rename = "lines")]
+        entries: Vec<ListEntry>,
     },
     /// The call is turned away; the old list stands.
     Failed,
--- a/crates/protocol/src/native.rs
+++ b/crates/protocol/src/native.rs
@@ -27,7 +27,7 @@
 
 /// What the native specification of a job says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Native {
+pub struct NativeSpecification {
     /// Cores it asks for.
     pub cores: Option<f64>,
     /// Memory it asks for.
@@ -39,15 +39,15 @@
     /// Name of its tenant.
     pub tenant: Option<String>,
     /// How long it is expected to run; a stand-in node runs it for so long.
-    pub life: Option<Duration>,
+    pub expected_duration: Option<Duration>,
     /// Exit status with which a stand-in node ends it.
-    pub exit: Option<i32>,
+    pub exit_status: Option<i32>,
     /// Names the task: the same name again is the same task, asked for once more.
     pub task: Option<String>,
     /// It was asked for before, and refused, failed or lost.
-    pub again: bool,
+    pub is_retry: bool,
     /// The controller that was asked for the task before, and whose answer leaves open whether it ran.
-    pub asked: Option<String>,
+    pub previous_controller: Option<String>,
 }
 
 /// A native specification that does not follow the grammar.
@@ -93,14 +93,14 @@
 ///
 /// # Errors
 /// [`NativeError`] with the column at which the grammar is left, a name is unknown or stands twice.
-pub fn parse(text: &str) -> Result<Native, NativeError> {
+pub fn parse(text: &str) -> Result<NativeSpecification, NativeError> {
     if text.len() > LONGEST {
         return Err(NativeError {
             column: LONGEST + 1,
             what: format!("longer than {LONGEST} bytes"),
         });
     }
-    let mut native = Native::default();
+    let mut native = NativeSpecification::default();
     let mut seen: Vec<&str> = Vec::new();
     let mut input = LocatingSlice::new(text);
     let at = |input: &Input<'_>, what: String| NativeError {
@@ -131,7 +131,7 @@
                 native.deadline = Some(time);
             }
             "life" => {
-                native.life =
+                native.expected_duration =
                     Some(span(&mut input).map_err(|_| expected("a time such as 800ms or 5s"))?)
             }
             "class" => {
@@ -156,21 +156,22 @@
                 )
             }
             "asked" => {
-                native.asked = Some(
+                native.previous_controller = Some(
                     word(&mut input)
                         .map_err(|_| expected("a controller name"))?
                         .into(),
                 )
             }
             "again" => match word(&mut input) {
-                Ok("yes") => native.again = true,
-                Ok("no") => native.again = false,
+                Ok("yes") => native.is_retry = true,
+                Ok("no") => native.is_retry = false,
                 _ => return Err(expected("'yes' or 'no'")),
             },
             "exit" => {
                 let status: ModalResult<i32> = digit1.parse_to().parse_next(&mut input);
                 let status = status.ok().filter(|s| *s <= 255);
-                native.exit = Some(status.ok_or_else(|| expected("an exit status from 0 to 255"))?);
+                native.exit_status =
+                    Some(status.ok_or_else(|| expected("an exit status from 0 to 255"))?);
             }
             _ => return Err(at(&before, format!("unknown name '{name}'"))),
         }
@@ -210,11 +211,14 @@
         assert_eq!(native.deadline, Some(Duration::from_millis(800)));
         assert_eq!(native.class.as_deref(), Some("web-fill"));
         assert_eq!(native.tenant.as_deref(), Some("team_a"));
-        assert_eq!(native.life, Some(Duration::from_secs(12)));
-        assert_eq!(native.exit, Some(3));
-        assert_eq!((native.task.as_deref(), native.again), (Some("t.1"), true));
-        assert_eq!(native.asked.as_deref(), Some("c-1"));
-        assert_eq!(parse("").unwrap(), Native::default());
+        assert_eq!(native.expected_duration, Some(Duration::from_secs(12)));
+        assert_eq!(native.exit_status, Some(3));
+        assert_eq!(
+            (native.task.as_deref(), native.is_retry),
+            (Some("t.1"), true)
+        );
+        assert_eq!(native.previous_controller.as_deref(), Some("c-1"));
+        assert_eq!(parse("").unwrap(), NativeSpecification::default());
     }
 
     #[test]
--- a/crates/protocol/src/node.rs
+++ b/crates/protocol/src/node.rs
@@ -13,27 +13,30 @@
 
 /// Who speaks: a name that stays, and a number that is new at each start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Party {
+pub struct ProcessIdentity {
     /// Name of the controller or node.
     pub name: String,
     /// Its life: another one after each start of its process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// What a repeat of the task would do, as the node must know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum Idempotency {
     /// No harm.
-    Safe,
+    #[serde(rename = "Safe")]
+    Idempotent,
     /// The nodes of one rack let one copy of this key stand.
     Keyed,
     /// It must never be started twice.
-    Unsafe,
+    #[serde(rename = "Unsafe")]
+    NonIdempotent,
 }
 
 /// A task as it is offered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Work {
+pub struct OfferedTask {
     /// The task, the same each time it is asked for.
     pub task: u64,
     /// Its service: one program, one shape, one class.
@@ -49,7 +52,8 @@
     /// Higher ones win in contention and evictions.
     pub priority: u8,
     /// What a repeat does.
-    pub repeat: Repeat,
+    #[serde(rename = "repeat")]
+    pub idempotency: Idempotency,
     /// What to run, and how.
     pub program: Program,
 }
@@ -77,7 +81,7 @@
         /// [`crate::VERSION`] of the sender.
         version: u16,
         /// The controller.
-        controller: Party,
+        controller: ProcessIdentity,
     },
     /// Offers a task. The node may accept or refuse it, and must refuse it once it is `expires_in` old.
     Offer {
@@ -86,27 +90,32 @@
         /// Microseconds for which the controller will wait.
         expires_in: u64,
         /// The task.
-        work: Work,
+        #[serde(rename = "work")]
+        task: OfferedTask,
     },
     /// The controller waits for this attempt no longer. The node answers with what it knows of it: that it runs, how it
     /// ended, or that it is refused, now and for ever. It may be sent again where the answer was not heard.
-    Withdraw {
+    #[serde(rename = "Withdraw")]
+    CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
     },
     /// Takes over a task that an earlier life of this controller placed, under a number of this life.
     Adopt {
         /// The earlier life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The attempt in that life.
         attempt: AttemptId,
         /// What it is called from now on.
-        named: AttemptId,
+        #[serde(rename = "named")]
+        new_attempt: AttemptId,
     },
     /// Ends a task that an earlier life of this controller placed.
     Discard {
         /// The earlier life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The attempt in that life.
         attempt: AttemptId,
     },
@@ -119,7 +128,8 @@
     },
     /// The end of an attempt is taken note of, and written down where the controller keeps a journal: the node may
     /// forget it. Until then it tells the end again after growing waits, and on each new link.
-    Noted {
+    #[serde(rename = "Noted")]
+    AcknowledgeEnd {
         /// The attempt.
         attempt: AttemptId,
     },
@@ -143,36 +153,44 @@
 
 /// Why a node refused a task or gave it up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reason {
+pub enum NodeReason {
     /// Not told.
     Unknown,
     /// No cores.
-    NoCores,
+    #[serde(rename = "NoCores")]
+    InsufficientCores,
     /// No memory.
-    NoMemory,
+    #[serde(rename = "NoMemory")]
+    InsufficientMemory,
     /// Too many offers wait.
-    Busy,
+    #[serde(rename = "Busy")]
+    QueueFull,
     /// Wrong kind, draining, too late, or a copy stands.
-    NotHere,
+    #[serde(rename = "NotHere")]
+    Ineligible,
     /// Evicted for memory.
     Evicted,
     /// Pushed out by a higher priority.
-    PushedOut,
+    #[serde(rename = "PushedOut")]
+    Preempted,
     /// Sent away by a drain.
-    SentAway,
+    #[serde(rename = "SentAway")]
+    Drained,
 }
 
 /// A load report; each value only where the node reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct NodeLoad {
     /// `x0`: free cores.
     pub free_cores: Option<f64>,
     /// `x1`: free memory.
     pub free_memory: Option<f64>,
     /// `util`: busy share of the cores.
-    pub busy: Option<f64>,
+    #[serde(rename = "busy")]
+    pub cpu_utilization: Option<f64>,
     /// `queue`: offers and starts waiting.
-    pub waiting: Option<f64>,
+    #[serde(rename = "waiting")]
+    pub queue_depth: Option<f64>,
 }
 
 /// What a task used, for `drmaa_wait`'s rusage.
@@ -188,7 +206,7 @@
 
 /// How an attempt ended, as its node tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum End {
+pub enum TaskExit {
     /// The program ended by itself.
     Exited {
         /// Its exit status.
@@ -206,7 +224,8 @@
     /// The node answers with an error; the task may have started.
     Error,
     /// It was evicted, pushed out or sent away after it was placed.
-    GivenUp(Reason),
+    #[serde(rename = "GivenUp")]
+    Evicted(NodeReason),
 }
 
 /// What a node says to a controller.
@@ -220,81 +239,92 @@
         /// [`crate::VERSION`] of the sender.
         version: u16,
         /// The node.
-        node: Party,
+        node: ProcessIdentity,
         /// How many of them follow.
-        standing: u32,
+        #[serde(rename = "standing")]
+        known_tasks: u32,
         /// In this life of the node no end was forgotten that this controller had not acknowledged.
-        whole: bool,
+        #[serde(rename = "whole")]
+        is_complete: bool,
     },
     /// It holds a task that this controller, or an earlier life of it, placed; or held one of an earlier life to its
     /// end.
-    Standing {
+    #[serde(rename = "Standing")]
+    KnownTask {
         /// Life of the controller that made the attempt.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The attempt.
         attempt: AttemptId,
         /// The task.
-        work: Work,
+        #[serde(rename = "work")]
+        task: OfferedTask,
         /// It ended while nobody could be told.
-        ended: Option<End>,
+        ended: Option<TaskExit>,
     },
     /// The task is accepted.
     Accepted {
         /// The attempt.
         attempt: AttemptId,
         /// A load report.
-        load: Option<Report>,
+        load: Option<NodeLoad>,
     },
     /// The task runs.
     Running {
         /// The attempt.
         attempt: AttemptId,
         /// A load report.
-        load: Option<Report>,
+        load: Option<NodeLoad>,
     },
     /// The task is refused, or handed back before it ran: proof that it never ran.
-    Refused {
+    #[serde(rename = "Refused")]
+    Rejected {
         /// The attempt.
         attempt: AttemptId,
         /// Why.
-        reason: Reason,
+        reason: NodeReason,
         /// A load report.
-        load: Option<Report>,
+        load: Option<NodeLoad>,
     },
     /// The attempt is over.
     Ended {
         /// The attempt.
         attempt: AttemptId,
         /// How.
-        end: End,
+        end: TaskExit,
         /// A load report.
-        load: Option<Report>,
+        load: Option<NodeLoad>,
     },
     /// News of a running task.
-    Note {
+    #[serde(rename = "Note")]
+    Measurement {
         /// The attempt.
         attempt: AttemptId,
         /// The news.
-        note: TaskNote,
+        #[serde(rename = "note")]
+        measurement: TaskMeasurement,
     },
     /// Answer to a probe.
-    Probed {
+    #[serde(rename = "Probed")]
+    ProbeReply {
         /// The number that came with it.
         nonce: u64,
         /// A load report.
-        load: Option<Report>,
+        load: Option<NodeLoad>,
     },
 }
 
 /// News of a running task or its node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum TaskNote {
+pub enum TaskMeasurement {
     /// Cores it uses.
     CoresUsed(f64),
     /// Memory it uses.
     MemoryUsed(f64),
     /// Share of full service it gets.
-    Served(f64),
+    #[serde(rename = "Served")]
+    ServedShare(f64),
     /// Share of the node's memory in use.
-    NodeMemory(f64),
+    #[serde(rename = "NodeMemory")]
+    NodeMemoryShare(f64),
 }
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -21,11 +21,11 @@
 use std::collections::BTreeMap;
 
 /// Longest line, in bytes.
-pub const LONGEST_LINE: usize = 256 << 10;
+pub const MAX_LINE_BYTES: usize = 256 << 10;
 
 /// A call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Call {
+pub struct RpcRequest {
     /// Always `2.0`.
     pub jsonrpc: String,
     /// Comes back with the answer; a call without one is a notification.
@@ -40,7 +40,7 @@
 
 /// An answer: a result or an error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct RpcResponse {
     /// Always `2.0`.
     pub jsonrpc: String,
     /// That of the call; null where it could not be read.
@@ -51,12 +51,12 @@
     pub result: Option<Value>,
     /// Or what was wrong.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub error: Option<Fault>,
+    pub error: Option<RpcError>,
 }
 
 /// The error object (JSON-RPC 2.0, section 5.1).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct RpcError {
     /// One of JSON-RPC's own, or -32000 less the DRMAA error number.
     pub code: i64,
     /// For people.
@@ -91,14 +91,14 @@
 /// DRMAA errors lie below this by their number.
 pub const DRMAA_BASE: i64 = -32000;
 
-impl Fault {
+impl RpcError {
     /// An error of DRMAA.
-    pub fn drmaa(errno: Errno, message: impl Into<String>) -> Fault {
+    pub fn drmaa(errno: Errno, message: impl Into<String>) -> RpcError {
         let data = FaultData {
             errno: errno.name().into(),
             ..FaultData::default()
         };
-        Fault {
+        RpcError {
             code: DRMAA_BASE - i64::from(errno.number()),
             message: message.into(),
             data: Some(data),
@@ -106,12 +106,12 @@
     }
 
     /// An error of JSON-RPC itself.
-    pub fn rpc(code: i64, message: impl Into<String>) -> Fault {
+    pub fn rpc(code: i64, message: impl Into<String>) -> RpcError {
         let data = FaultData {
             errno: Errno::InvalidArgument.name().into(),
             ..FaultData::default()
         };
-        Fault {
+        RpcError {
             code,
             message: message.into(),
             data: Some(data),
@@ -138,11 +138,12 @@
 /// What a session is told at its start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Session {
+pub struct SessionInfo {
     /// Name of the controller.
     pub controller: String,
     /// Another one after each of its starts.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// `drmaa_get_DRM_system`.
     pub drm_system: String,
     /// `drmaa_get_DRMAA_implementation`.
@@ -158,7 +159,8 @@
 #[serde(rename_all = "camelCase", default)]
 pub struct Category {
     /// A second start does no harm.
-    pub safe: bool,
+    #[serde(rename = "safe")]
+    pub is_idempotent: bool,
     /// Wait this many milliseconds before a task of unknown fate is asked for again.
     pub settle_ms: u64,
 }
@@ -269,13 +271,13 @@
 /// What became of a job's ask for a placing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Settled {
+pub struct PlacementResult {
     /// The job.
     pub job_id: String,
     /// The key it was submitted under.
     pub submission_key: String,
     /// The answer.
-    pub outcome: Outcome,
+    pub outcome: PlacementOutcome,
     /// The node, where it is placed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub node: Option<String>,
@@ -287,7 +289,7 @@
 /// The three final answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Outcome {
+pub enum PlacementOutcome {
     /// It runs, or is accepted where the settings say that this confirms.
     Placed,
     /// Turned away: a retry is harmless.
@@ -301,7 +303,7 @@
 /// How a job ended: `drmaa_wait` and the `drmaa_w…` functions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Finished {
+pub struct JobInfo {
     /// The job.
     pub job_id: String,
     /// It ended by itself with this status (`drmaa_wifexited`, `drmaa_wexitstatus`).
--- a/crates/push/src/shares.rs
+++ b/crates/push/src/budget.rs
@@ -5,14 +5,14 @@
 
 /// What the pusher does, as classes of background work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
+pub enum PushTask {
     /// Take the figures and keep them on disk.
-    Take,
+    Collect,
     /// Send a batch of what waits.
     Send,
 }
 
-impl Duty {
+impl PushTask {
     /// Index of its class.
     pub fn class(self) -> usize {
         self as usize
@@ -21,8 +21,8 @@
     /// What a piece of it is expected to cost, before it is known: the order of magnitude of some hundred series.
     pub fn expected(self) -> Cost {
         let cpu = match self {
-            Duty::Take => 2_000.0,
-            Duty::Send => 5_000.0,
+            PushTask::Collect => 2_000.0,
+            PushTask::Send => 5_000.0,
         };
         Cost {
             cpu,
@@ -32,7 +32,7 @@
 }
 
 /// How often the loop's lateness is looked at: a tenth of a second would let a pressed placing wait for five looks.
-pub const LOOK: Micros = 20_000;
+pub const LAG_CHECK_INTERVAL: Micros = 20_000;
 
 /// The background work of a pusher that may take these shares of a second's processor time.
 pub fn settings(
@@ -64,34 +64,34 @@
         pressed_from,
         ages_every: 1_000_000,
         // Many looks long, so that one punctual look between two late ones does not end a pressure.
-        pressure_lasts: 50 * LOOK,
+        pressure_lasts: 50 * LAG_CHECK_INTERVAL,
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use peppercove_background::{Action, Background, Event, WorkId};
+    use peppercove_background::{Action, BackgroundScheduler, Event, WorkId};
 
     #[test]
     fn figures_are_taken_before_others_are_sent() {
-        let mut b = Background::new(
+        let mut b = BackgroundScheduler::new(
             Settings {
                 slots: 1,
                 ..settings(1.0, 0.1, 5_000, 50_000)
             },
             1,
         );
-        let submit = |work, duty: Duty| Event::Submit {
+        let submit = |work, duty: PushTask| Event::Submit {
             work: WorkId(work),
             class: duty.class(),
             cost: duty.expected(),
             deadline: None,
         };
-        b.handle(0, submit(0, Duty::Send));
-        b.handle(1, submit(1, Duty::Send));
-        b.handle(2, submit(2, Duty::Take));
-        let next = b.handle(3, Event::Finished(WorkId(0), Duty::Send.expected()));
+        b.handle(0, submit(0, PushTask::Send));
+        b.handle(1, submit(1, PushTask::Send));
+        b.handle(2, submit(2, PushTask::Collect));
+        let next = b.handle(3, Event::Completed(WorkId(0), PushTask::Send.expected()));
         assert_eq!(next, [Action::Start(WorkId(2))]);
     }
 }
--- a/crates/push/src/sender.rs
+++ b/crates/push/src/client.rs
@@ -12,22 +12,22 @@
 
 /// What bounds the sender, from the settings.
 #[derive(Clone, Copy, Debug)]
-pub struct Settings {
+pub struct ClientSettings {
     /// Version that is tried first.
     pub version: Version,
     /// Records of one batch at most.
     pub batch: usize,
     /// First wait after a failure.
-    pub least: Micros,
+    pub min_backoff: Micros,
     /// Waits double up to this.
-    pub most: Micros,
+    pub max_backoff: Micros,
     /// Batches that may be sent within a second: a backlog of many instances must not all come at once.
     pub per_second: f64,
 }
 
 /// What came of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// An answer with this status, and how long it asks to stay away.
     Status(u16, Option<Micros>),
     /// No answer: connection, time-out.
@@ -36,7 +36,7 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum NextStep {
     /// Send the first so many records of the backlog.
     Send(usize, Version),
     /// Ask again then.
@@ -47,7 +47,7 @@
 
 /// What is to become of the records at the front of the backlog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum BatchDisposition {
     /// The first so many are done with.
     Done(usize),
     /// The first one is refused for good: drop it and count it.
@@ -58,8 +58,8 @@
 
 /// Decides for one receiver.
 #[derive(Debug)]
-pub struct Sender {
-    settings: Settings,
+pub struct RemoteWriteClient {
+    settings: ClientSettings,
     rng: fastrand::Rng,
     version: Version,
     /// The other version was tried for the batch at the front.
@@ -73,13 +73,13 @@
     not_before: Micros,
 }
 
-impl Sender {
+impl RemoteWriteClient {
     /// A sender that has sent nothing. Its first batch leaves at a random moment of the first wait.
-    pub fn new(settings: Settings, now: Micros, seed: u64) -> Sender {
+    pub fn new(settings: ClientSettings, now: Micros, seed: u64) -> RemoteWriteClient {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let not_before = now.saturating_add(rng.u64(0..=settings.least));
+        let not_before = now.saturating_add(rng.u64(0..=settings.min_backoff));
         let (version, size) = (settings.version, settings.batch.max(1));
-        Sender {
+        RemoteWriteClient {
             settings,
             rng,
             version,
@@ -98,25 +98,25 @@
     }
 
     /// What to do, with so many records waiting. After [`Step::Send`] the outcome must be told before it is asked again.
-    pub fn next(&mut self, now: Micros, waiting: usize) -> Step {
+    pub fn next(&mut self, now: Micros, waiting: usize) -> NextStep {
         if waiting == 0 && self.out.is_none() {
-            return Step::Idle;
+            return NextStep::Idle;
         }
         if self.out.is_some() || now < self.not_before {
-            return Step::Wait(self.not_before.max(now + 1));
+            return NextStep::Wait(self.not_before.max(now + 1));
         }
         let count = waiting.min(self.size);
         self.out = Some(count);
-        Step::Send(count, self.version)
+        NextStep::Send(count, self.version)
     }
 
     /// What came of the batch that is out.
-    pub fn told(&mut self, now: Micros, outcome: Outcome) -> Verdict {
+    pub fn on_outcome(&mut self, now: Micros, outcome: RequestOutcome) -> BatchDisposition {
         let Some(count) = self.out.take() else {
-            return Verdict::Keep;
+            return BatchDisposition::Keep;
         };
         match outcome {
-            Outcome::Status(200..=299, _) => {
+            RequestOutcome::Status(200..=299, _) => {
                 (self.wait, self.switched) = (0, false);
                 let pace = if self.settings.per_second > 0.0 {
                     1e6 / self.settings.per_second
@@ -130,9 +130,9 @@
                 } else {
                     self.size = self.suspected.min(self.size.max(1));
                 }
-                Verdict::Done(count)
+                BatchDisposition::Done(count)
             }
-            Outcome::Status(415, _) if !self.switched => {
+            RequestOutcome::Status(415, _) if !self.switched => {
                 self.switched = true;
                 self.version = if self.version == Version::V1 {
                     Version::V2
@@ -140,17 +140,19 @@
                     Version::V1
                 };
                 self.not_before = now;
-                Verdict::Keep
+                BatchDisposition::Keep
             }
-            Outcome::Status(status, after) if status == 429 || !(400..500).contains(&status) => {
+            RequestOutcome::Status(status, after)
+                if status == 429 || !(400..500).contains(&status) =>
+            {
                 self.back_off(now, after);
-                Verdict::Keep
+                BatchDisposition::Keep
             }
-            Outcome::NoAnswer => {
+            RequestOutcome::NoAnswer => {
                 self.back_off(now, None);
-                Verdict::Keep
+                BatchDisposition::Keep
             }
-            Outcome::Status(..) => {
+            RequestOutcome::Status(..) => {
                 self.not_before = now;
                 if count == 1 {
                     self.suspected = self.suspected.saturating_sub(1);
@@ -159,26 +161,26 @@
                     } else {
                         self.suspected
                     };
-                    return Verdict::Drop;
+                    return BatchDisposition::Drop;
                 }
                 // One of these is at fault: looked for by halves, the others get through.
                 self.suspected = self.suspected.max(count);
                 self.size = count.div_ceil(2);
-                Verdict::Keep
+                BatchDisposition::Keep
             }
         }
     }
 
     fn back_off(&mut self, now: Micros, after: Option<Micros>) {
         self.wait = self.wait.saturating_mul(2).clamp(
-            self.settings.least,
-            self.settings.most.max(self.settings.least),
+            self.settings.min_backoff,
+            self.settings.max_backoff.max(self.settings.min_backoff),
         );
         let wait = self.wait / 2 + self.rng.u64(0..=self.wait / 2);
         // A receiver may not ask for longer than the longest wait: it might never come back to us.
         let after = after
             .unwrap_or(0)
-            .min(self.settings.most.max(self.settings.least));
+            .min(self.settings.max_backoff.max(self.settings.min_backoff));
         self.not_before = now.saturating_add(wait.max(after));
     }
 }
--- a/crates/push/src/encode.rs
+++ b/crates/push/src/encode.rs
@@ -125,8 +125,8 @@
         series.entry(&sample.labels).or_default().push(sample);
     }
     for samples in series.values_mut() {
-        samples.sort_by_key(|s| s.at);
-        samples.dedup_by_key(|s| s.at);
+        samples.sort_by_key(|s| s.timestamp_ms);
+        samples.dedup_by_key(|s| s.timestamp_ms);
     }
     series
 }
@@ -156,7 +156,7 @@
                 .iter()
                 .map(|s| v1::Sample {
                     value: s.value,
-                    timestamp: s.at,
+                    timestamp: s.timestamp_ms,
                 })
                 .collect(),
         });
@@ -197,7 +197,7 @@
                 .iter()
                 .map(|s| v1::Sample {
                     value: s.value,
-                    timestamp: s.at,
+                    timestamp: s.timestamp_ms,
                 })
                 .collect(),
             metadata: Some(v2::Metadata {
--- a/crates/push/src/lib.rs
+++ b/crates/push/src/lib.rs
@@ -1,13 +1,13 @@
 //! Prometheus remote write, 1.0 and 2.0 (the specifications of that name by the Prometheus project): what a batch looks
-//! like on the wire ([`encode`]), what waits on disk ([`backlog`]), and what is sent, tried again and dropped
-//! ([`sender`], decisions only).
+//! like on the wire ([`encode`]), what waits on disk ([`wal`]), and what is sent, tried again and dropped
+//! ([`client`], decisions only).
 //!
 //! May use: the figures' points. Must not know: sockets, the core, what a figure means.
 
-pub mod backlog;
+pub mod budget;
+pub mod client;
 pub mod encode;
-pub mod sender;
-pub mod shares;
+pub mod wal;
 
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +19,8 @@
     /// The value; a stale marker is [`STALE`].
     pub value: f64,
     /// Milliseconds since 1970.
-    pub at: i64,
+    #[serde(rename = "at")]
+    pub timestamp_ms: i64,
     /// What the series is, for 2.0.
     pub kind: SeriesKind,
     /// When the series began, in milliseconds since 1970; 0 where it has no beginning.
@@ -44,7 +45,7 @@
 pub fn stale(sample: &Sample, at: i64) -> Sample {
     Sample {
         value: f64::from_bits(STALE),
-        at,
+        timestamp_ms: at,
         ..sample.clone()
     }
 }
@@ -52,13 +53,13 @@
 /// Makes samples of gathered figures, all at one time, with labels that tell this instance apart from others.
 ///
 /// External labels never overrule those of a figure: what the program says of itself stays readable.
-pub fn samples(
-    points: &[peppercove_metrics::Point],
+pub fn to_samples(
+    points: &[peppercove_metrics::MetricPoint],
     external: &[(String, String)],
     at: i64,
     created: i64,
 ) -> Vec<Sample> {
-    let sample = |p: &peppercove_metrics::Point| {
+    let sample = |p: &peppercove_metrics::MetricPoint| {
         let mut labels = p.labels.clone();
         labels.push(("__name__".into(), p.name.clone()));
         let more = external
@@ -79,7 +80,7 @@
         Sample {
             labels,
             value: p.value,
-            at,
+            timestamp_ms: at,
             kind,
             created,
         }
--- a/crates/push/src/backlog.rs
+++ b/crates/push/src/wal.rs
@@ -11,7 +11,7 @@
 
 /// Bounds of a backlog.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct WalLimits {
     /// Bytes on disk, all segments together.
     pub bytes: u64,
     /// Bytes of one segment, after which the next is begun.
@@ -22,7 +22,7 @@
 
 /// Records lost, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lost {
+pub struct LossCounts {
     /// Dropped, oldest first, for room.
     pub room: u64,
     /// Dropped for their age.
@@ -44,16 +44,16 @@
 
 /// A backlog in a folder of its own. One process at a time may have it open.
 #[derive(Debug)]
-pub struct Backlog {
+pub struct WriteAheadLog {
     folder: PathBuf,
-    bounds: Bounds,
+    bounds: WalLimits,
     /// Numbers and sizes of the segments, oldest first; the last one is written.
     segments: std::collections::VecDeque<(u64, u64)>,
     writer: Option<File>,
     /// Where reading goes on, in the oldest segment.
     offset: u64,
     /// Records that wait in each segment are counted where they are read or written in this life.
-    lost: Lost,
+    lost: LossCounts,
     _lock: File,
 }
 
@@ -61,12 +61,12 @@
 /// Longest payload; a longer length is damage.
 const LONGEST: u32 = 16 << 20;
 
-impl Backlog {
+impl WriteAheadLog {
     /// Opens the backlog of a folder, making it where there is none, and goes on from where it was.
     ///
     /// # Errors
     /// Where the folder cannot be read or made, or another process has it open.
-    pub fn open(folder: &Path, bounds: Bounds) -> io::Result<Backlog> {
+    pub fn open(folder: &Path, bounds: WalLimits) -> io::Result<WriteAheadLog> {
         fs::create_dir_all(folder)?;
         let lock = OpenOptions::new()
             .create(true)
@@ -103,8 +103,8 @@
             0
         };
         let segments = numbers.into();
-        let (folder, lost) = (folder.to_owned(), Lost::default());
-        let mut backlog = Backlog {
+        let (folder, lost) = (folder.to_owned(), LossCounts::default());
+        let mut backlog = WriteAheadLog {
             folder,
             bounds,
             segments,
@@ -119,7 +119,7 @@
     }
 
     /// Records lost so far in this life.
-    pub fn lost(&self) -> Lost {
+    pub fn lost(&self) -> LossCounts {
         self.lost
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// The first `count` records are done with.
-    pub fn done(&mut self, count: usize) {
+    pub fn acknowledge(&mut self, count: usize) {
         if count == 0 {
             return;
         }
--- a/crates/push/tests/push.rs
+++ b/crates/push/tests/push.rs
@@ -1,9 +1,11 @@
 //! Encoders against independent decoding, the backlog under damage, the sender under every answer.
 
-use peppercove_push::backlog::{Backlog, Bounds, Lost};
+use peppercove_push::client::{
+    BatchDisposition, ClientSettings, NextStep, RemoteWriteClient, RequestOutcome,
+};
 use peppercove_push::encode::{Version, encode};
-use peppercove_push::sender::{Outcome, Sender, Settings, Step, Verdict};
-use peppercove_push::{STALE, Sample, SeriesKind, samples, stale};
+use peppercove_push::wal::{LossCounts, WalLimits, WriteAheadLog};
+use peppercove_push::{STALE, Sample, SeriesKind, stale, to_samples};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::fs;
@@ -139,7 +141,7 @@
     let sample = (labels, any::<u64>(), any::<i64>()).prop_map(|(labels, bits, at)| Sample {
         labels: labels.into_iter().collect(),
         value: f64::from_bits(bits),
-        at,
+        timestamp_ms: at,
         kind: SeriesKind::Gauge,
         created: 0,
     });
@@ -151,7 +153,7 @@
     fn what_is_encoded_is_decoded_by_another(all in any_samples()) {
         let mut wanted = Series::new();
         for s in &all {
-            wanted.entry(s.labels.clone()).or_default().push((s.value.to_bits(), s.at));
+            wanted.entry(s.labels.clone()).or_default().push((s.value.to_bits(), s.timestamp_ms));
         }
         for samples in wanted.values_mut() {
             samples.sort_by_key(|s| s.1);
@@ -167,10 +169,10 @@
         counts in prop::collection::vec(1..20usize, 1..5), flip in any::<Option<u16>>(), torn in 0..30u64,
     ) {
         let folder = tempfile::tempdir().unwrap();
-        let bounds = Bounds { bytes: 1 << 20, segment: 200, age: i64::MAX };
+        let bounds = WalLimits { bytes: 1 << 20, segment: 200, age: i64::MAX };
         let mut written = Vec::new();
         for count in &counts {
-            let mut backlog = Backlog::open(folder.path(), bounds).unwrap();
+            let mut backlog = WriteAheadLog::open(folder.path(), bounds).unwrap();
             for _ in 0..*count {
                 let n = written.len() as i64;
                 backlog.append(n, format!("record {n}").as_bytes());
@@ -189,7 +191,7 @@
         }
         bytes.truncate(bytes.len() - (torn as usize).min(bytes.len()));
         fs::write(&files[largest], &bytes).unwrap();
-        let mut backlog = Backlog::open(folder.path(), bounds).unwrap();
+        let mut backlog = WriteAheadLog::open(folder.path(), bounds).unwrap();
         let mut read = Vec::new();
         loop {
             let records = backlog.peek(0, 7);
@@ -198,7 +200,7 @@
             for r in &records {
                 prop_assert_eq!(&r.payload, &format!("record {}", r.at).into_bytes());
             }
-            backlog.done(records.len());
+            backlog.acknowledge(records.len());
         }
         prop_assert!(read.is_sorted_by(|a, b| a < b), "in order, none twice: {:?}", read);
         let harmed = flip.is_some() || torn > 0;
@@ -213,29 +215,29 @@
 #[test]
 fn a_restart_goes_on_from_what_was_done() {
     let folder = tempfile::tempdir().unwrap();
-    let bounds = Bounds {
+    let bounds = WalLimits {
         bytes: 1 << 20,
         segment: 100,
         age: 1_000,
     };
-    let mut backlog = Backlog::open(folder.path(), bounds).unwrap();
+    let mut backlog = WriteAheadLog::open(folder.path(), bounds).unwrap();
     (0..10).for_each(|i| backlog.append(i, b"0123456789"));
     assert!(
-        Backlog::open(folder.path(), bounds).is_err(),
+        WriteAheadLog::open(folder.path(), bounds).is_err(),
         "one process at a time"
     );
     assert_eq!(backlog.peek(0, 3).len(), 3);
-    backlog.done(3);
+    backlog.acknowledge(3);
     drop(backlog);
-    let mut backlog = Backlog::open(folder.path(), bounds).unwrap();
+    let mut backlog = WriteAheadLog::open(folder.path(), bounds).unwrap();
     assert_eq!(backlog.peek(0, 1)[0].at, 3);
     // Records 3 to 6 are older than the bound.
     assert_eq!(backlog.peek(1_007, 1)[0].at, 7);
     assert_eq!(
         backlog.lost(),
-        Lost {
+        LossCounts {
             age: 4,
-            ..Lost::default()
+            ..LossCounts::default()
         }
     );
 }
@@ -243,9 +245,9 @@
 #[test]
 fn room_is_made_oldest_first_and_counted() {
     let folder = tempfile::tempdir().unwrap();
-    let mut backlog = Backlog::open(
+    let mut backlog = WriteAheadLog::open(
         folder.path(),
-        Bounds {
+        WalLimits {
             bytes: 300,
             segment: 100,
             age: i64::MAX,
@@ -257,43 +259,43 @@
     assert!(backlog.bytes() <= 300 && first > 30);
     assert_eq!(
         backlog.lost(),
-        Lost {
+        LossCounts {
             room: first as u64,
-            ..Lost::default()
+            ..LossCounts::default()
         },
         "made = kept + counted"
     );
 }
 
-fn sender() -> Sender {
-    let settings = Settings {
+fn sender() -> RemoteWriteClient {
+    let settings = ClientSettings {
         version: Version::V2,
         batch: 8,
-        least: 1_000,
-        most: 16_000,
+        min_backoff: 1_000,
+        max_backoff: 16_000,
         per_second: 0.0,
     };
-    Sender::new(settings, 0, 1)
+    RemoteWriteClient::new(settings, 0, 1)
 }
 
 #[test]
 fn failures_that_may_pass_wait_and_keep_the_batch() {
     let mut s = sender();
     assert!(
-        matches!(s.next(0, 20), Step::Wait(_)),
+        matches!(s.next(0, 20), NextStep::Wait(_)),
         "the first batch is scattered"
     );
     let mut now = 2_000;
     let mut waits = Vec::new();
     for outcome in [
-        Outcome::NoAnswer,
-        Outcome::Status(503, None),
-        Outcome::Status(500, None),
-        Outcome::Status(429, None),
+        RequestOutcome::NoAnswer,
+        RequestOutcome::Status(503, None),
+        RequestOutcome::Status(500, None),
+        RequestOutcome::Status(429, None),
     ] {
-        assert_eq!(s.next(now, 20), Step::Send(8, Version::V2));
-        assert_eq!(s.told(now, outcome), Verdict::Keep);
-        let Step::Wait(at) = s.next(now, 20) else {
+        assert_eq!(s.next(now, 20), NextStep::Send(8, Version::V2));
+        assert_eq!(s.on_outcome(now, outcome), BatchDisposition::Keep);
+        let NextStep::Wait(at) = s.next(now, 20) else {
             panic!("it waits")
         };
         waits.push(at - now);
@@ -304,28 +306,34 @@
     }
     s.next(now, 20);
     assert_eq!(
-        s.told(now, Outcome::Status(429, Some(12_000))),
-        Verdict::Keep
+        s.on_outcome(now, RequestOutcome::Status(429, Some(12_000))),
+        BatchDisposition::Keep
     );
     assert!(
-        matches!(s.next(now, 20), Step::Wait(at) if at >= now + 12_000),
+        matches!(s.next(now, 20), NextStep::Wait(at) if at >= now + 12_000),
         "Retry-After is kept"
     );
     s.next(now + 20_000, 20);
     assert_eq!(
-        s.told(now + 20_000, Outcome::Status(204, None)),
-        Verdict::Done(8)
+        s.on_outcome(now + 20_000, RequestOutcome::Status(204, None)),
+        BatchDisposition::Done(8)
     );
-    assert_eq!(s.next(now + 20_000, 0), Step::Idle);
+    assert_eq!(s.next(now + 20_000, 0), NextStep::Idle);
 }
 
 #[test]
 fn a_receiver_of_the_other_version_is_served_in_it() {
     let mut s = sender();
-    assert_eq!(s.next(2_000, 3), Step::Send(3, Version::V2));
-    assert_eq!(s.told(2_000, Outcome::Status(415, None)), Verdict::Keep);
-    assert_eq!(s.next(2_000, 3), Step::Send(3, Version::V1));
-    assert_eq!(s.told(2_000, Outcome::Status(200, None)), Verdict::Done(3));
+    assert_eq!(s.next(2_000, 3), NextStep::Send(3, Version::V2));
+    assert_eq!(
+        s.on_outcome(2_000, RequestOutcome::Status(415, None)),
+        BatchDisposition::Keep
+    );
+    assert_eq!(s.next(2_000, 3), NextStep::Send(3, Version::V1));
+    assert_eq!(
+        s.on_outcome(2_000, RequestOutcome::Status(200, None)),
+        BatchDisposition::Done(3)
+    );
     assert_eq!(s.version(), Version::V1);
 }
 
@@ -339,20 +347,20 @@
         let (mut taken, mut dropped, mut now, mut sends) = (Vec::new(), Vec::new(), 2_000, 0);
         loop {
             match s.next(now, left.len()) {
-                Step::Idle => break,
-                Step::Wait(at) => now = at,
-                Step::Send(count, _) => {
+                NextStep::Idle => break,
+                NextStep::Wait(at) => now = at,
+                NextStep::Send(count, _) => {
                     sends += 1;
                     let refused = left.iter().take(count).any(|r| bad.contains(r));
                     let outcome = match rng.u8(0..4) {
-                        0 => Outcome::NoAnswer,
-                        _ if refused => Outcome::Status(400, None),
-                        _ => Outcome::Status(200, None),
+                        0 => RequestOutcome::NoAnswer,
+                        _ if refused => RequestOutcome::Status(400, None),
+                        _ => RequestOutcome::Status(200, None),
                     };
-                    match s.told(now, outcome) {
-                        Verdict::Done(n) => taken.extend(left.drain(..n)),
-                        Verdict::Drop => dropped.extend(left.pop_front()),
-                        Verdict::Keep => {}
+                    match s.on_outcome(now, outcome) {
+                        BatchDisposition::Done(n) => taken.extend(left.drain(..n)),
+                        BatchDisposition::Drop => dropped.extend(left.pop_front()),
+                        BatchDisposition::Keep => {}
                     }
                 }
             }
@@ -367,16 +375,16 @@
 fn samples_tell_instances_apart_and_end_with_a_marker() {
     let metrics = peppercove_metrics::Metrics::new();
     metrics
-        .set(peppercove_metrics::OPEN_ASKS, &[], 3.0)
+        .set(peppercove_metrics::OPEN_REQUESTS, &[], 3.0)
         .unwrap();
     metrics
-        .add(peppercove_metrics::TURNED_AWAY, &["full"], 2.0)
+        .add(peppercove_metrics::SUBMISSIONS_REJECTED, &["full"], 2.0)
         .unwrap();
     let external = [
         ("instance".to_owned(), "c1".to_owned()),
         ("reason".to_owned(), "overruled".to_owned()),
     ];
-    let all = samples(&metrics.gather(), &external, 1_000, 500);
+    let all = to_samples(&metrics.gather(), &external, 1_000, 500);
     let label = |s: &Sample, n: &str| {
         s.labels
             .iter()
@@ -395,7 +403,7 @@
     );
     let end = stale(counter, 2_000);
     assert_eq!(
-        (end.value.to_bits(), end.at, &end.labels),
+        (end.value.to_bits(), end.timestamp_ms, &end.labels),
         (STALE, 2_000, &counter.labels)
     );
 }
--- a/crates/scale/src/page/need.rs
+++ b/crates/scale/src/page/need.rs
@@ -4,7 +4,7 @@
 use crate::row::Axis;
 use crate::target::{Assumed, Target};
 use anyhow::{Context, Result, ensure};
-use peppercove_platform::feed::max_line_bytes;
+use peppercove_platform::endpoint_watch::max_line_bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -107,7 +107,10 @@
                 max_line_bytes((target.memory_bytes / 1e6) as u64) as f64,
                 "bytes",
             ),
-            Budget::Frame => (peppercove_protocol::codec::LIST_FRAME as f64, "bytes"),
+            Budget::Frame => (
+                peppercove_protocol::codec::MAX_LIST_FRAME_BYTES as f64,
+                "bytes",
+            ),
             Budget::InForce => (target.in_force_s, "s"),
             Budget::UrgentStart => (target.urgent_start_s, "s"),
             Budget::None => return None,
--- a/crates/scale/src/roles/controller.rs
+++ b/crates/scale/src/roles/controller.rs
@@ -50,7 +50,7 @@
         Measure::counted(
             "whole_list_of_longest",
             "share",
-            whole / peppercove_protocol::codec::LIST_FRAME as f64,
+            whole / peppercove_protocol::codec::MAX_LIST_FRAME_BYTES as f64,
         ),
     ];
     let bare = resident()?;
--- a/crates/scale/src/roles/controller/rig.rs
+++ b/crates/scale/src/roles/controller/rig.rs
@@ -15,9 +15,11 @@
 };
 use peppercove_fleet::{NodeSubset, SubsetScheduler};
 use peppercove_protocol::VERSION;
-use peppercove_protocol::codec::{LIST_FRAME, Messages, NODE_FRAME};
-use peppercove_protocol::list::{FromList, Line, NodeState, Scope, ToList};
-use peppercove_protocol::node::{AttemptId, End, FromNode, Party, Reason, Report, ToNode, Usage};
+use peppercove_protocol::codec::{MAX_LIST_FRAME_BYTES, MAX_NODE_FRAME_BYTES, MessageCodec};
+use peppercove_protocol::list::{FromList, ListEntry, NodeState, Scope, ToList};
+use peppercove_protocol::node::{
+    AttemptId, FromNode, NodeLoad, NodeReason, ProcessIdentity, TaskExit, ToNode, Usage,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 use tokio_util::codec::Decoder;
@@ -71,7 +73,10 @@
     pub fn new(at: &At) -> Result<Rig> {
         let cluster = Cluster::new(at).held_by(HOLDERS);
         let config = config(&cluster)?;
-        let module = NodeSubset::new(Scheduler::new(config.module.clone(), 1), &config.module);
+        let module = NodeSubset::new(
+            Scheduler::new(config.scheduler.clone(), 1),
+            &config.scheduler,
+        );
         let mut held: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
         for n in 0..at.standing {
             held.entry(cluster.machine_of(n)).or_default().push(n);
@@ -144,7 +149,11 @@
             let Some((node, message)) = encode_output(&self.config, 0, output, job) else {
                 return Ok(None);
             };
-            Ok(Some((node, encoded(&message, NODE_FRAME)?, message)))
+            Ok(Some((
+                node,
+                encoded(&message, MAX_NODE_FRAME_BYTES)?,
+                message,
+            )))
         });
         let sent: Result<Option<(NodeId, BytesMut, ToNode)>> = sent;
         let Some((node, bytes, message)) = sent? else {
@@ -158,7 +167,11 @@
 
     fn at_node(&mut self, node: u64, message: &ToNode) {
         match message {
-            ToNode::Offer { attempt, work, .. } => {
+            ToNode::Offer {
+                attempt,
+                task: work,
+                ..
+            } => {
                 let attempt = *attempt;
                 let service = peppercove::ServiceId(work.service);
                 let (took, word) = self.cluster.answer(NodeId(node), service);
@@ -176,14 +189,14 @@
                             load: None,
                         }
                     }
-                    Word::Refused => FromNode::Refused {
+                    Word::Refused => FromNode::Rejected {
                         attempt,
-                        reason: Reason::NoCores,
+                        reason: NodeReason::InsufficientCores,
                         load,
                     },
                     Word::Error => FromNode::Ended {
                         attempt,
-                        end: End::Error,
+                        end: TaskExit::Error,
                         load,
                     },
                 };
@@ -192,18 +205,20 @@
                     Happens::News(node, Box::new(news)),
                 );
             }
-            ToNode::Adopt { named, .. } => self.standing.push_back((*named, node)),
+            ToNode::Adopt {
+                new_attempt: named, ..
+            } => self.standing.push_back((*named, node)),
             _ => {}
         }
     }
 
-    fn report(&mut self, node: u64) -> Report {
+    fn report(&mut self, node: u64) -> NodeLoad {
         let [cores, memory] = self.cluster.free(node);
-        Report {
+        NodeLoad {
             free_cores: Some(cores),
             free_memory: Some(memory),
-            busy: Some(0.5),
-            waiting: Some(0.0),
+            cpu_utilization: Some(0.5),
+            queue_depth: Some(0.0),
         }
     }
 
@@ -215,17 +230,18 @@
                 "running"
             }
             FromNode::Ended {
-                end: End::Exited { .. },
+                end: TaskExit::Exited { .. },
                 ..
             } => "end",
             _ => "refused",
         };
-        let mut bytes = encoded(message, NODE_FRAME)?;
+        let mut bytes = encoded(message, MAX_NODE_FRAME_BYTES)?;
         self.count("node_in", 1, bytes.len());
         let machine = node_id_of(address(node));
         let mut reply = None;
         self.input(kind, || {
-            let message = Messages::<FromNode, ToNode>::new(NODE_FRAME).decode(&mut bytes)?;
+            let message =
+                MessageCodec::<FromNode, ToNode>::new(MAX_NODE_FRAME_BYTES).decode(&mut bytes)?;
             let DecodedMessage {
                 input,
                 reply: answer,
@@ -234,7 +250,7 @@
             input.context("news")
         })?;
         if let Some(reply) = reply {
-            self.count("node_out", 1, encoded(&reply, NODE_FRAME)?.len());
+            self.count("node_out", 1, encoded(&reply, MAX_NODE_FRAME_BYTES)?.len());
         }
         Ok(())
     }
@@ -248,26 +264,26 @@
             let (free_cores, free_memory) = (Some(cores), Some(memory));
             let (state, kind, life, age) = (NodeState::Ready, 0, 1, None);
             let (address, name) = (address(i), name(i));
-            lines.push(Line {
+            lines.push(ListEntry {
                 address,
                 name,
                 state,
                 kind,
                 rack,
                 zone,
-                life,
+                incarnation: life,
                 age,
                 free_cores,
                 free_memory,
             });
         }
         self.generation += 1;
-        let news = FromList::News {
+        let news = FromList::Update {
             generation: self.generation,
             scope,
-            lines,
+            entries: lines,
         };
-        Ok(encoded(&news, LIST_FRAME)?.freeze())
+        Ok(encoded(&news, MAX_LIST_FRAME_BYTES)?.freeze())
     }
 
     /// The frame of the whole list.
@@ -287,7 +303,8 @@
         self.count(kind, 1, frame.len());
         let mut bytes = BytesMut::from(&frame[..]);
         self.input(kind, || {
-            let news = Messages::<FromList, ToList>::new(LIST_FRAME).decode(&mut bytes)?;
+            let news =
+                MessageCodec::<FromList, ToList>::new(MAX_LIST_FRAME_BYTES).decode(&mut bytes)?;
             node_list_input(news.context("a whole frame")?).context("news of the list")
         })
     }
@@ -311,19 +328,19 @@
             "adopted"
         };
         self.links += 1;
-        let party = Party {
+        let party = ProcessIdentity {
             name: name(node),
-            life: 1,
+            incarnation: 1,
         };
         let standing = tasks.len() as u32;
         let mut bytes = encoded(
             &FromNode::Welcome {
                 version: VERSION,
                 node: party,
-                standing,
-                whole: true,
+                known_tasks: standing,
+                is_complete: true,
             },
-            NODE_FRAME,
+            MAX_NODE_FRAME_BYTES,
         )?;
         for task in tasks {
             let submission = submission(&self.cluster, task, &self.cluster.standing(task));
@@ -332,13 +349,13 @@
                 request: task,
                 number: 0,
             };
-            let told = FromNode::Standing {
-                life: LIFE - 1,
+            let told = FromNode::KnownTask {
+                incarnation: LIFE - 1,
                 attempt,
-                work,
+                task: work,
                 ended: None,
             };
-            bytes.extend_from_slice(&encoded(&told, NODE_FRAME)?);
+            bytes.extend_from_slice(&encoded(&told, MAX_NODE_FRAME_BYTES)?);
         }
         let (machine, name, most) = (
             node_id_of(address(node)),
@@ -347,7 +364,7 @@
         );
         self.input(kind, || {
             let mut greeting = Handshake::new(machine, &name, most);
-            let mut codec = Messages::<FromNode, ToNode>::new(NODE_FRAME);
+            let mut codec = MessageCodec::<FromNode, ToNode>::new(MAX_NODE_FRAME_BYTES);
             loop {
                 let message = codec.decode(&mut bytes)?.context("a whole greeting")?;
                 if let HandshakeProgress::Complete(_, up) = greeting.on_message(message)? {
@@ -382,7 +399,7 @@
                 node,
                 &FromNode::Ended {
                     attempt,
-                    end: End::Exited { status: 0, usage },
+                    end: TaskExit::Exited { status: 0, usage },
                     load,
                 },
             )?;
--- a/crates/scale/src/roles/controller/words.rs
+++ b/crates/scale/src/roles/controller/words.rs
@@ -6,24 +6,24 @@
 use peppercove::{NodeId, PlacementRequest};
 use peppercove_config::{Config, embedded_default};
 use peppercove_core::{Program, Submission};
-use peppercove_protocol::codec::Messages;
+use peppercove_protocol::codec::MessageCodec;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio_util::codec::Encoder;
 
 /// The settings: what is sent is written down, as it has to be where no repeat may do harm.
 pub fn config(cluster: &Cluster) -> Result<Config> {
     let mut config = Config::parse(embedded_default())?;
-    config.module = cluster.settings();
+    config.scheduler = cluster.settings();
     config.classes = (0..cluster.at.classes).map(|i| format!("c{i}")).collect();
-    config.journal = Some("journal".into());
+    config.journal_path = Some("journal".into());
     // Bounds that no size of the sweeps meets.
     let most = 1 << 20;
     (
         config.limits.jobs,
-        config.limits.open_asks,
+        config.limits.open_requests,
         config.limits.session_jobs,
     ) = (most, most, most);
-    config.limits.doubtful = most;
+    config.limits.ambiguous_tasks = most;
     Ok(config)
 }
 
@@ -45,7 +45,7 @@
 /// The frame of a message.
 pub fn encoded<T: serde::Serialize>(message: &T, longest: usize) -> Result<BytesMut> {
     let mut bytes = BytesMut::new();
-    Messages::<(), T>::new(longest).encode(message, &mut bytes)?;
+    MessageCodec::<(), T>::new(longest).encode(message, &mut bytes)?;
     Ok(bytes)
 }
 
--- a/crates/scale/src/roles/discovery.rs
+++ b/crates/scale/src/roles/discovery.rs
@@ -5,10 +5,10 @@
 use crate::row::{At, Axis, Basis, Measure};
 use anyhow::{Context, Result};
 use bytes::BytesMut;
-use peppercove_platform::feed::{
+use peppercove_platform::endpoint_watch::{
     self, EndpointWatchError, SequenceCheck, WatchLine, check_sequence, max_line_bytes,
 };
-use peppercove_protocol::codec::{LIST_FRAME, Messages};
+use peppercove_protocol::codec::{MAX_LIST_FRAME_BYTES, MessageCodec};
 use peppercove_protocol::list::{self, FromList, NodeState, Scope, ToList};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Instant;
@@ -67,7 +67,7 @@
 ) -> Result<Option<(WatchLine, SequenceCheck)>, EndpointWatchError> {
     let (mut buffer, mut lines) = (
         BytesMut::new(),
-        feed::LineDecoder::new(max_line_bytes(GRANTED.1)),
+        endpoint_watch::LineDecoder::new(max_line_bytes(GRANTED.1)),
     );
     for part in text.as_bytes().chunks(AT_ONCE) {
         buffer.extend_from_slice(part);
@@ -81,22 +81,22 @@
 
 /// The list of the nodes as frames: the whole, or one node that changed.
 pub fn news(nodes: u64, scope: Scope) -> FromList {
-    let line = |i: u64| list::Line {
+    let line = |i: u64| list::ListEntry {
         address: SocketAddrV4::new(Ipv4Addr::from(0x0a01_0000 + i as u32), 5070),
         name: format!("s-{i:08x}"),
         state: NodeState::Ready,
         kind: 0,
         rack: (i / 40) as u16,
         zone: (i % 3) as u8,
-        life: 1,
+        incarnation: 1,
         age: None,
         free_cores: Some(32.0),
         free_memory: Some(64.0),
     };
-    FromList::News {
+    FromList::Update {
         generation: 1,
         scope,
-        lines: (0..nodes).map(line).collect(),
+        entries: (0..nodes).map(line).collect(),
     }
 }
 
@@ -150,7 +150,7 @@
 fn frames(at: &At, repeats: usize, out: &mut Vec<Measure>) -> Result<()> {
     let encode = |news: &FromList| {
         let mut frame = BytesMut::new();
-        Messages::<ToList, FromList>::new(LIST_FRAME)
+        MessageCodec::<ToList, FromList>::new(MAX_LIST_FRAME_BYTES)
             .encode(news, &mut frame)
             .map(|()| frame)
     };
@@ -166,7 +166,7 @@
             encode(news).context("a list")
         })?);
         out.extend(timed(&format!("{name}_read_time"), repeats, || {
-            let mut link = Messages::<FromList, ToList>::new(LIST_FRAME);
+            let mut link = MessageCodec::<FromList, ToList>::new(MAX_LIST_FRAME_BYTES);
             link.decode(&mut frame.clone())?.context("a whole frame")
         })?);
     }
--- a/crates/scale/src/roles/serve/rig.rs
+++ b/crates/scale/src/roles/serve/rig.rs
@@ -8,7 +8,7 @@
 use peppercove::{Micros, Scheduler, ServiceId};
 use peppercove_core::Timers;
 use peppercove_fleet::{NodeSubset, SubsetScheduler};
-use peppercove_platform::feed::{EndpointEvent, LineDecoder, WatchLine, max_line_bytes};
+use peppercove_platform::endpoint_watch::{EndpointEvent, LineDecoder, WatchLine, max_line_bytes};
 use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
 use peppercove_platform::{Bounds, ClientId, Input, NodeConnectionId, Output, PlatformEngine};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/scale/src/roles/serve/words.rs
+++ b/crates/scale/src/roles/serve/words.rs
@@ -3,7 +3,7 @@
 use crate::load::{Cluster, SECOND};
 use crate::row::At;
 use peppercove::PlacementRequest;
-use peppercove::wire::RecordSchema;
+use peppercove::adapter_protocol::RecordSchema;
 use peppercove_platform::config::{Config, InitialEndpoints, Limits};
 use peppercove_platform::wire::{Message, MessageKind, code};
 use std::fmt::Write;
