--- a/crates/scale/src/standins.rs
+++ b/crates/scale/src/standins.rs
@@ -6,13 +6,13 @@
 use bytes::BytesMut;
 use peppercove_config::{Config, embedded_default};
 use peppercove_controller::Controller;
-use peppercove_day::cluster::spec;
-use peppercove_drmaa::{JobTemplate, Outcome, Session};
-use peppercove_protocol::codec::NODE_FRAME;
+use peppercove_day::cluster::node_spec;
+use peppercove_drmaa::{JobTemplate, PlacementOutcome, Session};
+use peppercove_protocol::codec::MAX_NODE_FRAME_BYTES;
 use peppercove_standins::Clock;
-use peppercove_standins::list::List;
-use peppercove_standins::model::Shared;
-use peppercove_standins::node::Node;
+use peppercove_standins::list::FakeNodeList;
+use peppercove_standins::node::FakeNode;
+use peppercove_standins::node_model::FleetState;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::{Arc, Mutex, PoisonError, mpsc};
 use std::time::Duration;
@@ -83,7 +83,7 @@
         set("drmaa_native_specification", "life=5ms");
         let job = session.run_job(&template)?;
         let settled = session.outcome(&job, Some(LONG))?;
-        if settled.outcome == Outcome::Placed {
+        if settled.outcome == PlacementOutcome::Placed {
             placed += 1;
             session.wait(&job, Some(LONG))?;
         }
@@ -111,13 +111,14 @@
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
-        let (clock, shared) = (Clock::default(), Shared::default());
-        let list = List::start(clock, 100_000, Duration::from_millis(250)).await?;
+        let (clock, shared) = (Clock::default(), FleetState::default());
+        let list = FakeNodeList::start(clock, 100_000, Duration::from_millis(250)).await?;
         for i in 0..nodes {
-            let one = Node::start(spec(&config, i), shared.clone(), clock, i as u64).await?;
+            let one =
+                FakeNode::start(node_spec(&config, i), shared.clone(), clock, i as u64).await?;
             let frames = || {
                 let mut frames = LengthDelimitedCodec::builder()
-                    .max_frame_length(NODE_FRAME)
+                    .max_frame_length(MAX_NODE_FRAME_BYTES)
                     .new_codec();
                 move |bytes: &mut BytesMut| frames.decode(bytes).is_ok_and(|f| f.is_some())
             };
@@ -126,7 +127,7 @@
                 relay(one.address().into(), node.clone(), frames).await?,
             );
         }
-        config.listen.node_list = list.address().into();
+        config.network.node_list = list.address().into();
         let controller = Controller::start(config).await?;
         while controller.status().connected_nodes < nodes {
             tokio::time::sleep(Duration::from_millis(2)).await;
--- a/crates/scale/tests/around.rs
+++ b/crates/scale/tests/around.rs
@@ -1,7 +1,7 @@
 //! How what is around a scheduler grows: counted figures alone, at sizes a factor of eight apart. No times.
 
-use peppercove_platform::feed::SequenceCheck;
-use peppercove_protocol::codec::LIST_FRAME;
+use peppercove_platform::endpoint_watch::SequenceCheck;
+use peppercove_protocol::codec::MAX_LIST_FRAME_BYTES;
 use peppercove_protocol::list::Scope;
 use peppercove_scale::platform::{config, hosts, settings};
 use peppercove_scale::roles::discovery::{lines, news, take};
@@ -36,7 +36,7 @@
     let whole = grown(bytes(400, Scope::Full), bytes(400 * FACTOR, Scope::Full));
     assert!(whole <= FACTOR as f64 * 1.03, "{whole}");
     // The largest cluster that sizes are stated for must fit into one frame.
-    assert!(bytes(13_000, Scope::Full) < LIST_FRAME as u64);
+    assert!(bytes(13_000, Scope::Full) < MAX_LIST_FRAME_BYTES as u64);
 }
 
 #[test]
--- a/crates/serve/src/feed.rs
+++ b/crates/serve/src/feed.rs
@@ -3,7 +3,7 @@
 use crate::shell::Shell;
 use bytes::BytesMut;
 use peppercove_platform::Input;
-use peppercove_platform::feed::{
+use peppercove_platform::endpoint_watch::{
     EndpointWatchError, LineDecoder, SILENT, SequenceCheck, WatchLine, check_sequence,
 };
 use std::io;
--- a/crates/serve/src/shell.rs
+++ b/crates/serve/src/shell.rs
@@ -4,7 +4,7 @@
 use peppercove::{Micros, Scheduler};
 use peppercove_fleet::{NodeSubset, SubsetScheduler};
 use peppercove_platform::config::Config;
-use peppercove_platform::feed::max_line_bytes;
+use peppercove_platform::endpoint_watch::max_line_bytes;
 use peppercove_platform::wire::Message;
 use peppercove_platform::{
     Bounds, ClientId, Counters, Input, NodeConnectionId, Output, PlatformEngine,
@@ -50,7 +50,7 @@
     pub(crate) watch: Notify,
     /// The journal service has another address.
     pub(crate) moved: Notify,
-    known: RefCell<Vec<peppercove_platform::feed::EndpointEvent>>,
+    known: RefCell<Vec<peppercove_platform::endpoint_watch::EndpointEvent>>,
     owners: RefCell<BTreeMap<ClientId, Rc<Connection>>>,
     next_owner: Cell<u64>,
     /// Connections taken and reads from them, as a count that only a quiet front leaves alone.
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,13 +1,13 @@
 //! Stand-ins for what a controller talks to: nodes with faults, and the node list. Only for tests and experiments.
 //!
-//! [`model`] is the behaviour of one node without sockets; [`node`] puts it behind one; [`list`] is the node list.
+//! [`node_model`] is the behaviour of one node without sockets; [`node`] puts it behind one; [`list`] is the node list.
 //! They share the frames with the controller and nothing else. Everything binds to loopback, port 0.
 
 pub mod list;
-pub mod model;
 pub mod node;
+pub mod node_model;
+pub mod node_registry;
 pub mod receiver;
-pub mod roster;
 
 use std::time::Instant;
 
@@ -26,12 +26,12 @@
 
 impl Clock {
     /// Microseconds since the beginning.
-    pub fn now(&self) -> model::Micros {
+    pub fn now(&self) -> node_model::Micros {
         u64::try_from(self.0.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
     /// The instant of a time.
-    pub fn instant(&self, at: model::Micros) -> tokio::time::Instant {
+    pub fn instant(&self, at: node_model::Micros) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + std::time::Duration::from_micros(at))
     }
 }
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -1,11 +1,11 @@
 //! The node list: whole lists, changes, generations, lateness, and being out of reach.
 
-use crate::model::Micros;
-use crate::node::Node;
-use crate::roster::{Facts, Roster};
+use crate::node::FakeNode;
+use crate::node_model::Micros;
+use crate::node_registry::{Facts, NodeRegistry};
 use crate::{Clock, QUEUE};
 use futures_util::{SinkExt, StreamExt};
-use peppercove_protocol::codec::{LIST_FRAME, Messages};
+use peppercove_protocol::codec::{MAX_LIST_FRAME_BYTES, MessageCodec};
 use peppercove_protocol::list::{FromList, NodeState, ToList};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,8 +28,8 @@
 }
 
 struct State {
-    nodes: BTreeMap<SocketAddrV4, Node>,
-    roster: Roster,
+    nodes: BTreeMap<SocketAddrV4, FakeNode>,
+    roster: NodeRegistry,
     watchers: Vec<mpsc::Sender<FromList>>,
     down: bool,
 }
@@ -42,22 +42,22 @@
 
 /// A stand-in node list on loopback.
 #[derive(Clone)]
-pub struct List {
+pub struct FakeNodeList {
     inner: Rc<Inner>,
     address: SocketAddrV4,
 }
 
-impl List {
+impl FakeNodeList {
     /// Starts a list that tells changes `late` and refreshes free room every `refresh`; within a `LocalSet`.
     ///
     /// # Errors
     /// Where no port can be had.
-    pub async fn start(clock: Clock, late: Micros, refresh: Duration) -> io::Result<List> {
+    pub async fn start(clock: Clock, late: Micros, refresh: Duration) -> io::Result<FakeNodeList> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let SocketAddr::V4(address) = listener.local_addr()? else {
             return Err(io::Error::other("an IPv4 address was expected"));
         };
-        let roster = Roster::new(late, refresh.as_micros() as Micros);
+        let roster = NodeRegistry::new(late, refresh.as_micros() as Micros);
         let state = State {
             nodes: BTreeMap::new(),
             roster,
@@ -71,7 +71,7 @@
         });
         spawn_local(accept(inner.clone(), listener));
         spawn_local(publish(inner.clone()));
-        Ok(List { inner, address })
+        Ok(FakeNodeList { inner, address })
     }
 
     /// Where it listens.
@@ -85,7 +85,7 @@
     }
 
     /// Adds a node that controllers reach at `address`, at once.
-    pub fn add(&self, node: &Node, address: SocketAddrV4) {
+    pub fn add(&self, node: &FakeNode, address: SocketAddrV4) {
         let mut state = self.inner.state.borrow_mut();
         state.nodes.insert(address, node.clone());
         state.roster.add(address, node.read(Facts::of));
@@ -102,7 +102,7 @@
     }
 
     /// Changes what is wrong with the list.
-    pub fn trouble(&self, change: impl FnOnce(&mut Trouble)) {
+    pub fn change_faults(&self, change: impl FnOnce(&mut Trouble)) {
         let mut state = self.inner.state.borrow_mut();
         let mut trouble = Trouble {
             late: state.roster.late,
@@ -155,7 +155,10 @@
 
 async fn serve(inner: Rc<Inner>, stream: TcpStream) {
     let mut down = inner.down.subscribe();
-    let mut link = Framed::new(stream, Messages::<ToList, FromList>::new(LIST_FRAME));
+    let mut link = Framed::new(
+        stream,
+        MessageCodec::<ToList, FromList>::new(MAX_LIST_FRAME_BYTES),
+    );
     let Some(Ok(ToList::Hello { version, .. })) = link.next().await else {
         return;
     };
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -1,10 +1,10 @@
 //! A node model behind a socket.
 
-use crate::model::{Faults, Model, Outgoing, Shared, Spec};
+use crate::node_model::{Faults, FleetState, NodeModel, NodeSpec, Outgoing};
 use crate::{Clock, QUEUE};
 use futures_util::{SinkExt, StreamExt};
-use peppercove_protocol::codec::{Messages, NODE_FRAME};
-use peppercove_protocol::node::{FromNode, Party, ToNode};
+use peppercove_protocol::codec::{MAX_NODE_FRAME_BYTES, MessageCodec};
+use peppercove_protocol::node::{FromNode, ProcessIdentity, ToNode};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 use tokio_util::codec::Framed;
 
-type Link = Framed<TcpStream, Messages<ToNode, FromNode>>;
+type Link = Framed<TcpStream, MessageCodec<ToNode, FromNode>>;
 
 /// What a connection's writer is told.
 enum Say {
@@ -28,7 +28,7 @@
 }
 
 struct State {
-    model: Model,
+    model: NodeModel,
     links: BTreeMap<String, (u64, mpsc::Sender<Say>)>,
     /// Links so far: each has a number.
     greeted: u64,
@@ -44,24 +44,29 @@
 
 /// One stand-in node that listens on loopback. Dropping it does not end it; its runtime does.
 #[derive(Clone)]
-pub struct Node {
+pub struct FakeNode {
     inner: Rc<Inner>,
     address: SocketAddrV4,
     name: String,
 }
 
-impl Node {
+impl FakeNode {
     /// Starts a node; must be called within a `LocalSet`.
     ///
     /// # Errors
     /// Where no port can be had.
-    pub async fn start(spec: Spec, shared: Shared, clock: Clock, seed: u64) -> io::Result<Node> {
+    pub async fn start(
+        spec: NodeSpec,
+        shared: FleetState,
+        clock: Clock,
+        seed: u64,
+    ) -> io::Result<FakeNode> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let SocketAddr::V4(address) = listener.local_addr()? else {
             return Err(io::Error::other("an IPv4 address was expected"));
         };
         let name = spec.name.clone();
-        let model = Model::new(spec, shared, 1, seed);
+        let model = NodeModel::new(spec, shared, 1, seed);
         let state = RefCell::new(State {
             model,
             links: BTreeMap::new(),
@@ -76,7 +81,7 @@
         });
         spawn_local(accept(inner.clone(), listener));
         spawn_local(keep_time(inner.clone()));
-        Ok(Node {
+        Ok(FakeNode {
             inner,
             address,
             name,
@@ -94,7 +99,7 @@
     }
 
     /// Reads the model.
-    pub fn read<T>(&self, f: impl FnOnce(&Model) -> T) -> T {
+    pub fn read<T>(&self, f: impl FnOnce(&NodeModel) -> T) -> T {
         f(&self.inner.state.borrow().model)
     }
 
@@ -104,7 +109,7 @@
     }
 
     /// Changes what is wrong with it.
-    pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         let now = self.inner.clock.now();
         let mut faults = self.read(|m| m.faults().clone());
         change(&mut faults);
@@ -161,7 +166,7 @@
 }
 
 impl Inner {
-    fn act(&self, f: impl FnOnce(&mut Model) -> Vec<Outgoing>) {
+    fn act(&self, f: impl FnOnce(&mut NodeModel) -> Vec<Outgoing>) {
         let mut state = self.state.borrow_mut();
         let out = f(&mut state.model);
         for (to, message) in out {
@@ -212,7 +217,7 @@
                 let _ = stream.set_nodelay(true);
                 spawn_local(serve(
                     inner.clone(),
-                    Framed::new(stream, Messages::new(NODE_FRAME)),
+                    Framed::new(stream, MessageCodec::new(MAX_NODE_FRAME_BYTES)),
                 ));
             }
             Err(_) => tokio::time::sleep(std::time::Duration::from_millis(10)).await,
@@ -245,7 +250,7 @@
         for message in state.model.greet(now, &controller, number) {
             let _ = sender.try_send(Say::Message(Box::new(message)));
         }
-        let new = (controller.life, sender.clone());
+        let new = (controller.incarnation, sender.clone());
         // Two links of one controller: what is said goes to the newer, and the older must not seem to stand.
         if let Some((_, old)) = state.links.insert(controller.name.clone(), new) {
             let _ = old.try_send(Say::Replaced);
@@ -284,7 +289,7 @@
     }
 }
 
-fn take(inner: &Inner, from: &Party, link: u64, message: ToNode) {
+fn take(inner: &Inner, from: &ProcessIdentity, link: u64, message: ToNode) {
     let now = inner.clock.now();
     if !inner.state.borrow().model.is_current(&from.name, link) {
         return;
@@ -294,19 +299,22 @@
         ToNode::Offer {
             attempt,
             expires_in,
-            work,
+            task: work,
         } => model.offer(now, from, attempt, expires_in, work),
-        ToNode::Withdraw { attempt } => model.withdraw(now, from, attempt),
+        ToNode::CancelAttempt { attempt } => model.withdraw(now, from, attempt),
         ToNode::Adopt {
-            life,
+            incarnation: life,
             attempt,
-            named,
+            new_attempt: named,
         } => model.adopt(now, from, life, attempt, named),
-        ToNode::Noted { attempt } => {
+        ToNode::AcknowledgeEnd { attempt } => {
             model.noted(from, attempt);
             Vec::new()
         }
-        ToNode::Discard { life, attempt } => model.discard(now, from, life, attempt),
+        ToNode::Discard {
+            incarnation: life,
+            attempt,
+        } => model.discard(now, from, life, attempt),
         ToNode::Control { attempt, action } => model.control(now, from, attempt, action),
         ToNode::Probe { nonce } => model.probe(now, from, nonce),
     });
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/node_model.rs
@@ -5,7 +5,8 @@
 //! falls over when it is pushed while cold, and reports its load late.
 
 use peppercove_protocol::node::{
-    AttemptId, Control, End, FromNode, Party, Reason, Repeat, Report, Usage, Work,
+    AttemptId, Control, FromNode, Idempotency, NodeLoad, NodeReason, OfferedTask, ProcessIdentity,
+    TaskExit, Usage,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -16,7 +17,7 @@
 
 /// What a draining node does with its tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evicts {
+pub enum EvictionPolicy {
     /// Keeps them until they end.
     None,
     /// Sends one away every so often.
@@ -27,7 +28,7 @@
 
 /// What a node is.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct NodeSpec {
     /// Its name.
     pub name: String,
     /// Index of its kind.
@@ -77,7 +78,7 @@
     /// Share of its ask that a task uses, least and most.
     pub uses: (f64, f64),
     /// What it does with its tasks when it drains.
-    pub drain: Evicts,
+    pub drain: EvictionPolicy,
     /// How long a task runs that does not say.
     pub life: Micros,
     /// Nodes of the same number discard a second copy of a key together.
@@ -86,10 +87,10 @@
     pub key_window: Micros,
 }
 
-impl Spec {
+impl NodeSpec {
     /// A small warm node that answers quickly.
-    pub fn small(name: impl Into<String>) -> Spec {
-        Spec {
+    pub fn small(name: impl Into<String>) -> NodeSpec {
+        NodeSpec {
             name: name.into(),
             kind: 0,
             rack: 0,
@@ -114,7 +115,7 @@
             report_delay: 100_000,
             counts_used: false,
             uses: (0.4, 0.9),
-            drain: Evicts::AtOnce,
+            drain: EvictionPolicy::AtOnce,
             life: 5_000_000,
             key_group: 0,
             key_window: 5_000_000,
@@ -179,7 +180,7 @@
     /// The task.
     pub task: u64,
     /// What a repeat of it does.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Who asked.
     pub controller: String,
 }
@@ -195,7 +196,7 @@
 
 /// What nodes share.
 #[derive(Clone, Debug, Default)]
-pub struct Shared {
+pub struct FleetState {
     /// Keyed copies by group.
     pub racks: Rc<RefCell<Racks>>,
     /// Every start.
@@ -233,7 +234,7 @@
 
 #[derive(Clone, Debug)]
 struct Task {
-    work: Work,
+    work: OfferedTask,
     stage: Stage,
     expires: Micros,
     uses: [f64; 2],
@@ -243,8 +244,8 @@
 /// A task that ended.
 #[derive(Clone, Debug)]
 struct Past {
-    work: Work,
-    end: End,
+    work: OfferedTask,
+    end: TaskExit,
     /// Its controller has taken note of it.
     noted: bool,
     /// When it is told again, and how often it was.
@@ -259,9 +260,9 @@
 
 /// The state of one node.
 #[derive(Debug)]
-pub struct Model {
-    spec: Spec,
-    shared: Shared,
+pub struct NodeModel {
+    spec: NodeSpec,
+    shared: FleetState,
     rng: fastrand::Rng,
     life: u64,
     started: Option<Micros>,
@@ -276,7 +277,7 @@
     queue: VecDeque<Id>,
     programs: BTreeMap<u64, Micros>,
     offers: VecDeque<Micros>,
-    reports: VecDeque<(Micros, Report)>,
+    reports: VecDeque<(Micros, NodeLoad)>,
     next_report: Micros,
     /// The newest link of each controller: the life that greeted on it, and the link.
     connected: BTreeMap<String, (u64, u64)>,
@@ -294,10 +295,10 @@
 /// Ends kept that no controller has taken note of.
 const UNREPORTED: usize = 10_000;
 
-impl Model {
+impl NodeModel {
     /// A node that is warm and empty.
-    pub fn new(spec: Spec, shared: Shared, life: u64, seed: u64) -> Model {
-        Model {
+    pub fn new(spec: NodeSpec, shared: FleetState, life: u64, seed: u64) -> NodeModel {
+        NodeModel {
             spec,
             shared,
             rng: fastrand::Rng::with_seed(seed),
@@ -326,7 +327,7 @@
     }
 
     /// What it is.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &NodeSpec {
         &self.spec
     }
 
@@ -427,18 +428,18 @@
     // ---- Links ----
 
     /// A controller has greeted on a link, which stands for all of its earlier ones: what it is told, in order.
-    pub fn greet(&mut self, now: Micros, controller: &Party, link: u64) -> Vec<FromNode> {
+    pub fn greet(&mut self, now: Micros, controller: &ProcessIdentity, link: u64) -> Vec<FromNode> {
         self.connected
-            .insert(controller.name.clone(), (controller.life, link));
+            .insert(controller.name.clone(), (controller.incarnation, link));
         // What was not started is dropped: the controller takes it for never run if it is not told now.
         self.drop_idle(now, &controller.name);
         let held = |(id, t): (&Id, &Task)| {
             let standing = id.controller == controller.name
                 && !matches!(t.stage, Stage::InLine | Stage::Accepted);
-            standing.then(|| FromNode::Standing {
-                life: id.life,
+            standing.then(|| FromNode::KnownTask {
+                incarnation: id.life,
                 attempt: id.attempt,
-                work: t.work.clone(),
+                task: t.work.clone(),
                 ended: None,
             })
         };
@@ -450,7 +451,7 @@
             .filter(|(id, _)| id.controller == controller.name)
         {
             let (life, attempt, end, work) = (id.life, id.attempt, past.end, &past.work);
-            if life == controller.life {
+            if life == controller.incarnation {
                 if !past.noted {
                     ended.push(FromNode::Ended {
                         attempt,
@@ -460,17 +461,17 @@
                 }
             } else {
                 // A new life does not know the attempt, but it must know that the task has run.
-                standing.push(FromNode::Standing {
-                    life,
+                standing.push(FromNode::KnownTask {
+                    incarnation: life,
                     attempt,
-                    work: work.clone(),
+                    task: work.clone(),
                     ended: Some(end),
                 });
             }
         }
-        let node = Party {
+        let node = ProcessIdentity {
             name: self.spec.name.clone(),
-            life: self.life,
+            incarnation: self.life,
         };
         let version = peppercove_protocol::VERSION;
         let whole = !self.forgot.contains(&controller.name);
@@ -478,8 +479,8 @@
         let mut messages = vec![FromNode::Welcome {
             version,
             node,
-            standing: follow,
-            whole,
+            known_tasks: follow,
+            is_complete: whole,
         }];
         messages.extend(ended);
         messages.extend(standing);
@@ -522,14 +523,14 @@
     pub fn offer(
         &mut self,
         now: Micros,
-        from: &Party,
+        from: &ProcessIdentity,
         attempt: AttemptId,
         expires_in: u64,
-        work: Work,
+        work: OfferedTask,
     ) -> Vec<Outgoing> {
         let id = Id {
             controller: from.name.clone(),
-            life: from.life,
+            life: from.incarnation,
             attempt,
         };
         self.offers.push_back(now);
@@ -551,9 +552,9 @@
             let load = self.load(now);
             self.tell(
                 &id,
-                FromNode::Refused {
+                FromNode::Rejected {
                     attempt,
-                    reason: Reason::Busy,
+                    reason: NodeReason::QueueFull,
                     load,
                 },
             );
@@ -577,15 +578,20 @@
     }
 
     /// The controller waits no longer.
-    pub fn withdraw(&mut self, now: Micros, from: &Party, attempt: AttemptId) -> Vec<Outgoing> {
+    pub fn withdraw(
+        &mut self,
+        now: Micros,
+        from: &ProcessIdentity,
+        attempt: AttemptId,
+    ) -> Vec<Outgoing> {
         let id = Id {
             controller: from.name.clone(),
-            life: from.life,
+            life: from.incarnation,
             attempt,
         };
         match self.tasks.get_mut(&id).map(|t| (t.stage, t)) {
             Some((Stage::InLine | Stage::Accepted, _)) if !self.faults.hangs => {
-                self.refuse(now, &id, Reason::NotHere);
+                self.refuse(now, &id, NodeReason::Ineligible);
             }
             Some((Stage::Starting { .. }, task)) => task.withdrawn = true,
             Some((Stage::Running { .. } | Stage::Suspended { .. }, task)) => {
@@ -612,9 +618,9 @@
             None if self.forgot.contains(&id.controller) => {}
             None => self.tell(
                 id,
-                FromNode::Refused {
+                FromNode::Rejected {
                     attempt,
-                    reason: Reason::NotHere,
+                    reason: NodeReason::Ineligible,
                     load,
                 },
             ),
@@ -625,13 +631,13 @@
     pub fn control(
         &mut self,
         now: Micros,
-        from: &Party,
+        from: &ProcessIdentity,
         attempt: AttemptId,
         action: Control,
     ) -> Vec<Outgoing> {
         let id = Id {
             controller: from.name.clone(),
-            life: from.life,
+            life: from.incarnation,
             attempt,
         };
         self.control_task(now, &id, action);
@@ -639,10 +645,10 @@
     }
 
     /// A controller has taken note of an end.
-    pub fn noted(&mut self, from: &Party, attempt: AttemptId) {
+    pub fn noted(&mut self, from: &ProcessIdentity, attempt: AttemptId) {
         self.forget_end(&Id {
             controller: from.name.clone(),
-            life: from.life,
+            life: from.incarnation,
             attempt,
         });
     }
@@ -652,7 +658,7 @@
             return;
         };
         past.noted = true;
-        if past.work.repeat != Repeat::Unsafe {
+        if past.work.idempotency != Idempotency::NonIdempotent {
             self.ended.remove(id);
             self.ended_order.retain(|i| i != id);
         }
@@ -662,7 +668,7 @@
     pub fn discard(
         &mut self,
         now: Micros,
-        from: &Party,
+        from: &ProcessIdentity,
         life: u64,
         attempt: AttemptId,
     ) -> Vec<Outgoing> {
@@ -680,7 +686,7 @@
     pub fn adopt(
         &mut self,
         now: Micros,
-        from: &Party,
+        from: &ProcessIdentity,
         life: u64,
         attempt: AttemptId,
         named: AttemptId,
@@ -692,7 +698,7 @@
         };
         let new = Id {
             controller: from.name.clone(),
-            life: from.life,
+            life: from.incarnation,
             attempt: named,
         };
         match self.tasks.remove(&old) {
@@ -713,7 +719,7 @@
                 self.ended_order.retain(|id| *id != old);
                 let end = past
                     .as_ref()
-                    .map_or(End::GivenUp(Reason::Unknown), |past| past.end);
+                    .map_or(TaskExit::Evicted(NodeReason::Unknown), |past| past.end);
                 if let Some(past) = past {
                     self.ended_order.push_back(new.clone());
                     self.ended.insert(
@@ -738,17 +744,17 @@
     }
 
     /// A probe.
-    pub fn probe(&mut self, now: Micros, from: &Party, nonce: u64) -> Vec<Outgoing> {
+    pub fn probe(&mut self, now: Micros, from: &ProcessIdentity, nonce: u64) -> Vec<Outgoing> {
         let id = Id {
             controller: from.name.clone(),
-            life: from.life,
+            life: from.incarnation,
             attempt: AttemptId {
                 request: 0,
                 number: 0,
             },
         };
         let load = self.load(now);
-        self.tell(&id, FromNode::Probed { nonce, load });
+        self.tell(&id, FromNode::ProbeReply { nonce, load });
         self.settle(now)
     }
 
@@ -779,11 +785,11 @@
                 };
             }
             (Control::Terminate, Stage::InLine | Stage::Accepted) => {
-                self.refuse(now, id, Reason::NotHere)
+                self.refuse(now, id, NodeReason::Ineligible)
             }
             (Control::Terminate, _) => {
                 let usage = usage(task, now);
-                self.end(now, id, End::Signalled { signal: 15, usage });
+                self.end(now, id, TaskExit::Signalled { signal: 15, usage });
             }
             _ => {}
         }
@@ -811,7 +817,7 @@
             .map(|(_, at)| *at)
             .filter(|_| !self.faults.hangs);
         let away = (self.draining && self.held() > 0).then_some(self.next_away);
-        let away = away.filter(|_| self.spec.drain != Evicts::None);
+        let away = away.filter(|_| self.spec.drain != EvictionPolicy::None);
         let again = self
             .ended
             .values()
@@ -936,7 +942,7 @@
                     id,
                     FromNode::Ended {
                         attempt: id.attempt,
-                        end: End::Error,
+                        end: TaskExit::Error,
                         load,
                     },
                 );
@@ -948,10 +954,10 @@
             None => {}
         }
         if self.draining || task.expires <= now {
-            return self.refuse(now, id, Reason::NotHere);
+            return self.refuse(now, id, NodeReason::Ineligible);
         }
         if self.rng.f64() < self.faults.refuses {
-            return self.refuse(now, id, Reason::NoCores);
+            return self.refuse(now, id, NodeReason::InsufficientCores);
         }
         let copy = (self.spec.key_group, work.task);
         let knows = |racks: &Racks| {
@@ -960,22 +966,22 @@
                 .get(&copy)
                 .is_some_and(|until| until.is_none_or(|at| at > now))
         };
-        if work.repeat == Repeat::Keyed && knows(&self.shared.racks.borrow()) {
-            return self.refuse(now, id, Reason::NotHere);
+        if work.idempotency == Idempotency::Keyed && knows(&self.shared.racks.borrow()) {
+            return self.refuse(now, id, NodeReason::Ineligible);
         }
         // A second copy of what must not run twice is turned away by whoever knows the first, whoever sends it.
         let other =
             |(i, t): (&Id, &Task)| i != id && t.stage != Stage::InLine && t.work.task == work.task;
-        let known = |p: &Past| p.work.task == work.task && !matches!(p.end, End::GivenUp(_));
-        if work.repeat == Repeat::Unsafe
+        let known = |p: &Past| p.work.task == work.task && !matches!(p.end, TaskExit::Evicted(_));
+        if work.idempotency == Idempotency::NonIdempotent
             && (self.tasks.iter().any(other) || self.ended.values().any(known))
         {
-            return self.refuse(now, id, Reason::NotHere);
+            return self.refuse(now, id, NodeReason::Ineligible);
         }
         if let Err(reason) = self.make_room(now, &work) {
             return self.refuse(now, id, reason);
         }
-        if work.repeat == Repeat::Keyed {
+        if work.idempotency == Idempotency::Keyed {
             let mut racks = self.shared.racks.borrow_mut();
             if racks.copies.insert(copy, None) == Some(None) {
                 racks.doubled += 1;
@@ -1001,7 +1007,7 @@
         );
     }
 
-    fn make_room(&mut self, now: Micros, work: &Work) -> Result<(), Reason> {
+    fn make_room(&mut self, now: Micros, work: &OfferedTask) -> Result<(), NodeReason> {
         let limit = [
             self.spec.cores * self.spec.accepts_cores,
             self.spec.memory * self.spec.accepts_memory,
@@ -1009,9 +1015,9 @@
         loop {
             let asked = self.asked();
             let short = if asked[0] + work.cores > limit[0] {
-                Reason::NoCores
+                NodeReason::InsufficientCores
             } else if asked[1] + work.memory > limit[1] {
-                Reason::NoMemory
+                NodeReason::InsufficientMemory
             } else {
                 return Ok(());
             };
@@ -1023,7 +1029,7 @@
                 .min_by_key(|(id, t)| (t.work.priority, (*id).clone()))
                 .map(|(id, _)| id.clone());
             match victim {
-                Some(id) => self.give_up(now, &id, Reason::PushedOut),
+                Some(id) => self.give_up(now, &id, NodeReason::Preempted),
                 None => return Err(short),
             }
         }
@@ -1046,7 +1052,7 @@
             return true;
         };
         if task.expires <= now {
-            self.refuse(now, &id, Reason::NotHere);
+            self.refuse(now, &id, NodeReason::Ineligible);
             return true;
         }
         let service = task.work.service;
@@ -1083,7 +1089,7 @@
                     completed: false,
                     node: self.spec.name.clone(),
                     task: task.work.task,
-                    repeat: task.work.repeat,
+                    repeat: task.work.idempotency,
                     controller: id.controller.clone(),
                 });
                 ledger.starts.len() - 1
@@ -1105,7 +1111,7 @@
             self.evict_if_short(now);
         } else {
             let (usage, status) = (usage(task, now), exit_status(&task.work));
-            self.end(now, &id, End::Exited { status, usage });
+            self.end(now, &id, TaskExit::Exited { status, usage });
         }
         true
     }
@@ -1121,7 +1127,7 @@
                 .min_by_key(|(id, t)| (t.work.priority, -over(t), (*id).clone()))
                 .map(|(id, _)| id.clone());
             let Some(id) = victim else { return };
-            self.give_up(now, &id, Reason::Evicted);
+            self.give_up(now, &id, NodeReason::Evicted);
         }
     }
 
@@ -1138,33 +1144,33 @@
             return false;
         };
         match self.spec.drain {
-            Evicts::None => return false,
-            Evicts::Paced(every) => self.next_away = now + every.max(1),
-            Evicts::AtOnce => {}
+            EvictionPolicy::None => return false,
+            EvictionPolicy::Paced(every) => self.next_away = now + every.max(1),
+            EvictionPolicy::AtOnce => {}
         }
-        self.give_up(now, &id, Reason::SentAway);
+        self.give_up(now, &id, NodeReason::Drained);
         true
     }
 
     // ---- Ends ----
 
-    fn give_up(&mut self, now: Micros, id: &Id, reason: Reason) {
+    fn give_up(&mut self, now: Micros, id: &Id, reason: NodeReason) {
         match self.tasks.get(id).map(|t| t.stage) {
             Some(Stage::InLine | Stage::Accepted | Stage::Starting { .. }) => {
                 self.refuse(now, id, reason)
             }
-            Some(_) => self.end(now, id, End::GivenUp(reason)),
+            Some(_) => self.end(now, id, TaskExit::Evicted(reason)),
             None => {}
         }
     }
 
     /// Refuses, or hands back before it runs.
-    fn refuse(&mut self, now: Micros, id: &Id, reason: Reason) {
+    fn refuse(&mut self, now: Micros, id: &Id, reason: NodeReason) {
         self.remove(now, id);
         let load = self.load(now);
         self.tell(
             id,
-            FromNode::Refused {
+            FromNode::Rejected {
                 attempt: id.attempt,
                 reason,
                 load,
@@ -1172,14 +1178,14 @@
         );
     }
 
-    fn end(&mut self, now: Micros, id: &Id, end: End) {
+    fn end(&mut self, now: Micros, id: &Id, end: TaskExit) {
         if matches!(
             self.tasks.get(id).map(|t| t.stage),
             Some(Stage::Starting { .. })
         ) {
-            return self.refuse(now, id, Reason::NotHere);
+            return self.refuse(now, id, NodeReason::Ineligible);
         }
-        if let (Some(Stage::Running { start, .. }), End::Exited { .. }) =
+        if let (Some(Stage::Running { start, .. }), TaskExit::Exited { .. }) =
             (self.tasks.get(id).map(|t| t.stage), end)
             && let Some(start) = self.shared.ledger.borrow_mut().starts.get_mut(start)
         {
@@ -1231,7 +1237,7 @@
     }
 
     fn close_books(&self, now: Micros, task: &Task) {
-        if task.work.repeat == Repeat::Keyed && task.stage != Stage::InLine {
+        if task.work.idempotency == Idempotency::Keyed && task.stage != Stage::InLine {
             let (copy, mut racks) = (
                 (self.spec.key_group, task.work.task),
                 self.shared.racks.borrow_mut(),
@@ -1337,11 +1343,11 @@
             .filter(|t| matches!(t.stage, Stage::Starting { .. }))
             .count();
         let waiting = self.line.len() + self.queue.len() + starting;
-        let report = Report {
+        let report = NodeLoad {
             free_cores: Some(self.spec.cores - busy[0]),
             free_memory: Some(self.spec.memory - busy[1]),
-            busy: Some((used[0] / self.spec.cores.max(1e-9)).min(1.0)),
-            waiting: Some(waiting as f64),
+            cpu_utilization: Some((used[0] / self.spec.cores.max(1e-9)).min(1.0)),
+            queue_depth: Some(waiting as f64),
         };
         self.reports.push_back((now, report));
         while self.reports.len() > 256 {
@@ -1349,7 +1355,7 @@
         }
     }
 
-    fn load(&self, now: Micros) -> Option<Report> {
+    fn load(&self, now: Micros) -> Option<NodeLoad> {
         let then = now.checked_sub(self.spec.report_delay + self.faults.late)?;
         self.reports
             .iter()
@@ -1386,7 +1392,7 @@
 }
 
 /// How long a stand-in runs a task: `PEPPERCOVE_LIFE_US` of its environment, or the seconds of a `sleep`.
-fn run_time(work: &Work) -> Option<Micros> {
+fn run_time(work: &OfferedTask) -> Option<Micros> {
     let named = variable(work, "PEPPERCOVE_LIFE_US").and_then(|v| v.parse().ok());
     let command = work.program.command.rsplit('/').next().unwrap_or_default();
     let seconds = || {
@@ -1404,14 +1410,14 @@
     })
 }
 
-fn exit_status(work: &Work) -> i32 {
+fn exit_status(work: &OfferedTask) -> i32 {
     let named = variable(work, "PEPPERCOVE_EXIT").and_then(|v| v.parse().ok());
     named.unwrap_or(i32::from(
         work.program.command.rsplit('/').next() == Some("false"),
     ))
 }
 
-fn variable<'a>(work: &'a Work, name: &str) -> Option<&'a str> {
+fn variable<'a>(work: &'a OfferedTask, name: &str) -> Option<&'a str> {
     let split = |entry: &'a String| entry.split_once('=');
     work.program
         .env
@@ -1426,9 +1432,9 @@
     use super::*;
     use peppercove_protocol::node::Program;
 
-    fn work(task: u64, repeat: Repeat, cores: f64) -> Work {
+    fn work(task: u64, repeat: Idempotency, cores: f64) -> OfferedTask {
         let program = Program::default();
-        Work {
+        OfferedTask {
             task,
             service: 1,
             class: 0,
@@ -1436,7 +1442,7 @@
             cores,
             memory: cores,
             priority: 0,
-            repeat,
+            idempotency: repeat,
             program,
         }
     }
@@ -1445,17 +1451,17 @@
         AttemptId { request: 1, number }
     }
 
-    fn ready(spec: Spec, shared: &Shared) -> (Model, Party) {
-        let mut model = Model::new(spec, shared.clone(), 1, 1);
-        let controller = Party {
+    fn ready(spec: NodeSpec, shared: &FleetState) -> (NodeModel, ProcessIdentity) {
+        let mut model = NodeModel::new(spec, shared.clone(), 1, 1);
+        let controller = ProcessIdentity {
             name: "c".into(),
-            life: 1,
+            incarnation: 1,
         };
         model.greet(0, &controller, 1);
         (model, controller)
     }
 
-    fn run(model: &mut Model, until: Micros) -> Vec<FromNode> {
+    fn run(model: &mut NodeModel, until: Micros) -> Vec<FromNode> {
         let mut out = Vec::new();
         while let Some(at) = model.next_wake().filter(|at| *at <= until) {
             out.extend(model.tick(at).into_iter().map(|(_, m)| m));
@@ -1465,9 +1471,15 @@
 
     #[test]
     fn a_task_is_accepted_runs_and_ends() {
-        let shared = Shared::default();
-        let (mut model, c) = ready(Spec::small("n"), &shared);
-        model.offer(0, &c, at(0), 1_000_000, work(1, Repeat::Safe, 1.0));
+        let shared = FleetState::default();
+        let (mut model, c) = ready(NodeSpec::small("n"), &shared);
+        model.offer(
+            0,
+            &c,
+            at(0),
+            1_000_000,
+            work(1, Idempotency::Idempotent, 1.0),
+        );
         let said = run(&mut model, 60_000_000);
         let mut kinds: Vec<&str> = said
             .iter()
@@ -1475,7 +1487,7 @@
                 FromNode::Accepted { .. } => "accepted",
                 FromNode::Running { .. } => "running",
                 FromNode::Ended {
-                    end: End::Exited { status: 0, .. },
+                    end: TaskExit::Exited { status: 0, .. },
                     ..
                 } => "exited",
                 _ => "other",
@@ -1495,43 +1507,67 @@
 
     #[test]
     fn it_refuses_past_its_multiples_and_expired_offers() {
-        let shared = Shared::default();
+        let shared = FleetState::default();
         let (mut model, c) = ready(
-            Spec {
+            NodeSpec {
                 accepts_cores: 1.0,
-                ..Spec::small("n")
+                ..NodeSpec::small("n")
             },
             &shared,
         );
-        model.offer(0, &c, at(0), 1_000_000, work(1, Repeat::Safe, 20.0));
-        model.offer(0, &c, at(1), 1_000_000, work(2, Repeat::Safe, 20.0));
-        model.offer(0, &c, at(2), 1, work(3, Repeat::Safe, 0.5));
-        let refused: Vec<(u16, Reason)> = run(&mut model, 1_000_000)
+        model.offer(
+            0,
+            &c,
+            at(0),
+            1_000_000,
+            work(1, Idempotency::Idempotent, 20.0),
+        );
+        model.offer(
+            0,
+            &c,
+            at(1),
+            1_000_000,
+            work(2, Idempotency::Idempotent, 20.0),
+        );
+        model.offer(0, &c, at(2), 1, work(3, Idempotency::Idempotent, 0.5));
+        let refused: Vec<(u16, NodeReason)> = run(&mut model, 1_000_000)
             .iter()
             .filter_map(|m| match m {
-                FromNode::Refused {
+                FromNode::Rejected {
                     attempt, reason, ..
                 } => Some((attempt.number, *reason)),
                 _ => None,
             })
             .collect();
-        assert_eq!(refused, [(1, Reason::NoCores), (2, Reason::NotHere)]);
+        assert_eq!(
+            refused,
+            [
+                (1, NodeReason::InsufficientCores),
+                (2, NodeReason::Ineligible)
+            ]
+        );
     }
 
     #[test]
     fn nodes_of_a_rack_let_one_copy_of_a_key_stand() {
-        let shared = Shared::default();
-        let (mut first, c) = ready(Spec::small("a"), &shared);
-        let (mut second, _) = ready(Spec::small("b"), &shared);
-        first.offer(0, &c, at(0), 1_000_000, work(7, Repeat::Keyed, 1.0));
+        let shared = FleetState::default();
+        let (mut first, c) = ready(NodeSpec::small("a"), &shared);
+        let (mut second, _) = ready(NodeSpec::small("b"), &shared);
+        first.offer(0, &c, at(0), 1_000_000, work(7, Idempotency::Keyed, 1.0));
         run(&mut first, 1_000_000);
-        second.offer(1_000_000, &c, at(1), 1_000_000, work(7, Repeat::Keyed, 1.0));
+        second.offer(
+            1_000_000,
+            &c,
+            at(1),
+            1_000_000,
+            work(7, Idempotency::Keyed, 1.0),
+        );
         let said = run(&mut second, 2_000_000);
         assert!(
             matches!(
                 said[..],
-                [FromNode::Refused {
-                    reason: Reason::NotHere,
+                [FromNode::Rejected {
+                    reason: NodeReason::Ineligible,
                     ..
                 }]
             ),
@@ -1541,12 +1577,12 @@
 
     #[test]
     fn a_cold_node_falls_over_when_pushed_and_bears_what_it_promised() {
-        let shared = Shared::default();
-        let spec = Spec {
+        let shared = FleetState::default();
+        let spec = NodeSpec {
             start_time: 400_000,
             cold_bears: 10.0,
             line: 100,
-            ..Spec::small("n")
+            ..NodeSpec::small("n")
         };
         let (mut model, c) = ready(spec, &shared);
         model.restart(1_000_000, 2);
@@ -1557,7 +1593,7 @@
                 &c,
                 at(i),
                 1_000_000,
-                work(u64::from(i), Repeat::Safe, 0.1),
+                work(u64::from(i), Idempotency::Idempotent, 0.1),
             );
         }
         assert!(!model.is_fallen());
@@ -1566,7 +1602,7 @@
             &c,
             at(10),
             1_000_000,
-            work(10, Repeat::Safe, 0.1),
+            work(10, Idempotency::Idempotent, 0.1),
         );
         assert!(model.is_fallen());
         assert_eq!(shared.ledger.borrow().fallen.len(), 1);
@@ -1574,16 +1610,22 @@
 
     #[test]
     fn what_is_not_named_at_a_greeting_never_starts_afterwards() {
-        let shared = Shared::default();
-        let (mut model, c) = ready(Spec::small("n"), &shared);
-        model.offer(0, &c, at(0), 10_000_000, work(1, Repeat::Unsafe, 1.0));
+        let shared = FleetState::default();
+        let (mut model, c) = ready(NodeSpec::small("n"), &shared);
+        model.offer(
+            0,
+            &c,
+            at(0),
+            10_000_000,
+            work(1, Idempotency::NonIdempotent, 1.0),
+        );
         let told = model.greet(100, &c, 2);
         assert!(
             matches!(
                 told[..],
                 [FromNode::Welcome {
-                    standing: 0,
-                    whole: true,
+                    known_tasks: 0,
+                    is_complete: true,
                     ..
                 }]
             ),
@@ -1599,14 +1641,20 @@
 
     #[test]
     fn a_recalled_attempt_is_told_as_what_the_record_says() {
-        let shared = Shared::default();
-        let (mut model, c) = ready(Spec::small("n"), &shared);
+        let shared = FleetState::default();
+        let (mut model, c) = ready(NodeSpec::small("n"), &shared);
         let never = model.withdraw(0, &c, at(7));
         assert!(
-            matches!(&never[..], [(_, FromNode::Refused { .. })]),
+            matches!(&never[..], [(_, FromNode::Rejected { .. })]),
             "{never:?}"
         );
-        model.offer(0, &c, at(0), 10_000_000, work(1, Repeat::Unsafe, 1.0));
+        model.offer(
+            0,
+            &c,
+            at(0),
+            10_000_000,
+            work(1, Idempotency::NonIdempotent, 1.0),
+        );
         run(&mut model, 5_500_000);
         let ended = model.withdraw(5_500_000, &c, at(0));
         assert!(
@@ -1614,9 +1662,9 @@
             "{ended:?}"
         );
         // Whoever sends a second copy of what ran is turned away.
-        let other = Party {
+        let other = ProcessIdentity {
             name: "d".into(),
-            life: 1,
+            incarnation: 1,
         };
         model.greet(5_600_000, &other, 9);
         model.offer(
@@ -1624,14 +1672,14 @@
             &other,
             at(0),
             10_000_000,
-            work(1, Repeat::Unsafe, 1.0),
+            work(1, Idempotency::NonIdempotent, 1.0),
         );
         let said = run(&mut model, 6_000_000);
         assert!(
             said.iter().any(|m| matches!(
                 m,
-                FromNode::Refused {
-                    reason: Reason::NotHere,
+                FromNode::Rejected {
+                    reason: NodeReason::Ineligible,
                     ..
                 }
             )),
@@ -1642,9 +1690,15 @@
 
     #[test]
     fn what_was_held_back_is_not_told_to_another_life() {
-        let shared = Shared::default();
-        let (mut model, c) = ready(Spec::small("n"), &shared);
-        model.offer(0, &c, at(0), 10_000_000, work(1, Repeat::Unsafe, 30.0));
+        let shared = FleetState::default();
+        let (mut model, c) = ready(NodeSpec::small("n"), &shared);
+        model.offer(
+            0,
+            &c,
+            at(0),
+            10_000_000,
+            work(1, Idempotency::NonIdempotent, 30.0),
+        );
         run(&mut model, 1_500);
         model.set_faults(
             1_500,
@@ -1654,7 +1708,14 @@
             },
         );
         model.withdraw(1_600, &c, at(9));
-        model.greet(2_000, &Party { life: 2, ..c }, 2);
+        model.greet(
+            2_000,
+            &ProcessIdentity {
+                incarnation: 2,
+                ..c
+            },
+            2,
+        );
         let said = model.set_faults(3_000, Faults::default());
         assert!(
             said.is_empty(),
@@ -1664,8 +1725,8 @@
 
     #[test]
     fn a_hanging_node_says_later_what_it_had_to_say() {
-        let shared = Shared::default();
-        let (mut model, c) = ready(Spec::small("n"), &shared);
+        let shared = FleetState::default();
+        let (mut model, c) = ready(NodeSpec::small("n"), &shared);
         model.set_faults(
             0,
             Faults {
@@ -1675,7 +1736,13 @@
         );
         assert!(
             model
-                .offer(0, &c, at(0), 500_000, work(1, Repeat::Unsafe, 1.0))
+                .offer(
+                    0,
+                    &c,
+                    at(0),
+                    500_000,
+                    work(1, Idempotency::NonIdempotent, 1.0)
+                )
                 .is_empty()
         );
         assert!(run(&mut model, 900_000).is_empty());
@@ -1688,8 +1755,8 @@
         assert!(
             matches!(
                 said[..],
-                [FromNode::Refused {
-                    reason: Reason::NotHere,
+                [FromNode::Rejected {
+                    reason: NodeReason::Ineligible,
                     ..
                 }]
             ),
@@ -1699,18 +1766,27 @@
 
     #[test]
     fn what_runs_outlives_its_controller_and_is_told_to_the_next_life() {
-        let shared = Shared::default();
-        let (mut model, c) = ready(Spec::small("n"), &shared);
-        model.offer(0, &c, at(0), 1_000_000, work(1, Repeat::Unsafe, 1.0));
+        let shared = FleetState::default();
+        let (mut model, c) = ready(NodeSpec::small("n"), &shared);
+        model.offer(
+            0,
+            &c,
+            at(0),
+            1_000_000,
+            work(1, Idempotency::NonIdempotent, 1.0),
+        );
         run(&mut model, 1_000_000);
         model.part(1_000_000, "c", 1);
-        let next = Party { life: 2, ..c };
+        let next = ProcessIdentity {
+            incarnation: 2,
+            ..c
+        };
         let told = model.greet(1_500_000, &next, 2);
         assert!(matches!(
             told[..],
             [
-                FromNode::Welcome { standing: 1, .. },
-                FromNode::Standing { life: 1, .. }
+                FromNode::Welcome { known_tasks: 1, .. },
+                FromNode::KnownTask { incarnation: 1, .. }
             ]
         ));
         model.adopt(
--- a/crates/standins/src/roster.rs
+++ b/crates/standins/src/node_registry.rs
@@ -1,7 +1,7 @@
 //! What a node list knows and tells, without sockets or clock: lines, their lateness, and changes for watchers.
 
-use crate::model::{Micros, Model};
-use peppercove_protocol::list::{FromList, Line, NodeState, Scope};
+use crate::node_model::{Micros, NodeModel};
+use peppercove_protocol::list::{FromList, ListEntry, NodeState, Scope};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
@@ -22,7 +22,7 @@
 
 impl Facts {
     /// Of a node's model.
-    pub fn of(model: &Model) -> Facts {
+    pub fn of(model: &NodeModel) -> Facts {
         let spec = model.spec();
         Facts {
             name: spec.name.clone(),
@@ -38,13 +38,13 @@
 
 #[derive(Clone, Debug)]
 struct Told {
-    line: Line,
+    line: ListEntry,
     started: Option<Micros>,
 }
 
 /// The list: what is so, what has been told, and what waits to be told.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct NodeRegistry {
     states: BTreeMap<SocketAddrV4, NodeState>,
     pending: VecDeque<(Micros, Told)>,
     told: BTreeMap<SocketAddrV4, Told>,
@@ -56,13 +56,13 @@
     pub late: Micros,
 }
 
-impl Roster {
+impl NodeRegistry {
     /// A list that tells changes `late` and looks at free room every `refresh`.
-    pub fn new(late: Micros, refresh: Micros) -> Roster {
-        Roster {
+    pub fn new(late: Micros, refresh: Micros) -> NodeRegistry {
+        NodeRegistry {
             late,
             refresh,
-            ..Roster::default()
+            ..NodeRegistry::default()
         }
     }
 
@@ -115,7 +115,10 @@
                 let new = line(*address, *state, facts);
                 let moved = old.line.free_cores != new.line.free_cores
                     || old.line.free_memory != new.line.free_memory;
-                if moved && old.line.life == new.line.life && old.line.state == new.line.state {
+                if moved
+                    && old.line.incarnation == new.line.incarnation
+                    && old.line.state == new.line.state
+                {
                     self.pending.push_back((now + self.late, new));
                 }
             }
@@ -128,7 +131,7 @@
 
     /// All that is told, or what changed after a version.
     pub fn news(&self, now: Micros, after: Option<u64>) -> FromList {
-        let aged = |t: &Told| Line {
+        let aged = |t: &Told| ListEntry {
             age: t.started.map(|at| now.saturating_sub(at)),
             ..t.line.clone()
         };
@@ -141,20 +144,20 @@
             Some(after) => {
                 // The last word on each node, so that a long gap costs a line a node at most.
                 let since = self.changes.iter().filter(|(g, _)| *g > after);
-                let last: BTreeMap<SocketAddrV4, Line> =
+                let last: BTreeMap<SocketAddrV4, ListEntry> =
                     since.map(|(_, t)| (t.line.address, aged(t))).collect();
-                FromList::News {
+                FromList::Update {
                     generation,
                     scope: Scope::Delta,
-                    lines: last.into_values().collect(),
+                    entries: last.into_values().collect(),
                 }
             }
             None => {
                 let lines = self.told.values().map(aged).collect();
-                FromList::News {
+                FromList::Update {
                     generation,
                     scope: Scope::Full,
-                    lines,
+                    entries: lines,
                 }
             }
         }
@@ -166,7 +169,7 @@
         }
         self.generation += 1;
         for told in &lines {
-            if told.line.state == NodeState::Gone {
+            if told.line.state == NodeState::Removed {
                 self.told.remove(&told.line.address);
             } else {
                 self.told.insert(told.line.address, told.clone());
@@ -180,14 +183,14 @@
 }
 
 fn line(address: SocketAddrV4, state: NodeState, facts: Facts) -> Told {
-    let line = Line {
+    let line = ListEntry {
         address,
         name: facts.name,
         state,
         kind: facts.kind,
         rack: facts.rack,
         zone: facts.zone,
-        life: facts.life,
+        incarnation: facts.life,
         age: None,
         free_cores: Some(facts.free.0),
         free_memory: Some(facts.free.1),
--- a/crates/standins/src/receiver.rs
+++ b/crates/standins/src/receiver.rs
@@ -71,7 +71,7 @@
     }
 
     /// Changes what is wrong with it.
-    pub fn trouble(&self, change: impl FnOnce(&mut Trouble)) {
+    pub fn change_faults(&self, change: impl FnOnce(&mut Trouble)) {
         change(&mut self.state.borrow_mut().trouble);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Samples taken.
-    pub fn taken(&self) -> usize {
+    pub fn accepted_samples(&self) -> usize {
         self.state.borrow().series.values().map(Vec::len).sum()
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// What it found wrong with what it was sent.
-    pub fn complaints(&self) -> Vec<String> {
+    pub fn protocol_violations(&self) -> Vec<String> {
         self.state.borrow().complaints.clone()
     }
 }
--- a/src/bin/peppercove-adapter.rs
+++ b/src/bin/peppercove-adapter.rs
@@ -1,7 +1,7 @@
 //! Plays the decision module on the controllers' wire: standard input to standard output, many instances.
 #![forbid(unsafe_code)]
 
-use peppercove::wire::{Decoder, Incoming, ProtocolError, Reply};
+use peppercove::adapter_protocol::{Decoder, Incoming, ProtocolError, Reply};
 use peppercove::{Event, Scheduler};
 use std::collections::BTreeMap;
 use std::error::Error;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,10 +24,10 @@
 //! ```
 #![forbid(unsafe_code)]
 
+pub mod adapter_protocol;
 mod choice;
 mod interface;
 mod state;
-pub mod wire;
 
 pub use choice::Scheduler;
 pub use interface::*;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -14,7 +14,10 @@
     let sources = [
         ("choice", MODULE),
         ("interface", include_str!("../src/interface.rs")),
-        ("wire", include_str!("../src/wire.rs")),
+        (
+            "adapter_protocol",
+            include_str!("../src/adapter_protocol.rs"),
+        ),
         ("lib", include_str!("../src/lib.rs")),
         ("state", include_str!("../src/state.rs")),
         ("adapter", include_str!("../src/bin/peppercove-adapter.rs")),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec alone: the note's examples, each kind of record, and what is malformed.
 
-use peppercove::wire::{Batch, Decoder, Incoming, ProtocolError, Reply};
+use peppercove::adapter_protocol::{Batch, Decoder, Incoming, ProtocolError, Reply};
 use peppercove::*;
 
 fn hex(text: &str) -> Vec<u8> {
