--- a/crates/cli/src/bench_view.rs
+++ b/crates/cli/src/bench_view.rs
@@ -11,11 +11,12 @@
 use comfy_table::presets::UTF8_BORDERS_ONLY;
 use hdrhistogram::Histogram;
 use peppercove::{
-    Action, Class, Event, Group, Kind, ListScope, Load, MachineId, MachineLine, MachineState, Micros,
-    Outcome, Repeat, Request, RequestId, Scheduler, ServiceId, Settings, Spread, TaskKey, Why,
+    Action, AttemptOutcome, DedupScope, EndReason, Event, Idempotency, ListUpdateKind, LoadReport,
+    Micros, NodeEntry, NodeId, NodeKind, NodeStatus, PlacementRequest, RequestId, Scheduler,
+    ServiceId, Settings, TaskClass, TaskKey, TopologySpread,
 };
 use peppercove_core::Decide;
-use peppercove_fleet::{SIZE, View};
+use peppercove_fleet::{NodeSubset, TARGET_SUBSET_SIZE};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
@@ -92,23 +93,30 @@
 /// The module, with what it is told counted.
 struct Counted {
     module: Scheduler,
-    held: BTreeSet<MachineId>,
+    held: BTreeSet<NodeId>,
     lines: u64,
 }
 
 impl Decide for Counted {
     fn decide(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         for event in events {
-            let Event::MachineList { scope, lines, .. } = event else { continue };
+            let Event::NodeList {
+                kind: scope,
+                entries: lines,
+                ..
+            } = event
+            else {
+                continue;
+            };
             self.lines += lines.len() as u64;
-            if matches!(scope, ListScope::Full | ListScope::Cached) {
+            if matches!(scope, ListUpdateKind::Full | ListUpdateKind::Cached) {
                 self.held.clear();
             }
             for line in lines {
-                if line.state == MachineState::Gone {
-                    self.held.remove(&line.machine);
+                if line.state == NodeStatus::Gone {
+                    self.held.remove(&line.node);
                 } else {
-                    self.held.insert(line.machine);
+                    self.held.insert(line.node);
                 }
             }
         }
@@ -118,15 +126,21 @@
 
 enum Subject {
     Module(Box<Counted>),
-    View(Box<View<Counted>>),
+    View(Box<NodeSubset<Counted>>),
 }
 
 impl Subject {
     fn new(settings: &Settings, seed: u64, size: Option<u64>) -> Subject {
         let module = Scheduler::new(settings.clone(), seed);
-        let counted = Counted { module, held: BTreeSet::new(), lines: 0 };
+        let counted = Counted {
+            module,
+            held: BTreeSet::new(),
+            lines: 0,
+        };
         match size {
-            Some(size) => Subject::View(Box::new(View::with_size(counted, settings, size))),
+            Some(size) => Subject::View(Box::new(NodeSubset::with_target_size(
+                counted, settings, size,
+            ))),
             None => Subject::Module(Box::new(counted)),
         }
     }
@@ -134,7 +148,7 @@
     fn counted(&self) -> &Counted {
         match self {
             Subject::Module(counted) => counted,
-            Subject::View(view) => view.module(),
+            Subject::View(view) => view.inner(),
         }
     }
 
@@ -152,7 +166,7 @@
 
 /// A host, as a few numbers.
 struct Host {
-    line: MachineLine,
+    line: NodeEntry,
     /// Cores of tasks that schedulers of this run placed, and of drawn ones.
     used: f64,
     drawn: f64,
@@ -168,12 +182,15 @@
         self.used + self.drawn
     }
 
-    fn load(&self) -> Load {
-        Load { free_cores: Some((CORES - self.asked()).max(0.0)), ..Load::default() }
+    fn load(&self) -> LoadReport {
+        LoadReport {
+            free_cores: Some((CORES - self.asked()).max(0.0)),
+            ..LoadReport::default()
+        }
     }
 
     fn is_cold(&self, now: Micros, settings: &Settings) -> bool {
-        self.line.started_at > 0 && now < self.line.started_at + settings.warm_within
+        self.line.started_at > 0 && now < self.line.started_at + settings.slow_start_window
     }
 
     /// How long a start takes: longer without the program at hand, beside other starts, and while the host is cold.
@@ -185,9 +202,10 @@
             self.at_hand.pop_front();
         }
         let base = if held.is_some() { 100_000.0 } else { 500_000.0 };
-        let since = now.saturating_sub(self.line.started_at) as f64 / settings.warm_within as f64;
+        let since =
+            now.saturating_sub(self.line.started_at) as f64 / settings.slow_start_window as f64;
         let pace = if self.is_cold(now, settings) {
-            (settings.cold_from + since * (1.0 - settings.cold_from)).min(1.0)
+            (settings.slow_start_min_share + since * (1.0 - settings.slow_start_min_share)).min(1.0)
         } else {
             1.0
         };
@@ -198,11 +216,11 @@
 
 struct Job {
     scheduler: usize,
-    ask: Request,
+    ask: PlacementRequest,
     came: Micros,
     attempts: u16,
     /// The host of the attempt that is out, or of the task.
-    host: Option<MachineId>,
+    host: Option<NodeId>,
     stands: bool,
 }
 
@@ -215,7 +233,7 @@
     Ends(RequestId),
     Deadline(RequestId),
     Replace,
-    Leaves(MachineId),
+    Leaves(NodeId),
     Sample,
 }
 
@@ -248,12 +266,12 @@
     version: u64,
     next_id: u64,
     subjects: Vec<Subject>,
-    hosts: BTreeMap<MachineId, Host>,
+    hosts: BTreeMap<NodeId, Host>,
     jobs: BTreeMap<RequestId, Job>,
     queue: BTreeMap<(Micros, u64), What>,
     queued: u64,
-    contacted: Vec<BTreeSet<MachineId>>,
-    ran_on: BTreeMap<ServiceId, BTreeSet<MachineId>>,
+    contacted: Vec<BTreeSet<NodeId>>,
+    ran_on: BTreeMap<ServiceId, BTreeSet<NodeId>>,
     binds: Histogram<u64>,
     in_calls: f64,
     longest: u64,
@@ -273,40 +291,63 @@
 
 fn settings(schedulers: u32, kinds: usize) -> Settings {
     let sample = Settings::sample();
-    let safe = Class { deadline: 5 * SECOND, aim: SECOND, ..sample.classes[0].clone() };
-    let keyed = Repeat::Keyed { group: Group::Rack, window: 4 * SECOND };
+    let safe = TaskClass {
+        deadline: 5 * SECOND,
+        latency_objective: SECOND,
+        ..sample.classes[0].clone()
+    };
+    let keyed = Idempotency::Keyed {
+        scope: DedupScope::Rack,
+        window: 4 * SECOND,
+    };
     let classes = vec![
         safe.clone(),
-        Class { repeat: keyed, ..safe.clone() },
-        Class { repeat: Repeat::Unsafe, ..safe.clone() },
-        Class { spread: Spread::Rack, most: 2, ..safe.clone() },
-        Class { kind: (kinds > 1).then_some(1), ..safe },
+        TaskClass {
+            idempotency: keyed,
+            ..safe.clone()
+        },
+        TaskClass {
+            idempotency: Idempotency::NonIdempotent,
+            ..safe.clone()
+        },
+        TaskClass {
+            topology_spread: TopologySpread::Rack,
+            max_per_domain: 2,
+            ..safe.clone()
+        },
+        TaskClass {
+            node_kind: (kinds > 1).then_some(1),
+            ..safe
+        },
     ];
-    let kind = Kind { cores: CORES, memory: 64.0 };
+    let kind = NodeKind {
+        cores: CORES,
+        memory: 64.0,
+    };
     Settings {
         schedulers,
         classes,
-        kinds: vec![kind; kinds],
+        node_kinds: vec![kind; kinds],
         mean_cores: 2.0,
         mean_memory: 4.0,
-        list_on_request: false,
-        cold_bears: 20.0,
+        is_list_polled: false,
+        slow_start_budget: 20.0,
         fleet_price: 0.1,
-        refusal_price: 0.01,
+        rejection_price: 0.01,
         ..sample
     }
 }
 
 /// The first line of the host of this number; its id is spread over all that an id can be.
-fn line(number: usize, plan: &Plan) -> MachineLine {
+fn line(number: usize, plan: &Plan) -> NodeEntry {
     let id = number as u64 + 1;
-    MachineLine {
-        machine: MachineId(id.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-        state: MachineState::Ready,
+    NodeEntry {
+        node: NodeId(id.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        state: NodeStatus::Ready,
         kind: u8::from(plan.kinds > 1 && number.is_multiple_of(8)),
         rack: (number / RACK) as u16,
         zone: (number / RACK % plan.zones) as u8,
-        ..MachineLine::default()
+        ..NodeEntry::default()
     }
 }
 
@@ -328,13 +369,16 @@
                 at_hand: VecDeque::new(),
                 offers: VecDeque::new(),
             };
-            hosts.insert(host.line.machine, host);
+            hosts.insert(host.line.node, host);
         }
         let real = plan.real as u32;
         let subject = |n: u32| {
             let own_number = n * (plan.schedulers / real.max(1));
-            let settings =
-                Settings { own_number, own_zone: (n % plan.zones as u32) as u8, ..settings.clone() };
+            let settings = Settings {
+                own_index: own_number,
+                own_zone: (n % plan.zones as u32) as u8,
+                ..settings.clone()
+            };
             Subject::new(&settings, u64::from(n) + 1, plan.size)
         };
         let mut site = Site {
@@ -386,7 +430,10 @@
 
     /// Calls a decider and carries out what it says.
     fn tell(&mut self, scheduler: usize, event: Event) {
-        let (place, list) = (matches!(event, Event::Place(_)), matches!(event, Event::MachineList { .. }));
+        let (place, list) = (
+            matches!(event, Event::Place(_)),
+            matches!(event, Event::NodeList { .. }),
+        );
         let began = Instant::now();
         let actions = self.subjects[scheduler].decide(self.now, event);
         let took = began.elapsed();
@@ -407,35 +454,61 @@
 
     fn carry_out(&mut self, scheduler: usize, action: Action) {
         match action {
-            Action::Bind { request, machine, timeout } => self.offer(scheduler, request, machine, timeout),
-            Action::SetTimer { label, at } => self.queue(at.max(self.now + 1), What::Timer(scheduler, label)),
-            Action::Refuse { request, .. } | Action::Fail(request) => {
+            Action::Dispatch {
+                request,
+                node: machine,
+                timeout,
+            } => self.offer(scheduler, request, machine, timeout),
+            Action::SetTimer { label, at } => {
+                self.queue(at.max(self.now + 1), What::Timer(scheduler, label))
+            }
+            Action::Reject { request, .. } | Action::Fail(request) => {
                 if let Some(job) = self.jobs.remove(&request)
                     && self.is_counted(job.came)
                 {
                     self.refused += 1;
                 }
             }
-            Action::Withdraw { request, attempt } => self.given_up(request, attempt, Outcome::Withdrawn),
-            Action::Move(request) => {
-                let Some(job) = self.jobs.get(&request).filter(|job| job.stands) else { return };
+            Action::CancelAttempt { request, attempt } => {
+                self.given_up(request, attempt, AttemptOutcome::Cancelled)
+            }
+            Action::Migrate(request) => {
+                let Some(job) = self.jobs.get(&request).filter(|job| job.stands) else {
+                    return;
+                };
                 let (from, ask) = (job.scheduler, job.ask.clone());
                 self.moved += 1;
-                self.over(request, Outcome::Withdrawn);
-                self.ask(from, Request { again: true, ..ask });
+                self.over(request, AttemptOutcome::Cancelled);
+                self.ask(
+                    from,
+                    PlacementRequest {
+                        is_retry: true,
+                        ..ask
+                    },
+                );
             }
-            Action::Watch | Action::Probe(_) | Action::Tell(_) | Action::Log(_) => {}
+            Action::WatchNodes | Action::Probe(_) | Action::Broadcast(_) | Action::Log(_) => {}
         }
     }
 
-    fn ask(&mut self, scheduler: usize, ask: Request) {
+    fn ask(&mut self, scheduler: usize, ask: PlacementRequest) {
         self.next_id += 1;
-        let ask = Request { request: RequestId(self.next_id), ..ask };
+        let ask = PlacementRequest {
+            id: RequestId(self.next_id),
+            ..ask
+        };
         let came = self.now;
         self.asked += u64::from(self.is_counted(came));
-        let job = Job { scheduler, ask: ask.clone(), came, attempts: 0, host: None, stands: false };
-        self.jobs.insert(ask.request, job);
-        self.queue(came + ask.deadline_in, What::Deadline(ask.request));
+        let job = Job {
+            scheduler,
+            ask: ask.clone(),
+            came,
+            attempts: 0,
+            host: None,
+            stands: false,
+        };
+        self.jobs.insert(ask.id, job);
+        self.queue(came + ask.deadline_in, What::Deadline(ask.id));
         self.tell(scheduler, Event::Place(ask));
     }
 
@@ -444,8 +517,8 @@
         // Some services have far more tasks than others; one class holds for all tasks of a service.
         let service = (self.rng.f64().powi(2) * self.plan.services as f64) as u64;
         self.next_id += 1;
-        let ask = Request {
-            request: RequestId(0),
+        let ask = PlacementRequest {
+            id: RequestId(0),
             task: TaskKey(self.next_id),
             service: ServiceId(service + 1),
             class: (service % self.settings.classes.len() as u64) as u16,
@@ -453,58 +526,103 @@
             cores: 1.0 + 2.0 * self.rng.f64(),
             memory: 4.0,
             deadline_in: 5 * SECOND,
-            life_hint: None,
-            again: false,
+            expected_duration: None,
+            is_retry: false,
         };
         self.ask(scheduler, ask);
     }
 
-    fn offer(&mut self, scheduler: usize, request: RequestId, machine: MachineId, timeout: Option<Micros>) {
+    fn offer(
+        &mut self,
+        scheduler: usize,
+        request: RequestId,
+        machine: NodeId,
+        timeout: Option<Micros>,
+    ) {
         let counted = self.is_counted(self.now);
-        let Some(job) = self.jobs.get_mut(&request) else { return };
+        let Some(job) = self.jobs.get_mut(&request) else {
+            return;
+        };
         let attempt = job.attempts;
         job.attempts += 1;
         job.host = Some(machine);
-        let (cores, service, until) = (job.ask.cores, job.ask.service, job.came + job.ask.deadline_in);
+        let (cores, service, until) = (
+            job.ask.cores,
+            job.ask.service,
+            job.came + job.ask.deadline_in,
+        );
         self.offers += u64::from(counted);
         self.contacted[scheduler].insert(machine);
-        let ready = |host: &&mut Host| host.line.state == MachineState::Ready;
+        let ready = |host: &&mut Host| host.line.state == NodeStatus::Ready;
         let Some(host) = self.hosts.get_mut(&machine).filter(ready) else {
-            return self.failed(request, attempt, machine, Outcome::Unreachable, None);
+            return self.failed(request, attempt, machine, AttemptOutcome::Unreachable, None);
         };
         if host.is_cold(self.now, &self.settings) {
-            host.offers.retain(|at| at + self.settings.fall_window > self.now);
+            host.offers
+                .retain(|at| at + self.settings.overload_window > self.now);
             host.offers.push_back(self.now);
             self.cold_most = self.cold_most.max(host.offers.len());
         }
         if host.asked() + cores > CORES {
             self.offers_refused += u64::from(counted);
             let load = host.load();
-            return self.failed(request, attempt, machine, Outcome::Refused, Some(load));
+            return self.failed(
+                request,
+                attempt,
+                machine,
+                AttemptOutcome::Rejected,
+                Some(load),
+            );
         }
         host.used += cores;
         host.tasks.insert(request);
         let start = self.now + host.start(service, self.now, &self.settings);
         let until = timeout.map_or(until, |t| until.min(self.now + t));
-        let what =
-            if start <= until { What::Starts(request, attempt) } else { What::GivenUp(request, attempt) };
+        let what = if start <= until {
+            What::Starts(request, attempt)
+        } else {
+            What::GivenUp(request, attempt)
+        };
         self.queue(start.min(until), what);
     }
 
     fn failed(
-        &mut self, request: RequestId, attempt: u16, machine: MachineId, outcome: Outcome, load: Option<Load>,
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        machine: NodeId,
+        outcome: AttemptOutcome,
+        load: Option<LoadReport>,
     ) {
-        let Some(job) = self.jobs.get_mut(&request) else { return };
+        let Some(job) = self.jobs.get_mut(&request) else {
+            return;
+        };
         job.host = None;
         let scheduler = job.scheduler;
-        let why = if outcome == Outcome::Refused { Why::NoCores } else { Why::Unknown };
-        let event = Event::Ended { request, attempt, machine, outcome, why, over: false, load };
+        let why = if outcome == AttemptOutcome::Rejected {
+            EndReason::InsufficientCores
+        } else {
+            EndReason::Unknown
+        };
+        let event = Event::AttemptEnded {
+            request,
+            attempt,
+            node: machine,
+            outcome,
+            reason: why,
+            is_final: false,
+            load,
+        };
         self.tell(scheduler, event);
     }
 
     fn off_host(
-        &mut self, request: RequestId, cores: f64, machine: MachineId, starting: bool,
-    ) -> Option<Load> {
+        &mut self,
+        request: RequestId,
+        cores: f64,
+        machine: NodeId,
+        starting: bool,
+    ) -> Option<LoadReport> {
         let host = self.hosts.get_mut(&machine)?;
         if host.tasks.remove(&request) {
             host.used -= cores;
@@ -513,10 +631,13 @@
         Some(host.load())
     }
 
-    fn given_up(&mut self, request: RequestId, attempt: u16, outcome: Outcome) {
+    fn given_up(&mut self, request: RequestId, attempt: u16, outcome: AttemptOutcome) {
         let out = |job: &&Job| !job.stands && job.attempts == attempt + 1;
-        let Some((machine, cores)) =
-            self.jobs.get(&request).filter(out).and_then(|job| Some((job.host?, job.ask.cores)))
+        let Some((machine, cores)) = self
+            .jobs
+            .get(&request)
+            .filter(out)
+            .and_then(|job| Some((job.host?, job.ask.cores)))
         else {
             return;
         };
@@ -526,14 +647,21 @@
 
     fn starts(&mut self, request: RequestId, attempt: u16) {
         let (now, counted) = (self.now, |came| self.is_counted(came));
-        let Some(job) = self.jobs.get(&request).filter(|j| !j.stands && j.attempts == attempt + 1) else {
+        let Some(job) = self
+            .jobs
+            .get(&request)
+            .filter(|j| !j.stands && j.attempts == attempt + 1)
+        else {
             return;
         };
         let Some(machine) = job.host else { return };
         let (scheduler, service) = (job.scheduler, job.ask.service);
         if counted(job.came) {
             self.placed += 1;
-            self.timely += u64::from(now - job.came <= self.settings.classes[usize::from(job.ask.class)].aim);
+            self.timely += u64::from(
+                now - job.came
+                    <= self.settings.classes[usize::from(job.ask.class)].latency_objective,
+            );
         }
         if let Some(job) = self.jobs.get_mut(&request) {
             job.stands = true;
@@ -544,58 +672,96 @@
         self.ran_on.entry(service).or_default().insert(machine);
         let life = -(1.0 - self.rng.f64()).ln() * self.plan.life;
         self.queue(now + (life * 1e6) as Micros, What::Ends(request));
-        self.tell(scheduler, Event::Placed { request, attempt, machine });
+        self.tell(
+            scheduler,
+            Event::Placed {
+                request,
+                attempt,
+                node: machine,
+            },
+        );
     }
 
     /// A task that stands is over.
-    fn over(&mut self, request: RequestId, outcome: Outcome) {
-        let Some(job) = self.jobs.get(&request).filter(|job| job.stands) else { return };
+    fn over(&mut self, request: RequestId, outcome: AttemptOutcome) {
+        let Some(job) = self.jobs.get(&request).filter(|job| job.stands) else {
+            return;
+        };
         let Some(machine) = job.host else { return };
         let (attempt, scheduler, cores) = (job.attempts - 1, job.scheduler, job.ask.cores);
         self.jobs.remove(&request);
         let load = self.off_host(request, cores, machine, false);
-        let why = Why::Unknown;
-        self.tell(scheduler, Event::Ended { request, attempt, machine, outcome, why, over: true, load });
+        let why = EndReason::Unknown;
+        self.tell(
+            scheduler,
+            Event::AttemptEnded {
+                request,
+                attempt,
+                node: machine,
+                outcome,
+                reason: why,
+                is_final: true,
+                load,
+            },
+        );
     }
 
-    fn list(&mut self, lines: &[MachineLine]) {
+    fn list(&mut self, lines: &[NodeEntry]) {
         self.version += 1;
         for scheduler in 0..self.subjects.len() {
             let (version, lines) = (self.version, lines.to_vec());
-            self.tell(scheduler, Event::MachineList { scope: ListScope::Delta, version, lines });
+            self.tell(
+                scheduler,
+                Event::NodeList {
+                    kind: ListUpdateKind::Incremental,
+                    version,
+                    entries: lines,
+                },
+            );
         }
     }
 
     /// A host drains; 5 s later it is gone and another stands in its place, cold.
     fn replace(&mut self) {
-        let Some(machine) = self.rng.choice(self.hosts.keys().copied()) else { return };
-        let Some(host) = self.hosts.get_mut(&machine).filter(|h| h.line.state == MachineState::Ready) else {
+        let Some(machine) = self.rng.choice(self.hosts.keys().copied()) else {
             return;
         };
-        host.line.state = MachineState::Draining;
+        let Some(host) = self
+            .hosts
+            .get_mut(&machine)
+            .filter(|h| h.line.state == NodeStatus::Ready)
+        else {
+            return;
+        };
+        host.line.state = NodeStatus::Draining;
         let told = host.line.clone();
         self.queue(self.now + 5 * SECOND, What::Leaves(machine));
         self.list(&[told]);
     }
 
-    fn leaves(&mut self, machine: MachineId) {
-        let Some(host) = self.hosts.remove(&machine) else { return };
+    fn leaves(&mut self, machine: NodeId) {
+        let Some(host) = self.hosts.remove(&machine) else {
+            return;
+        };
         for request in &host.tasks {
             if self.jobs.get(request).is_some_and(|job| job.stands) {
-                self.over(*request, Outcome::Lost);
+                self.over(*request, AttemptOutcome::Lost);
             } else if let Some(attempts) = self.jobs.get(request).map(|job| job.attempts) {
-                self.given_up(*request, attempts.saturating_sub(1), Outcome::Error);
+                self.given_up(*request, attempts.saturating_sub(1), AttemptOutcome::Error);
             }
         }
         self.next_id += 1;
-        let gone = MachineLine { state: MachineState::Gone, ..host.line.clone() };
-        let id = MachineId(self.next_id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let gone = NodeEntry {
+            state: NodeStatus::Gone,
+            ..host.line.clone()
+        };
+        let id = NodeId(self.next_id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let (now, free) = (self.now, Some(CORES));
-        let new = MachineLine {
-            machine: id,
-            state: MachineState::Ready,
+        let new = NodeEntry {
+            node: id,
+            state: NodeStatus::Ready,
             started_at: now,
-            life: now,
+            incarnation: now,
             free_cores: free,
             free_memory: Some(64.0),
             ..host.line
@@ -623,7 +789,8 @@
         let mean = shares.iter().sum::<f64>() / n;
         let variance = shares.iter().map(|s| (s - mean).powi(2)).sum::<f64>() / n;
         self.spreads.push(variance.sqrt());
-        self.opened.push(shares.iter().filter(|s| **s > 0.0).count() as f64);
+        self.opened
+            .push(shares.iter().filter(|s| **s > 0.0).count() as f64);
     }
 
     fn event(&mut self, what: What) {
@@ -635,11 +802,15 @@
             }
             What::Timer(scheduler, label) => self.tell(scheduler, Event::Timer(label)),
             What::Starts(request, attempt) => self.starts(request, attempt),
-            What::GivenUp(request, attempt) => self.given_up(request, attempt, Outcome::TimedOut),
-            What::Ends(request) => self.over(request, Outcome::Done),
+            What::GivenUp(request, attempt) => {
+                self.given_up(request, attempt, AttemptOutcome::TimedOut)
+            }
+            What::Ends(request) => self.over(request, AttemptOutcome::Completed),
             What::Deadline(request) => {
                 let open = self.jobs.get(&request).filter(|job| !job.stands);
-                let Some((scheduler, host, cores)) = open.map(|j| (j.scheduler, j.host, j.ask.cores)) else {
+                let Some((scheduler, host, cores)) =
+                    open.map(|j| (j.scheduler, j.host, j.ask.cores))
+                else {
                     return;
                 };
                 if let Some(machine) = host {
@@ -647,10 +818,13 @@
                 }
                 let job = self.jobs.remove(&request);
                 self.refused += u64::from(job.is_some_and(|job| self.is_counted(job.came)));
-                self.tell(scheduler, Event::Unwanted(request));
+                self.tell(scheduler, Event::RequestCancelled(request));
             }
             What::Replace => {
-                self.queue(self.now + (1e6 / self.plan.replaced) as Micros, What::Replace);
+                self.queue(
+                    self.now + (1e6 / self.plan.replaced) as Micros,
+                    What::Replace,
+                );
                 self.replace();
             }
             What::Leaves(machine) => self.leaves(machine),
@@ -662,10 +836,17 @@
     }
 
     fn play(mut self) -> Result<Row> {
-        let lines: Vec<MachineLine> = self.hosts.values().map(|host| host.line.clone()).collect();
+        let lines: Vec<NodeEntry> = self.hosts.values().map(|host| host.line.clone()).collect();
         for scheduler in 0..self.subjects.len() {
             let lines = lines.clone();
-            self.tell(scheduler, Event::MachineList { scope: ListScope::Full, version: 1, lines });
+            self.tell(
+                scheduler,
+                Event::NodeList {
+                    kind: ListUpdateKind::Full,
+                    version: 1,
+                    entries: lines,
+                },
+            );
         }
         self.first_lines = self.subjects.iter().map(|s| s.counted().lines).sum();
         let end = self.now + self.plan.warm_up + self.plan.lasts;
@@ -683,7 +864,11 @@
         let real = self.subjects.len() as f64;
         let lines = self.subjects.iter().map(|s| s.counted().lines).sum::<u64>() - self.first_lines;
         let contacted: Vec<f64> = self.contacted.iter().map(|c| c.len() as f64).collect();
-        let ran_on: Vec<f64> = self.ran_on.values().map(|hosts| hosts.len() as f64).collect();
+        let ran_on: Vec<f64> = self
+            .ran_on
+            .values()
+            .map(|hosts| hosts.len() as f64)
+            .collect();
         Ok(Row {
             machines: self.plan.machines,
             schedulers: self.plan.schedulers,
@@ -691,7 +876,12 @@
             size: self.plan.size,
             bounded: self.subjects.iter().any(Subject::is_bounded),
             hollow: true,
-            held: self.subjects.iter().map(|s| s.counted().held.len()).max().unwrap_or(0),
+            held: self
+                .subjects
+                .iter()
+                .map(|s| s.counted().held.len())
+                .max()
+                .unwrap_or(0),
             contacted: mean(&contacted),
             asked: self.asked,
             placed: self.placed,
@@ -700,14 +890,14 @@
             offers_refused: self.offers_refused as f64 / self.offers.max(1) as f64,
             moved: self.moved,
             cold_most: self.cold_most,
-            cold_bears: self.settings.cold_bears,
+            cold_bears: self.settings.slow_start_budget,
             bind_p50_us: self.binds.value_at_quantile(0.5),
             bind_p99_us: self.binds.value_at_quantile(0.99),
             processor_us_a_start: self.in_calls * 1e6 * share.min(1.0) / self.placed as f64,
             longest_us: self.longest,
             whole_list_us: self.whole,
             list_lines: lines as f64 / real,
-            list_bytes: lines as f64 / real * size_of::<MachineLine>() as f64,
+            list_bytes: lines as f64 / real * size_of::<NodeEntry>() as f64,
             spread: mean(&self.spreads),
             hosts_a_service: mean(&ran_on),
             opened: mean(&self.opened),
@@ -718,7 +908,10 @@
 /// Processor time of this thread so far, in seconds.
 fn processor() -> Result<f64> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat")?;
-    let nanos = text.split_whitespace().next().context("no processor time")?;
+    let nanos = text
+        .split_whitespace()
+        .next()
+        .context("no processor time")?;
     Ok(nanos.parse::<f64>()? / 1e9)
 }
 
@@ -740,7 +933,10 @@
         // 1,300 a day among 13,000, and a deploy that replaces the whole fleet within an hour.
         replaced: machines as f64 * (0.1 / 86_400.0 + 1.0 / 3_600.0),
     };
-    [400, 1_300, 4_000, 13_000].into_iter().flat_map(|n| [plan(n, None), plan(n, Some(SIZE))]).collect()
+    [400, 1_300, 4_000, 13_000]
+        .into_iter()
+        .flat_map(|n| [plan(n, None), plan(n, Some(TARGET_SUBSET_SIZE))])
+        .collect()
 }
 
 fn worth(quick: bool, services: u64) -> Vec<Plan> {
@@ -763,7 +959,10 @@
     let mut plans = Vec::new();
     for load in [3.0, 5.0] {
         for schedulers in [16, 32] {
-            plans.extend([None, Some(SIZE), Some(100)].map(|size| plan(load, 400, schedulers, size)));
+            plans.extend(
+                [None, Some(TARGET_SUBSET_SIZE), Some(100)]
+                    .map(|size| plan(load, 400, schedulers, size)),
+            );
         }
         plans.extend([None, Some(256)].map(|size| plan(load, 2_000, 64, size)));
     }
@@ -771,7 +970,8 @@
 }
 
 pub(crate) fn run(arguments: &ViewArguments) -> Result<()> {
-    let plans = if arguments.worth { worth } else { cost }(arguments.quick, arguments.services.max(1));
+    let plans =
+        if arguments.worth { worth } else { cost }(arguments.quick, arguments.services.max(1));
     let mut rows = Vec::new();
     for plan in plans {
         let row = Site::new(plan)?.play()?;
@@ -781,7 +981,14 @@
         rows.push(row);
     }
     if !arguments.json {
-        println!("{}", if arguments.worth { worth_table(&rows) } else { cost_table(&rows) });
+        println!(
+            "{}",
+            if arguments.worth {
+                worth_table(&rows)
+            } else {
+                cost_table(&rows)
+            }
+        );
     }
     Ok(())
 }
--- a/crates/cli/src/hunt.rs
+++ b/crates/cli/src/hunt.rs
@@ -5,9 +5,9 @@
 use comfy_table::Table;
 use comfy_table::presets::UTF8_BORDERS_ONLY;
 use indicatif::{ProgressBar, ProgressStyle};
-use peppercove_day::play as play_on_sockets;
-use peppercove_kernel::hunt::{Plan, Sum, broken, hunt, shrink};
-use peppercove_kernel::{Report, play_bounded};
+use peppercove_day::run_scenario as play_on_sockets;
+use peppercove_kernel::fuzz::{FuzzSummary, RandomScenario, run_seed, shrink, violated_rules};
+use peppercove_kernel::{ScenarioReport, simulate_with_subset};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -59,7 +59,7 @@
 /// Plays the days; exit status 1 when a rule was broken.
 pub(crate) fn run(arguments: &HuntArguments) -> Result<ExitCode> {
     if arguments.show {
-        print!("{}", Plan::random(arguments.from).xml());
+        print!("{}", RandomScenario::random(arguments.from).to_xml());
         return Ok(ExitCode::SUCCESS);
     }
     if arguments.compare {
@@ -68,19 +68,23 @@
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let jobs = arguments.jobs.unwrap_or(cores).clamp(1, 256);
     let bar = ProgressBar::new(arguments.days);
-    if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} days, {per_sec}, {msg}, {eta} left")
+    if let Ok(style) =
+        ProgressStyle::with_template("{bar:40} {pos}/{len} days, {per_sec}, {msg}, {eta} left")
     {
         bar.set_style(style);
     }
-    let (next, sum, failed) =
-        (AtomicU64::new(0), Mutex::new(Sum::default()), Mutex::new(Vec::<(u64, Plan, Report)>::new()));
+    let (next, sum, failed) = (
+        AtomicU64::new(0),
+        Mutex::new(FuzzSummary::default()),
+        Mutex::new(Vec::<(u64, RandomScenario, ScenarioReport)>::new()),
+    );
     let error: Mutex<Option<anyhow::Error>> = Mutex::new(None);
     let how = crate::days::how(None, arguments.processes)?;
     let began = std::time::Instant::now();
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| {
-                let mut own = Sum::default();
+                let mut own = FuzzSummary::default();
                 loop {
                     let i = next.fetch_add(1, Ordering::Relaxed);
                     let enough = arguments.first && failed.lock().is_ok_and(|f| !f.is_empty());
@@ -89,23 +93,24 @@
                     }
                     let seed = arguments.from + i;
                     let (plan, report) = if arguments.sockets || arguments.processes {
-                        let plan = Plan::random(seed);
-                        let script = plan.script();
+                        let plan = RandomScenario::random(seed);
+                        let script = plan.to_scenario();
                         match play_on_sockets(&script, script.seed, &how) {
                             Ok(report) => (plan, report),
                             Err(e) => {
                                 if let Ok(mut error) = error.lock() {
-                                    *error = Some(anyhow::Error::new(e).context(format!("day {seed}")));
+                                    *error =
+                                        Some(anyhow::Error::new(e).context(format!("day {seed}")));
                                 }
                                 break;
                             }
                         }
                     } else if let Some(size) = arguments.view {
-                        let plan = Plan::random(seed);
-                        let report = play_bounded(&plan.script(), seed, size);
+                        let plan = RandomScenario::random(seed);
+                        let report = simulate_with_subset(&plan.to_scenario(), seed, size);
                         (plan, report)
                     } else {
-                        hunt(seed)
+                        run_seed(seed)
                     };
                     own.add(&plan, &report);
                     if !report.is_clean()
@@ -126,13 +131,21 @@
     if let Some(error) = error.into_inner().unwrap_or_default() {
         return Err(error);
     }
-    let (sum, mut failed) = (sum.into_inner().unwrap_or_default(), failed.into_inner().unwrap_or_default());
+    let (sum, mut failed) = (
+        sum.into_inner().unwrap_or_default(),
+        failed.into_inner().unwrap_or_default(),
+    );
     failed.sort_by_key(|(seed, ..)| *seed);
     show(&sum, began.elapsed().as_secs_f64(), arguments.pairs);
     for (seed, _, report) in failed.iter().take(20) {
-        println!("seed {seed}: rules {:?}", broken(report));
-        for b in report.verdict.breaches.iter().take(3) {
-            println!("  rule {} at {:.3} s: {}", b.rule, b.at as f64 / 1e6, b.what);
+        println!("seed {seed}: rules {:?}", violated_rules(report));
+        for b in report.audit.violations.iter().take(3) {
+            println!(
+                "  rule {} at {:.3} s: {}",
+                b.rule,
+                b.at as f64 / 1e6,
+                b.description
+            );
         }
     }
     if let Some(out) = &arguments.out {
@@ -140,19 +153,31 @@
         for (seed, plan, _) in failed.iter().take(arguments.shrink) {
             let (plan, report) = shrink(plan, arguments.shrink_plays);
             let file = out.join(format!("hunt-{seed}.xml"));
-            std::fs::write(&file, plan.xml()).with_context(|| format!("cannot write {}", file.display()))?;
-            let what = report.verdict.breaches.first().map_or("asks left open", |b| b.what.as_str());
+            std::fs::write(&file, plan.to_xml())
+                .with_context(|| format!("cannot write {}", file.display()))?;
+            let what = report
+                .audit
+                .violations
+                .first()
+                .map_or("asks left open", |b| b.description.as_str());
             println!("{}: {what}", file.display());
         }
     }
-    Ok(if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if failed.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 /// Plays each day twice; exit status 1 when any job was answered otherwise.
 fn compare(arguments: &HuntArguments) -> Result<ExitCode> {
     let jobs = arguments.jobs.unwrap_or(8).clamp(1, 64);
     let how = crate::days::how(None, false)?;
-    let (next, lines) = (AtomicU64::new(0), Mutex::new(Vec::<(u64, usize, usize, String)>::new()));
+    let (next, lines) = (
+        AtomicU64::new(0),
+        Mutex::new(Vec::<(u64, usize, usize, String)>::new()),
+    );
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| {
@@ -162,16 +187,25 @@
                         break;
                     }
                     let seed = arguments.from + i;
-                    let script = Plan::timeless(seed).script();
-                    let kernel = peppercove_kernel::play(&script, script.seed);
+                    let script = RandomScenario::timing_independent(seed).to_scenario();
+                    let kernel = peppercove_kernel::simulate(&script, script.seed);
                     let line = match play_on_sockets(&script, script.seed, &how) {
                         Ok(sockets) => {
-                            let all = kernel.by_job.keys().chain(sockets.by_job.keys());
+                            let all = kernel
+                                .answers_by_job
+                                .keys()
+                                .chain(sockets.answers_by_job.keys());
                             let all: std::collections::BTreeSet<&u64> = all.collect();
-                            let other = |t: &&&u64| kernel.by_job.get(*t) != sockets.by_job.get(*t);
+                            let other = |t: &&&u64| {
+                                kernel.answers_by_job.get(*t) != sockets.answers_by_job.get(*t)
+                            };
                             let others: Vec<&&u64> = all.iter().filter(other).collect();
                             let first = others.first().map_or(String::new(), |t| {
-                                format!("{:?} and {:?}", kernel.by_job.get(**t), sockets.by_job.get(**t))
+                                format!(
+                                    "{:?} and {:?}",
+                                    kernel.answers_by_job.get(**t),
+                                    sockets.answers_by_job.get(**t)
+                                )
                             });
                             (seed, all.len(), others.len(), first)
                         }
@@ -186,7 +220,9 @@
     });
     let mut lines = lines.into_inner().unwrap_or_default();
     lines.sort();
-    let (jobs, others) = lines.iter().fold((0, 0), |(a, b), (_, jobs, others, _)| (a + jobs, b + others));
+    let (jobs, others) = lines.iter().fold((0, 0), |(a, b), (_, jobs, others, _)| {
+        (a + jobs, b + others)
+    });
     println!(
         "{} days, {jobs} jobs: {others} answered otherwise in simulated time than on sockets",
         lines.len()
@@ -194,10 +230,14 @@
     for (seed, _, others, first) in lines.iter().filter(|(_, _, others, _)| *others > 0) {
         println!("seed {seed}: {others} jobs, the first {first}");
     }
-    Ok(if others == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if others == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
-fn show(sum: &Sum, took: f64, pairs: bool) {
+fn show(sum: &FuzzSummary, took: f64, pairs: bool) {
     let (share, least, most) = sum.share();
     println!(
         "{} days in {took:.1} s, {} broken: {:.4}, with 95 in 100 between {least:.4} and {most:.4}",
@@ -205,7 +245,11 @@
     );
     let rules: Vec<String> = (0..=5)
         .map(|r| {
-            let name = if r == 0 { "left open".into() } else { format!("rule {r}") };
+            let name = if r == 0 {
+                "left open".into()
+            } else {
+                format!("rule {r}")
+            };
             format!("{name} {}", sum.by_rule.get(&r).unwrap_or(&0))
         })
         .collect();
@@ -213,9 +257,22 @@
     println!("jobs {}, offers {}", sum.jobs, sum.offers);
     let mut table = Table::new();
     table.load_preset(UTF8_BORDERS_ONLY);
-    table.set_header(["class", "placed", "refused", "failed", "placed a job answered", "p50 ms", "p99 ms"]);
+    table.set_header([
+        "class",
+        "placed",
+        "refused",
+        "failed",
+        "placed a job answered",
+        "p50 ms",
+        "p99 ms",
+    ]);
     for (class, (p50, p99, n)) in &sum.delays {
-        let of = |answer: &str| sum.answers.get(&format!("{class} {answer}")).copied().unwrap_or(0);
+        let of = |answer: &str| {
+            sum.answers
+                .get(&format!("{class} {answer}"))
+                .copied()
+                .unwrap_or(0)
+        };
         let (placed, refused, failed) = (of("placed"), of("refused"), of("failed"));
         let all = (placed + refused + failed).max(1) as f64;
         let mean = |sum: u64| format!("{:.1}", sum as f64 / (*n).max(1) as f64 / 1e3);
@@ -237,8 +294,12 @@
         println!("{days} days: {hazard}");
     }
     if pairs {
-        let all = peppercove_kernel::hunt::KINDS.len();
-        println!("{} of {} pairs of faults overlapped", sum.pairs.len(), all * (all + 1) / 2);
+        let all = peppercove_kernel::fuzz::FAULT_KINDS.len();
+        println!(
+            "{} of {} pairs of faults overlapped",
+            sum.pairs.len(),
+            all * (all + 1) / 2
+        );
         for ((a, b), days) in &sum.pairs {
             println!("{a} with {b}: {days}");
         }
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Controller, LONG, Peer, Place, event, server, set_up};
-use peppercove_platform::wire::{Kind, Message, cause, code};
+use peppercove_platform::wire::{Message, MessageKind, cause, code};
 use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, TcpListener};
 use std::sync::mpsc::{Receiver, channel};
@@ -24,8 +24,8 @@
     let (heard, hears) = channel();
     let thread = std::thread::spawn(move || {
         while let Some(message) = peer.next() {
-            if message.kind == Kind::Test {
-                peer.send(&Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1]));
+            if message.kind == MessageKind::Test {
+                peer.send(&Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]));
             } else if heard.send(message).is_err() {
                 return;
             }
@@ -38,10 +38,18 @@
 /// once, before its going is read, is taken back.
 #[test]
 fn a_client_that_goes_between_two_attempts_gets_no_further_one() {
-    for goes in [Goes::Cancels, Goes::Closes, Goes::HalfCloses, Goes::ClosesBehindHalfAMessage] {
+    for goes in [
+        Goes::Cancels,
+        Goes::Closes,
+        Goes::HalfCloses,
+        Goes::ClosesBehindHalfAMessage,
+    ] {
         for client_first in [true, false] {
             let (journal, a, b) = (Place::new(), Place::new(), Place::new());
-            let hosts = [server("a", a.address(), "active"), server("b", b.address(), "active")];
+            let hosts = [
+                server("a", a.address(), "active"),
+                server("b", b.address(), "active"),
+            ];
             let controller = Controller::start(journal.address(), &hosts, 256);
             let mut client = Peer::connect(controller.address);
             client.send(&set_up(5, "one"));
@@ -76,20 +84,31 @@
             let mut open = [false; 2];
             let mut count = |at: usize, message: &Message| {
                 if message.id == 5 {
-                    open[at] = message.kind == Kind::SetUp;
+                    open[at] = message.kind == MessageKind::SetUp;
                 }
             };
             let mut at_second = None;
             let mut seen = 0;
             let end = Instant::now() + LONG;
             while seen < 40 {
-                assert!(Instant::now() < end, "{goes:?}, client first: {client_first}: {seen} of 40");
+                assert!(
+                    Instant::now() < end,
+                    "{goes:?}, client first: {client_first}: {seen} of 40"
+                );
                 if at_second.is_none() && second.0.set_nonblocking(true).is_ok() {
-                    at_second = second.0.accept().ok().map(|(stream, _)| listen(Peer::of(stream)).0);
+                    at_second = second
+                        .0
+                        .accept()
+                        .ok()
+                        .map(|(stream, _)| listen(Peer::of(stream)).0);
                 }
-                for (at, hears) in [Some(&at_first), at_second.as_ref()].into_iter().enumerate() {
+                for (at, hears) in [Some(&at_first), at_second.as_ref()]
+                    .into_iter()
+                    .enumerate()
+                {
                     for message in hears.into_iter().flat_map(Receiver::try_iter) {
-                        seen += usize::from(message.kind == Kind::SetUp && message.id >= 100);
+                        seen +=
+                            usize::from(message.kind == MessageKind::SetUp && message.id >= 100);
                         count(at, &message);
                     }
                 }
@@ -97,8 +116,14 @@
             }
             // Whatever was begun in the instant of the crossing was taken back, and nothing begins later.
             std::thread::sleep(Duration::from_millis(300));
-            for (at, hears) in [Some(&at_first), at_second.as_ref()].into_iter().enumerate() {
-                hears.into_iter().flat_map(Receiver::try_iter).for_each(|message| count(at, &message));
+            for (at, hears) in [Some(&at_first), at_second.as_ref()]
+                .into_iter()
+                .enumerate()
+            {
+                hears
+                    .into_iter()
+                    .flat_map(Receiver::try_iter)
+                    .for_each(|message| count(at, &message));
             }
             assert_eq!(open, [false; 2], "{goes:?}, client first: {client_first}");
         }
@@ -114,7 +139,10 @@
             match place.0.accept() {
                 Ok((stream, _)) => return (Peer::of(stream), other),
                 Err(e) => {
-                    assert!(e.kind() == ErrorKind::WouldBlock && Instant::now() < end, "{e}")
+                    assert!(
+                        e.kind() == ErrorKind::WouldBlock && Instant::now() < end,
+                        "{e}"
+                    )
                 }
             }
         }
@@ -129,19 +157,26 @@
     let address = journal.address();
     drop(journal);
     let controller = Controller::start(address, &[], 64);
-    let idle: Vec<Peer> = (0..120).map(|_| Peer::connect(controller.address)).collect();
+    let idle: Vec<Peer> = (0..120)
+        .map(|_| Peer::connect(controller.address))
+        .collect();
     let mut asked_once: Vec<Peer> = Vec::new();
     for id in 1..60 {
         let mut client = Peer::connect(controller.address);
-        client.send(&Message::new(Kind::Test, id).with(code::CAUSE, &[0]));
-        assert_eq!(client.hear().kind, Kind::Tested);
+        client.send(&Message::new(MessageKind::Test, id).with(code::CAUSE, &[0]));
+        assert_eq!(client.hear().kind, MessageKind::Tested);
         asked_once.push(client);
     }
     // It is back, and is called though nobody has let go of anything.
     let journal = Place(TcpListener::bind(address).expect("the same port"));
     let (mut feed, call) = journal.tail();
     assert_eq!(call, "tail 1");
-    writeln!(feed, "{}", event(2, false, &[server("a", host.address(), "active")])).expect("told");
+    writeln!(
+        feed,
+        "{}",
+        event(2, false, &[server("a", host.address(), "active")])
+    )
+    .expect("told");
     let mut client = Peer::connect(controller.address);
     client.send(&set_up(500, "one"));
     let mut at_host = host.peer();
--- a/crates/cli/tests/fleet/owner.rs
+++ b/crates/cli/tests/fleet/owner.rs
@@ -1,7 +1,7 @@
 //! Owners of one controller: what they ask, and what they are told.
 
 use bytes::BytesMut;
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,7 +31,10 @@
 
 impl Ask {
     pub fn placed(&self) -> Option<&[u8]> {
-        self.answers.first().filter(|m| m.kind == Kind::Answer).and_then(|m| m.get(code::DESCRIPTION))
+        self.answers
+            .first()
+            .filter(|m| m.kind == MessageKind::Answer)
+            .and_then(|m| m.get(code::DESCRIPTION))
     }
 }
 
@@ -60,12 +63,16 @@
             connections: 0,
             away: false,
         };
-        Owners { inner: Rc::new(RefCell::new(inner)) }
+        Owners {
+            inner: Rc::new(RefCell::new(inner)),
+        }
     }
 
     /// Opens a connection to the controller; what is sent from now on goes over it, earlier ones stay open for answers.
     pub async fn connect(&self, controller: SocketAddr) {
-        let Ok(stream) = TcpStream::connect(controller).await else { return };
+        let Ok(stream) = TcpStream::connect(controller).await else {
+            return;
+        };
         let (mut from, mut to) = stream.into_split();
         let (out, mut said) = mpsc::unbounded_channel::<Message>();
         let connection = {
@@ -104,7 +111,7 @@
     pub async fn admitted(&self, controller: SocketAddr) {
         self.inner.borrow_mut().tested = false;
         self.connect(controller).await;
-        self.send(Message::new(Kind::Test, 1).with(code::CAUSE, &[0]));
+        self.send(Message::new(MessageKind::Test, 1).with(code::CAUSE, &[0]));
         while !self.inner.borrow().tested {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -115,7 +122,13 @@
         if inner.away {
             return;
         }
-        inner.asks.insert(id, Ask { task: id, ..Ask::default() });
+        inner.asks.insert(
+            id,
+            Ask {
+                task: id,
+                ..Ask::default()
+            },
+        );
         drop(inner);
         self.send(set_up(id, id, class, service, ""));
     }
@@ -156,14 +169,20 @@
         let mut inner = self.inner.borrow_mut();
         (inner.out, inner.away) = (None, true);
         // Whether it had told a host of what an owner ended is known to nobody.
-        inner.asks.values_mut().filter(|a| a.answers.is_empty() || a.ended).for_each(|a| a.void = true);
+        inner
+            .asks
+            .values_mut()
+            .filter(|a| a.answers.is_empty() || a.ended)
+            .for_each(|a| a.void = true);
     }
 
     pub fn hand_over(&self) {
         let inner = self.inner.borrow();
         let stands = |a: &&Ask| a.placed().is_some() && a.ends == 0 && !a.ended;
         let there = inner.asks.iter().filter(|(_, a)| stands(a));
-        let tasks: Vec<_> = there.filter_map(|(id, a)| Some((*id, a.task, host_of(a)?))).collect();
+        let tasks: Vec<_> = there
+            .filter_map(|(id, a)| Some((*id, a.task, host_of(a)?)))
+            .collect();
         drop(inner);
         for (id, task, host) in tasks {
             self.send(set_up(id, task, "any", 1, &format!(";at:{host}")));
@@ -175,8 +194,13 @@
     /// that `found` says stands there for long. Returns the answer and the id.
     pub fn hand_over_anew(&self, id: u64, found: impl Fn(&[u8]) -> bool) -> Option<Vec<u8>> {
         let mut inner = self.inner.borrow_mut();
-        let stands = |a: &Ask| a.ends == 0 && !a.ended && a.task != id && a.placed().is_some_and(&found);
-        let former = inner.asks.iter().find(|(id, a)| **id == a.task && stands(a)).map(|(id, _)| *id);
+        let stands =
+            |a: &Ask| a.ends == 0 && !a.ended && a.task != id && a.placed().is_some_and(&found);
+        let former = inner
+            .asks
+            .iter()
+            .find(|(id, a)| **id == a.task && stands(a))
+            .map(|(id, _)| *id);
         let former = former.filter(|_| !inner.away)?;
         let ask = inner.asks.remove(&former)?;
         let (description, host, task) = (ask.placed()?.to_vec(), host_of(&ask)?, ask.task);
@@ -188,7 +212,7 @@
 
     fn hears(&self, connection: u64, message: Message) {
         let mut inner = self.inner.borrow_mut();
-        if message.kind == Kind::Tested {
+        if message.kind == MessageKind::Tested {
             inner.tested = true;
             return;
         }
@@ -201,7 +225,7 @@
                 ask.answers.push(message.clone());
                 None
             }
-            Some(ask) if ask.placed().is_some() && message.kind == Kind::Release => {
+            Some(ask) if ask.placed().is_some() && message.kind == MessageKind::Release => {
                 // Told again where the connection that it was told over closes right behind it. One may cross the word of
                 // an owner who ends the task.
                 ask.ends += 1;
@@ -224,21 +248,32 @@
 
     /// Looks at all tasks.
     pub fn each(&self, mut look: impl FnMut(u64, &Ask)) {
-        self.inner.borrow().asks.iter().for_each(|(id, a)| look(*id, a));
+        self.inner
+            .borrow()
+            .asks
+            .iter()
+            .for_each(|(id, a)| look(*id, a));
     }
 }
 
 /// The host that placed it, by the description that the scripted hosts give.
 pub fn host_of(ask: &Ask) -> Option<String> {
-    std::str::from_utf8(ask.placed()?).ok()?.split('/').next().map(str::to_owned)
+    std::str::from_utf8(ask.placed()?)
+        .ok()?
+        .split('/')
+        .next()
+        .map(str::to_owned)
 }
 
 fn set_up(id: u64, task: u64, class: &str, service: u64, at: &str) -> Message {
-    Message::new(Kind::SetUp, id)
+    Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, class.as_bytes())
         .with(code::WAIT, b"2000")
         .with(code::TASK, format!("{task:016x}").as_bytes())
         .with(code::KEY, format!("{task:032x}").as_bytes())
-        .with(code::FIGURES, format!("cores:1;memory:2;service:{service:016x}{at}").as_bytes())
+        .with(
+            code::FIGURES,
+            format!("cores:1;memory:2;service:{service:016x}{at}").as_bytes(),
+        )
         .with(code::DESCRIPTION, b"opaque \0\xff")
 }
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -8,7 +8,7 @@
 
 /// What an attribute holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum ValueKind {
     /// Any text that is not empty.
     Text,
     /// Letters, digits, `-`, `_` and `.`: what may stand in a native specification or a job id.
@@ -33,7 +33,7 @@
     /// Its name.
     pub name: &'static str,
     /// What it holds.
-    pub kind: Kind,
+    pub kind: ValueKind,
     /// Its value where it is left out; `None` makes it required, an empty text leaves it absent.
     pub default: Option<&'static str>,
     /// For people.
@@ -42,7 +42,7 @@
 
 /// How often an element may stand in its parent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Often {
+pub enum Occurrence {
     /// Once, exactly.
     Once,
     /// Once or not at all: its attributes then have their defaults.
@@ -59,7 +59,7 @@
     /// Its name.
     pub name: &'static str,
     /// How often it stands in its parent.
-    pub often: Often,
+    pub often: Occurrence,
     /// Its attributes.
     pub attributes: &'static [Attribute],
     /// Elements in it.
@@ -125,10 +125,19 @@
     /// [`ConfigError`] with every problem found, or the first that keeps it from being XML.
     pub fn parse(text: &str, root: &'static Element) -> Result<Document, ConfigError> {
         let fail = |line, column, what: String| ConfigError {
-            problems: vec![Problem { line, column, element: root.name.into(), what }],
+            problems: vec![Problem {
+                line,
+                column,
+                element: root.name.into(),
+                what,
+            }],
         };
         if text.len() > LONGEST {
-            return Err(fail(1, 1, format!("the file is longer than {LONGEST} bytes")));
+            return Err(fail(
+                1,
+                1,
+                format!("the file is longer than {LONGEST} bytes"),
+            ));
         }
         let tree = roxmltree::Document::parse(text).map_err(|e| {
             let at = e.pos();
@@ -142,7 +151,11 @@
             return Err(ConfigError { problems });
         }
         let document = check(node, root, root.name, &mut problems);
-        if problems.is_empty() { Ok(document) } else { Err(ConfigError { problems }) }
+        if problems.is_empty() {
+            Ok(document)
+        } else {
+            Err(ConfigError { problems })
+        }
     }
 
     /// Puts a value in place of what the file says: `path` names elements and, last, the attribute. `root` is the
@@ -150,17 +163,34 @@
     ///
     /// # Errors
     /// [`ConfigError`] where there is no such attribute, the element may stand more than once, or the value is wrong.
-    pub fn set(&mut self, root: &'static Element, path: &str, value: &str) -> Result<(), ConfigError> {
+    pub fn set(
+        &mut self,
+        root: &'static Element,
+        path: &str,
+        value: &str,
+    ) -> Result<(), ConfigError> {
         let fail = |what: String| {
-            let problem = Problem { line: 0, column: 0, element: path.into(), what };
-            ConfigError { problems: vec![problem] }
+            let problem = Problem {
+                line: 0,
+                column: 0,
+                element: path.into(),
+                what,
+            };
+            ConfigError {
+                problems: vec![problem],
+            }
         };
         let (mut element, mut document, mut steps) = (root, self, path.split('/').peekable());
         while let Some(step) = steps.next() {
             if steps.peek().is_some() {
-                let single = |e: &&Element| e.name == step && matches!(e.often, Often::Maybe | Often::Once);
+                let single = |e: &&Element| {
+                    e.name == step && matches!(e.often, Occurrence::Maybe | Occurrence::Once)
+                };
                 element = element.children.iter().find(single).ok_or_else(|| {
-                    fail(format!("there is no single element '{step}' in <{}>", element.name))
+                    fail(format!(
+                        "there is no single element '{step}' in <{}>",
+                        element.name
+                    ))
                 })?;
                 document = document
                     .children
@@ -170,8 +200,8 @@
                 continue;
             }
             let attribute = element.attributes.iter().find(|a| a.name == step);
-            let attribute =
-                attribute.ok_or_else(|| fail(format!("<{}> has no attribute '{step}'", element.name)))?;
+            let attribute = attribute
+                .ok_or_else(|| fail(format!("<{}> has no attribute '{step}'", element.name)))?;
             check_value(attribute.kind, value)
                 .map_err(|expected| fail(format!("\"{value}\": {expected} was expected")))?;
             document.values.insert(attribute.name, value.into());
@@ -181,7 +211,12 @@
 
     /// A problem found later with a value of this element.
     pub fn problem(&self, what: impl Into<String>) -> Problem {
-        Problem { line: self.line, column: self.column, element: self.path.clone(), what: what.into() }
+        Problem {
+            line: self.line,
+            column: self.column,
+            element: self.path.clone(),
+            what: what.into(),
+        }
     }
 
     /// The one child of that name; elements that may be left out are there with their defaults.
@@ -234,17 +269,30 @@
 
     /// An address.
     pub fn address(&self, name: &str) -> SocketAddr {
-        let v4: SocketAddrV4 = self.word(name).parse().unwrap_or(SocketAddrV4::new([127, 0, 0, 1].into(), 0));
+        let v4: SocketAddrV4 = self
+            .word(name)
+            .parse()
+            .unwrap_or(SocketAddrV4::new([127, 0, 0, 1].into(), 0));
         v4.into()
     }
 }
 
 fn problem(node: Node<'_, '_>, path: &str, what: String) -> Problem {
     let at = node.document().text_pos_at(node.range().start);
-    Problem { line: at.row, column: at.col, element: path.into(), what }
+    Problem {
+        line: at.row,
+        column: at.col,
+        element: path.into(),
+        what,
+    }
 }
 
-fn check(node: Node<'_, '_>, element: &'static Element, path: &str, problems: &mut Vec<Problem>) -> Document {
+fn check(
+    node: Node<'_, '_>,
+    element: &'static Element,
+    path: &str,
+    problems: &mut Vec<Problem>,
+) -> Document {
     let at = node.document().text_pos_at(node.range().start);
     let mut document = defaults(element, path);
     (document.line, document.column) = (at.row, at.col);
@@ -252,8 +300,11 @@
         let Some(attribute) = element.attributes.iter().find(|a| a.name == given.name()) else {
             if given.namespace().is_none() {
                 let known: Vec<&str> = element.attributes.iter().map(|a| a.name).collect();
-                let what =
-                    format!("unknown attribute '{}'; expected one of: {}", given.name(), known.join(", "));
+                let what = format!(
+                    "unknown attribute '{}'; expected one of: {}",
+                    given.name(),
+                    known.join(", ")
+                );
                 problems.push(problem(node, path, what));
             }
             continue;
@@ -263,21 +314,31 @@
                 document.values.insert(attribute.name, given.value().into());
             }
             Err(expected) => {
-                let what = format!("{}=\"{}\": {expected} was expected", attribute.name, given.value());
+                let what = format!(
+                    "{}=\"{}\": {expected} was expected",
+                    attribute.name,
+                    given.value()
+                );
                 problems.push(problem(node, path, what));
             }
         }
     }
     for attribute in element.attributes.iter().filter(|a| a.default.is_none()) {
         if node.attribute(attribute.name).is_none() {
-            let what = format!("attribute '{}' is missing: {}", attribute.name, attribute.about);
+            let what = format!(
+                "attribute '{}' is missing: {}",
+                attribute.name, attribute.about
+            );
             problems.push(problem(node, path, what));
         }
     }
     let mut found: BTreeMap<&'static str, Vec<Document>> = BTreeMap::new();
     for child in node.children() {
         if child.is_text() && child.text().is_some_and(|t| !t.trim().is_empty()) {
-            let what = format!("text '{}' is not expected here", child.text().unwrap_or_default().trim());
+            let what = format!(
+                "text '{}' is not expected here",
+                child.text().unwrap_or_default().trim()
+            );
             problems.push(problem(child, path, what));
         }
         if !child.is_element() {
@@ -285,21 +346,33 @@
         }
         let name = child.tag_name().name();
         let Some(known) = element.children.iter().find(|e| e.name == name) else {
-            let known: Vec<String> = element.children.iter().map(|e| format!("<{}>", e.name)).collect();
-            let expected = if known.is_empty() { "nothing".into() } else { known.join(", ") };
-            problems.push(problem(child, path, format!("unknown element <{name}>; expected: {expected}")));
+            let known: Vec<String> = element
+                .children
+                .iter()
+                .map(|e| format!("<{}>", e.name))
+                .collect();
+            let expected = if known.is_empty() {
+                "nothing".into()
+            } else {
+                known.join(", ")
+            };
+            problems.push(problem(
+                child,
+                path,
+                format!("unknown element <{name}>; expected: {expected}"),
+            ));
             continue;
         };
         let inner = format!("{path}/{name}");
         let list = found.entry(known.name).or_default();
-        if !list.is_empty() && matches!(known.often, Often::Once | Often::Maybe) {
+        if !list.is_empty() && matches!(known.often, Occurrence::Once | Occurrence::Maybe) {
             problems.push(problem(child, &inner, "may stand only once".into()));
         }
         list.push(check(child, known, &inner, problems));
     }
     for child in element.children {
         let missing = !found.contains_key(child.name);
-        if missing && matches!(child.often, Often::Once | Often::Some) {
+        if missing && matches!(child.often, Occurrence::Once | Occurrence::Some) {
             let what = format!("element <{}> is missing: {}", child.name, child.about);
             problems.push(problem(node, path, what));
         }
@@ -309,16 +382,28 @@
 }
 
 fn defaults(element: &'static Element, path: &str) -> Document {
-    let values = element.attributes.iter().filter_map(|a| Some((a.name, a.default?)));
-    let values = values.filter(|(_, v)| !v.is_empty()).map(|(n, v)| (n, v.to_owned())).collect();
-    let single = |e: &&Element| matches!(e.often, Often::Maybe | Often::Once);
+    let values = element
+        .attributes
+        .iter()
+        .filter_map(|a| Some((a.name, a.default?)));
+    let values = values
+        .filter(|(_, v)| !v.is_empty())
+        .map(|(n, v)| (n, v.to_owned()))
+        .collect();
+    let single = |e: &&Element| matches!(e.often, Occurrence::Maybe | Occurrence::Once);
     let children = element
         .children
         .iter()
         .filter(single)
         .map(|e| (e.name, vec![defaults(e, &format!("{path}/{}", e.name))]))
         .collect();
-    Document { line: 0, column: 0, path: path.into(), values, children }
+    Document {
+        line: 0,
+        column: 0,
+        path: path.into(),
+        values,
+        children,
+    }
 }
 
 /// Parses a time such as `250us`, `800ms`, `5s` or `2m`.
@@ -336,35 +421,41 @@
     Duration::try_from_secs_f64(count.parse::<f64>().ok()? * seconds).ok()
 }
 
-fn check_value(kind: Kind, text: &str) -> Result<(), String> {
+fn check_value(kind: ValueKind, text: &str) -> Result<(), String> {
     let ok = match kind {
-        Kind::Text => !text.is_empty(),
-        Kind::Name => {
+        ValueKind::Text => !text.is_empty(),
+        ValueKind::Name => {
             let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
             !text.is_empty() && text.len() <= 64 && text.chars().all(fits)
         }
-        Kind::Flag => matches!(text, "true" | "false"),
-        Kind::Count(least, most) => text.parse::<u64>().is_ok_and(|n| (least..=most).contains(&n)),
-        Kind::Number(least, most) => text.parse::<f64>().is_ok_and(|n| (least..=most).contains(&n)),
-        Kind::Span => parse_span(text).is_some_and(|s| s <= Duration::from_secs(366 * 86_400)),
-        Kind::Choice(words) => words.contains(&text),
-        Kind::Address => text.parse::<SocketAddrV4>().is_ok(),
+        ValueKind::Flag => matches!(text, "true" | "false"),
+        ValueKind::Count(least, most) => text
+            .parse::<u64>()
+            .is_ok_and(|n| (least..=most).contains(&n)),
+        ValueKind::Number(least, most) => text
+            .parse::<f64>()
+            .is_ok_and(|n| (least..=most).contains(&n)),
+        ValueKind::Span => parse_span(text).is_some_and(|s| s <= Duration::from_secs(366 * 86_400)),
+        ValueKind::Choice(words) => words.contains(&text),
+        ValueKind::Address => text.parse::<SocketAddrV4>().is_ok(),
     };
     if ok { Ok(()) } else { Err(expected(kind)) }
 }
 
-fn expected(kind: Kind) -> String {
+fn expected(kind: ValueKind) -> String {
     match kind {
-        Kind::Text => "a text".into(),
-        Kind::Name => "a name of up to 64 letters, digits, '-', '_' and '.'".into(),
-        Kind::Flag => "true or false".into(),
-        Kind::Count(least, u64::MAX) => format!("a whole number of {least} or more"),
-        Kind::Count(least, most) => format!("a whole number from {least} to {most}"),
-        Kind::Number(least, most) if most == f64::MAX => format!("a number of {least} or more"),
-        Kind::Number(least, most) => format!("a number from {least} to {most}"),
-        Kind::Span => "a time such as 250us, 800ms, 5s or 2m, a year at most,".into(),
-        Kind::Choice(words) => words.join(" or "),
-        Kind::Address => "an IPv4 address and a port, such as 127.0.0.1:7070,".into(),
+        ValueKind::Text => "a text".into(),
+        ValueKind::Name => "a name of up to 64 letters, digits, '-', '_' and '.'".into(),
+        ValueKind::Flag => "true or false".into(),
+        ValueKind::Count(least, u64::MAX) => format!("a whole number of {least} or more"),
+        ValueKind::Count(least, most) => format!("a whole number from {least} to {most}"),
+        ValueKind::Number(least, most) if most == f64::MAX => {
+            format!("a number of {least} or more")
+        }
+        ValueKind::Number(least, most) => format!("a number from {least} to {most}"),
+        ValueKind::Span => "a time such as 250us, 800ms, 5s or 2m, a year at most,".into(),
+        ValueKind::Choice(words) => words.join(" or "),
+        ValueKind::Address => "an IPv4 address and a port, such as 127.0.0.1:7070,".into(),
     }
 }
 
@@ -375,8 +466,7 @@
     out += "  <xs:simpleType name=\"span\">\n    <xs:restriction base=\"xs:string\">\n";
     out += "      <xs:pattern value=\"[0-9]+(\\.[0-9]+)?(us|ms|s|m|h)\"/>\n    </xs:restriction>\n  </xs:simpleType>\n";
     out += "  <xs:simpleType name=\"name\">\n    <xs:restriction base=\"xs:string\">\n";
-    out +=
-        "      <xs:pattern value=\"[A-Za-z0-9_.\\-]{1,64}\"/>\n    </xs:restriction>\n  </xs:simpleType>\n";
+    out += "      <xs:pattern value=\"[A-Za-z0-9_.\\-]{1,64}\"/>\n    </xs:restriction>\n  </xs:simpleType>\n";
     out += "  <xs:simpleType name=\"address\">\n    <xs:restriction base=\"xs:string\">\n";
     out += "      <xs:pattern value=\"[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}\"/>\n    </xs:restriction>\n  </xs:simpleType>\n";
     write_element(&mut out, root, 1, true);
@@ -388,19 +478,30 @@
     let pad = "  ".repeat(depth);
     let occurs = match element.often {
         _ if outermost => "",
-        Often::Once => "",
-        Often::Maybe => " minOccurs=\"0\"",
-        Often::Any => " minOccurs=\"0\" maxOccurs=\"unbounded\"",
-        Often::Some => " maxOccurs=\"unbounded\"",
+        Occurrence::Once => "",
+        Occurrence::Maybe => " minOccurs=\"0\"",
+        Occurrence::Any => " minOccurs=\"0\" maxOccurs=\"unbounded\"",
+        Occurrence::Some => " maxOccurs=\"unbounded\"",
     };
     let _ = writeln!(out, "{pad}<xs:element name=\"{}\"{occurs}>", element.name);
     write_about(out, element.about, depth + 1);
     let _ = writeln!(out, "{pad}  <xs:complexType>");
     if !element.children.is_empty() {
         // Elements stand in any order: a choice repeated, whose counts the program itself checks.
-        let _ = writeln!(out, "{pad}    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">");
+        let _ = writeln!(
+            out,
+            "{pad}    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">"
+        );
         for child in element.children {
-            write_element(out, &Element { often: Often::Once, ..*child }, depth + 3, false);
+            write_element(
+                out,
+                &Element {
+                    often: Occurrence::Once,
+                    ..*child
+                },
+                depth + 3,
+                false,
+            );
         }
         let _ = writeln!(out, "{pad}    </xs:choice>");
     }
@@ -413,7 +514,10 @@
 fn write_about(out: &mut String, about: &str, depth: usize) {
     let pad = "  ".repeat(depth);
     let about = about.replace('&', "&amp;").replace('<', "&lt;");
-    let _ = writeln!(out, "{pad}<xs:annotation><xs:documentation>{about}</xs:documentation></xs:annotation>");
+    let _ = writeln!(
+        out,
+        "{pad}<xs:annotation><xs:documentation>{about}</xs:documentation></xs:annotation>"
+    );
 }
 
 fn write_attribute(out: &mut String, attribute: &Attribute, depth: usize) {
@@ -424,21 +528,32 @@
         Some(value) => format!(" default=\"{value}\""),
     };
     let named = match attribute.kind {
-        Kind::Text => Some("xs:string"),
-        Kind::Name => Some("name"),
-        Kind::Flag => Some("xs:boolean"),
-        Kind::Span => Some("span"),
-        Kind::Address => Some("address"),
-        Kind::Count(..) | Kind::Number(..) | Kind::Choice(_) => None,
+        ValueKind::Text => Some("xs:string"),
+        ValueKind::Name => Some("name"),
+        ValueKind::Flag => Some("xs:boolean"),
+        ValueKind::Span => Some("span"),
+        ValueKind::Address => Some("address"),
+        ValueKind::Count(..) | ValueKind::Number(..) | ValueKind::Choice(_) => None,
     };
     let named = named.map(|n| format!(" type=\"{n}\"")).unwrap_or_default();
-    let _ = writeln!(out, "{pad}<xs:attribute name=\"{}\"{named}{given}>", attribute.name);
+    let _ = writeln!(
+        out,
+        "{pad}<xs:attribute name=\"{}\"{named}{given}>",
+        attribute.name
+    );
     write_about(out, attribute.about, depth + 1);
     let restriction = match attribute.kind {
-        Kind::Count(least, most) => Some(("xs:unsignedLong", bounds(least, most, most == u64::MAX))),
-        Kind::Number(least, most) => Some(("xs:double", bounds(least, most, most == f64::MAX))),
-        Kind::Choice(words) => {
-            let words = words.iter().map(|w| format!("<xs:enumeration value=\"{w}\"/>")).collect();
+        ValueKind::Count(least, most) => {
+            Some(("xs:unsignedLong", bounds(least, most, most == u64::MAX)))
+        }
+        ValueKind::Number(least, most) => {
+            Some(("xs:double", bounds(least, most, most == f64::MAX)))
+        }
+        ValueKind::Choice(words) => {
+            let words = words
+                .iter()
+                .map(|w| format!("<xs:enumeration value=\"{w}\"/>"))
+                .collect();
             Some(("xs:string", words))
         }
         _ => None,
@@ -453,6 +568,10 @@
 }
 
 fn bounds(least: impl std::fmt::Display, most: impl std::fmt::Display, open: bool) -> String {
-    let upper = if open { String::new() } else { format!("<xs:maxInclusive value=\"{most}\"/>") };
+    let upper = if open {
+        String::new()
+    } else {
+        format!("<xs:maxInclusive value=\"{most}\"/>")
+    };
     format!("<xs:minInclusive value=\"{least}\"/>{upper}")
 }
--- a/crates/controller/src/figures.rs
+++ b/crates/controller/src/metrics.rs
@@ -1,10 +1,10 @@
 //! The controller's own figures: counted as things happen, or read from the core when they are gathered.
 
-use crate::shell::Shell;
-use peppercove::{MachineState, Micros, Outcome, Why};
-use peppercove_core::nodes::Link;
+use crate::server::Server;
+use peppercove::{AttemptOutcome, EndReason, Micros, NodeStatus};
+use peppercove_core::nodes::ConnectionState;
 use peppercove_core::{Answer, Counters};
-use peppercove_metrics::{self as names, Metrics, Point};
+use peppercove_metrics::{self as names, MetricPoint, Metrics};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
@@ -15,14 +15,17 @@
     ends: BTreeMap<(&'static str, &'static str), u64>,
 }
 
-pub(crate) struct Figures {
+pub(crate) struct ControllerMetrics {
     metrics: Metrics,
     told: RefCell<Told>,
 }
 
-impl Figures {
-    pub(crate) fn new(began: Micros) -> Figures {
-        let figures = Figures { metrics: Metrics::new(), told: RefCell::default() };
+impl ControllerMetrics {
+    pub(crate) fn new(began: Micros) -> ControllerMetrics {
+        let figures = ControllerMetrics {
+            metrics: Metrics::new(),
+            told: RefCell::default(),
+        };
         figures.set(names::START, &[], began as f64 / 1e6);
         figures
     }
@@ -43,42 +46,62 @@
     pub(crate) fn answered(&self, class: &str, answer: Answer, after: Option<Micros>) {
         let outcome = match answer {
             Answer::Placed(_) => "placed",
-            Answer::Refused(_) => "refused",
+            Answer::Rejected(_) => "refused",
             Answer::Failed => "failed",
-            Answer::Withdrawn => "withdrawn",
+            Answer::Cancelled => "withdrawn",
         };
         self.add(names::ANSWERS, &[class, outcome], 1.0);
         if let Some(after) = after
-            && let Err(error) = self.metrics.observe(names::PLACEMENT, &[class, outcome], after as f64 / 1e6)
+            && let Err(error) =
+                self.metrics
+                    .observe(names::PLACEMENT, &[class, outcome], after as f64 / 1e6)
         {
             tracing::error!(%error, "fault: a figure is not in the table");
         }
     }
 
     /// Reads what the core counts, and gives all figures.
-    pub(crate) fn gather(&self, shell: &Shell) -> Vec<Point> {
+    pub(crate) fn gather(&self, shell: &Server) -> Vec<MetricPoint> {
         let core = shell.core.borrow();
         let (now, mut told) = (core.counters(), self.told.borrow_mut());
         let was = std::mem::replace(&mut told.counters, now);
         self.add(names::ADOPTED, &[], (now.adopted - was.adopted) as f64);
-        self.add(names::STRAYS, &[], (now.strays - was.strays) as f64);
+        self.add(
+            names::ORPHANS,
+            &[],
+            (now.orphans_stopped - was.orphans_stopped) as f64,
+        );
         for (kind, more) in [
-            ("overdue", now.overdue - was.overdue),
-            ("illegal-step", now.illegal_steps - was.illegal_steps),
-            ("broken-promise", now.broken_promises - was.broken_promises),
+            ("overdue", now.missed_deadlines - was.missed_deadlines),
+            (
+                "illegal-step",
+                now.invalid_transitions - was.invalid_transitions,
+            ),
+            (
+                "broken-promise",
+                now.unsafe_rejections - was.unsafe_rejections,
+            ),
         ] {
             self.add(names::FAULTS, &[kind], more as f64);
         }
         for (outcome, why, count) in core.attempt_ends() {
             let labels = (outcome_name(outcome), why_name(why));
             let before = told.ends.insert(labels, count).unwrap_or(0);
-            self.add(names::ATTEMPT_ENDS, &[labels.0, labels.1], (count - before) as f64);
+            self.add(
+                names::ATTEMPT_ENDS,
+                &[labels.0, labels.1],
+                (count - before) as f64,
+            );
         }
-        self.set(names::OPEN_ASKS, &[], core.open_asks() as f64);
+        self.set(names::OPEN_REQUESTS, &[], core.open_requests() as f64);
         self.set(names::RUNNING_TASKS, &[], core.placed_tasks() as f64);
-        self.set(names::DOUBTFUL_TASKS, &[], core.doubtful_tasks() as f64);
+        self.set(names::AMBIGUOUS_TASKS, &[], core.ambiguous_tasks() as f64);
         self.set(names::LIST_GENERATION, &[], core.nodes().generation as f64);
-        self.set(names::CLIENTS, &[], shell.sessions.borrow().open_connections() as f64);
+        self.set(
+            names::CLIENTS,
+            &[],
+            shell.sessions.borrow().open_connections() as f64,
+        );
         // Every combination is set, so that one that is empty now does not keep its last value.
         let mut nodes: BTreeMap<(&str, &str), f64> = BTreeMap::new();
         for state in ["ready", "draining", "gone"] {
@@ -86,11 +109,15 @@
         }
         for (_, node) in core.nodes().iter() {
             let state = match node.line.state {
-                MachineState::Ready => "ready",
-                MachineState::Draining => "draining",
-                MachineState::Gone => "gone",
+                NodeStatus::Ready => "ready",
+                NodeStatus::Draining => "draining",
+                NodeStatus::Gone => "gone",
+            };
+            let link = if node.link == ConnectionState::Connected {
+                "up"
+            } else {
+                "down"
             };
-            let link = if node.link == Link::Up { "up" } else { "down" };
             *nodes.entry((state, link)).or_default() += 1.0;
         }
         for ((state, link), count) in nodes {
@@ -100,28 +127,28 @@
     }
 }
 
-fn outcome_name(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Done => "done",
-        Outcome::Error => "error",
-        Outcome::Refused => "refused",
-        Outcome::TimedOut => "timed-out",
-        Outcome::Unreachable => "unreachable",
-        Outcome::Lost => "lost",
-        Outcome::Withdrawn => "withdrawn",
-        Outcome::NotSent => "not-sent",
+        AttemptOutcome::Completed => "done",
+        AttemptOutcome::Error => "error",
+        AttemptOutcome::Rejected => "refused",
+        AttemptOutcome::TimedOut => "timed-out",
+        AttemptOutcome::Unreachable => "unreachable",
+        AttemptOutcome::Lost => "lost",
+        AttemptOutcome::Cancelled => "withdrawn",
+        AttemptOutcome::NotSent => "not-sent",
     }
 }
 
-fn why_name(why: Why) -> &'static str {
+fn why_name(why: EndReason) -> &'static str {
     match why {
-        Why::Unknown => "none",
-        Why::NoCores => "no-cores",
-        Why::NoMemory => "no-memory",
-        Why::Busy => "busy",
-        Why::NotHere => "not-here",
-        Why::Evicted => "evicted",
-        Why::PushedOut => "pushed-out",
-        Why::SentAway => "sent-away",
+        EndReason::Unknown => "none",
+        EndReason::InsufficientCores => "no-cores",
+        EndReason::InsufficientMemory => "no-memory",
+        EndReason::QueueFull => "busy",
+        EndReason::Ineligible => "not-here",
+        EndReason::Evicted => "evicted",
+        EndReason::Preempted => "pushed-out",
+        EndReason::Drained => "sent-away",
     }
 }
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/node_connection.rs
@@ -1,11 +1,14 @@
 //! The link to one node: connect, greet, carry messages both ways, and try again after scattered, growing waits.
 
-use crate::shell::Shell;
+use crate::server::Server;
 use futures_util::{SinkExt, StreamExt};
-use peppercove::MachineId;
+use peppercove::NodeId;
 use peppercove_core::Input;
-use peppercove_exchange::{GreetError, Greeting, Heard, Retry, Step, heard, request_of};
-use peppercove_protocol::codec::{FrameError, Messages, NODE_FRAME};
+use peppercove_exchange::{
+    Backoff, DecodedMessage, Handshake, HandshakeError, HandshakeProgress, decode_message,
+    request_id_of,
+};
+use peppercove_protocol::codec::{FrameError, MAX_NODE_FRAME_BYTES, MessageCodec};
 use peppercove_protocol::node::{FromNode, ToNode};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -14,7 +17,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-type Link = Framed<TcpStream, Messages<FromNode, ToNode>>;
+type Link = Framed<TcpStream, MessageCodec<FromNode, ToNode>>;
 
 /// A link, and the queue of what is to be written to it.
 type Greeted = (Link, mpsc::Receiver<ToNode>);
@@ -31,25 +34,26 @@
     #[error("closed by the node")]
     Closed,
     #[error(transparent)]
-    Greet(#[from] GreetError),
+    Greet(#[from] HandshakeError),
 }
 
 /// Waits after a failure.
-pub(crate) async fn wait(retry: &mut Retry) {
-    tokio::time::sleep(retry.failed(fastrand::f64())).await;
+pub(crate) async fn wait(retry: &mut Backoff) {
+    tokio::time::sleep(retry.next_delay(fastrand::f64())).await;
 }
 
 /// Keeps the link to a node until the task is ended.
-pub(crate) async fn keep(shell: Rc<Shell>, node: MachineId, address: SocketAddrV4, name: String) {
-    let listen = &shell.config.listen;
-    let mut retry = Retry::new(listen.retry_least, listen.retry_most);
+pub(crate) async fn keep(shell: Rc<Server>, node: NodeId, address: SocketAddrV4, name: String) {
+    let listen = &shell.config.network;
+    let mut retry = Backoff::new(listen.retry_least, listen.retry_most);
     loop {
-        let error = match timeout(listen.connect_timeout, greet(&shell, node, address, &name)).await {
+        let error = match timeout(listen.connect_timeout, greet(&shell, node, address, &name)).await
+        {
             Ok(Ok((link, queue))) => {
                 retry.reset();
                 tracing::debug!(node = name, "link up");
                 let error = carry(&shell, node, link, queue).await;
-                shell.input(Input::LinkDown(node));
+                shell.input(Input::NodeDisconnected(node));
                 error
             }
             Ok(Err(error)) => error,
@@ -62,20 +66,27 @@
 
 /// Connects and greets; gives the link once the node has told all that it holds.
 async fn greet(
-    shell: &Shell, node: MachineId, address: SocketAddrV4, name: &str,
+    shell: &Server,
+    node: NodeId,
+    address: SocketAddrV4,
+    name: &str,
 ) -> Result<Greeted, LinkError> {
-    let stream = TcpStream::connect(address).await.map_err(LinkError::Connect)?;
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(LinkError::Connect)?;
     let _ = stream.set_nodelay(true);
-    let mut link = Framed::new(stream, Messages::new(NODE_FRAME));
-    link.send(&Greeting::hello(&shell.config, shell.life)).await?;
-    let mut greeting = Greeting::new(node, name, shell.config.limits.jobs);
+    let mut link = Framed::new(stream, MessageCodec::new(MAX_NODE_FRAME_BYTES));
+    link.send(&Handshake::hello(&shell.config, shell.life))
+        .await?;
+    let mut greeting = Handshake::new(node, name, shell.config.limits.jobs);
     let mut replies = Vec::new();
     let up = loop {
-        let (meanwhile, up) = match greeting.hear(link.next().await.ok_or(LinkError::Closed)??)? {
-            Step::More(meanwhile) => (meanwhile, None),
-            Step::Up(meanwhile, up) => (meanwhile, Some(up)),
-        };
-        if let Some(Heard { input, reply }) = meanwhile {
+        let (meanwhile, up) =
+            match greeting.on_message(link.next().await.ok_or(LinkError::Closed)??)? {
+                HandshakeProgress::Pending(meanwhile) => (meanwhile, None),
+                HandshakeProgress::Complete(meanwhile, up) => (meanwhile, Some(up)),
+            };
+        if let Some(DecodedMessage { input, reply }) = meanwhile {
             if let Some(input) = input {
                 shell.input(input);
             }
@@ -97,13 +108,16 @@
 }
 
 async fn carry(
-    shell: &Shell, node: MachineId, mut link: Link, mut queue: mpsc::Receiver<ToNode>,
+    shell: &Server,
+    node: NodeId,
+    mut link: Link,
+    mut queue: mpsc::Receiver<ToNode>,
 ) -> LinkError {
-    let write_within = shell.config.listen.connect_timeout;
+    let write_within = shell.config.network.connect_timeout;
     let error = loop {
         tokio::select! {
             message = link.next() => match message {
-                Some(Ok(message)) => take(shell, node, heard(node, message)),
+                Some(Ok(message)) => take(shell, node, decode_message(node, message)),
                 Some(Err(error)) => break error.into(),
                 None => break LinkError::Closed,
             },
@@ -125,14 +139,22 @@
     queue.close();
     while let Ok(message) = queue.try_recv() {
         if let ToNode::Offer { attempt, .. } = message {
-            shell.input(Input::Unsent { node, request: request_of(attempt), attempt: attempt.number });
+            shell.input(Input::DispatchFailed {
+                node,
+                request: request_id_of(attempt),
+                attempt: attempt.number,
+            });
         }
     }
     error
 }
 
 /// Writes a message and those queued behind it in one go.
-async fn write(link: &mut Link, first: ToNode, queue: &mut mpsc::Receiver<ToNode>) -> Result<(), FrameError> {
+async fn write(
+    link: &mut Link,
+    first: ToNode,
+    queue: &mut mpsc::Receiver<ToNode>,
+) -> Result<(), FrameError> {
     link.feed(&first).await?;
     while let Ok(message) = queue.try_recv() {
         link.feed(&message).await?;
@@ -141,7 +163,7 @@
 }
 
 /// Takes a message in, and answers it.
-fn take(shell: &Shell, node: MachineId, message: Heard) {
+fn take(shell: &Server, node: NodeId, message: DecodedMessage) {
     if let Some(input) = message.input {
         shell.input(input);
     }
--- a/crates/controller/src/shell.rs
+++ b/crates/controller/src/server.rs
@@ -1,16 +1,16 @@
 //! The core, and what is around it: where inputs come in and outputs go out.
 
 use crate::StartError;
-use crate::figures::Figures;
+use crate::client_session::Sessions;
 use crate::journal::Journal;
-use crate::link;
-use crate::session::Sessions;
-use peppercove::{MachineId, Scheduler};
+use crate::metrics::ControllerMetrics;
+use crate::node_connection;
+use peppercove::{NodeId, Scheduler};
 use peppercove_config::Config;
-use peppercove_core::evidence::Entry;
-use peppercove_core::{Answer, Core, End, Input, Job, JobId, JobState, Output, record};
-use peppercove_exchange::{frame, limits};
-use peppercove_fleet::{Decider, View};
+use peppercove_core::attempt_log::JournalEntry;
+use peppercove_core::{Answer, Core, Input, Job, JobId, JobState, Output, TaskEnd, recording};
+use peppercove_exchange::{core_limits, encode_output};
+use peppercove_fleet::{NodeSubset, SubsetScheduler};
 use peppercove_metrics as names;
 use peppercove_protocol::node::ToNode;
 use peppercove_protocol::rpc;
@@ -30,12 +30,12 @@
     task: AbortHandle,
 }
 
-pub(crate) struct Shell {
+pub(crate) struct Server {
     pub(crate) config: Config,
     pub(crate) life: u64,
     pub(crate) clock: Clock,
-    pub(crate) core: RefCell<Core<Decider>>,
-    pub(crate) links: RefCell<BTreeMap<MachineId, LinkHandle>>,
+    pub(crate) core: RefCell<Core<SubsetScheduler>>,
+    pub(crate) links: RefCell<BTreeMap<NodeId, LinkHandle>>,
     pub(crate) sessions: RefCell<Sessions>,
     /// The module asked for the list.
     pub(crate) watch: Notify,
@@ -47,47 +47,67 @@
     pub(crate) peers: RefCell<Option<mpsc::Sender<Vec<u8>>>>,
     record: Option<RefCell<BufWriter<File>>>,
     journal: Option<RefCell<Journal>>,
-    pub(crate) figures: Figures,
-    me: RefCell<std::rc::Weak<Shell>>,
+    pub(crate) figures: ControllerMetrics,
+    me: RefCell<std::rc::Weak<Server>>,
 }
 
-impl Shell {
-    pub(crate) fn new(config: Config) -> Result<Shell, StartError> {
+impl Server {
+    pub(crate) fn new(config: Config) -> Result<Server, StartError> {
         let clock = Clock::start();
         let seed = config.seed.unwrap_or_else(|| fastrand::u64(..));
         // Lives only have to differ: the time of the start, scattered so that two in one microsecond do as well.
         let life = clock.now() ^ (fastrand::u64(..) & 0xfff) << 52;
-        let (limits, began) = (limits(&config, life), clock.now());
-        let mut core =
-            Core::new(View::new(Scheduler::new(config.module.clone(), seed), &config.module), limits);
+        let (limits, began) = (core_limits(&config, life), clock.now());
+        let mut core = Core::new(
+            NodeSubset::new(
+                Scheduler::new(config.scheduler.clone(), seed),
+                &config.scheduler,
+            ),
+            limits,
+        );
         let mut recovered = Vec::new();
-        let journal = match &config.journal {
+        let journal = match &config.journal_path {
             Some(path) => {
-                let wrong = |source| StartError::Journal { path: path.clone(), source };
+                let wrong = |source| StartError::Journal {
+                    path: path.clone(),
+                    source,
+                };
                 let (mut journal, entries) =
                     Journal::open(path, &config.name, config.journal_sync).map_err(wrong)?;
                 core.recover(began, &entries);
                 // What is settled is left out of the new file.
                 journal.replace(&core.snapshot()).map_err(wrong)?;
-                tracing::info!(entries = entries.len(), open = core.doubtful_tasks(), "journal read");
+                tracing::info!(
+                    entries = entries.len(),
+                    open = core.ambiguous_tasks(),
+                    "journal read"
+                );
                 recovered = entries;
                 Some(RefCell::new(journal))
             }
             None => None,
         };
-        let record = match &config.record {
+        let record = match &config.record_path {
             Some(path) => {
-                let file =
-                    File::create(path).map_err(|source| StartError::Record { path: path.clone(), source })?;
+                let file = File::create(path).map_err(|source| StartError::Record {
+                    path: path.clone(),
+                    source,
+                })?;
                 let mut file = BufWriter::new(file);
-                let schedulers = (config.module.schedulers, config.module.own_number);
-                let head = record::Head { seed, life, schedulers, began, journal: recovered };
+                let schedulers = (config.scheduler.schedulers, config.scheduler.own_index);
+                let head = recording::RecordingHeader {
+                    seed,
+                    incarnation: life,
+                    schedulers,
+                    started_at: began,
+                    journal: recovered,
+                };
                 let _ = writeln!(file, "{}", serde_json::to_string(&head).unwrap_or_default());
                 Some(RefCell::new(file))
             }
             None => None,
         };
-        Ok(Shell {
+        Ok(Server {
             config,
             life,
             clock,
@@ -101,7 +121,7 @@
             peers: RefCell::default(),
             record,
             journal,
-            figures: Figures::new(began),
+            figures: ControllerMetrics::new(began),
             me: RefCell::default(),
         })
     }
@@ -119,7 +139,11 @@
         while let Some(input) = inputs.pop_front() {
             let now = self.clock.now();
             if let Some(record) = &self.record {
-                let _ = writeln!(record.borrow_mut(), "{}", record::write(now, &input));
+                let _ = writeln!(
+                    record.borrow_mut(),
+                    "{}",
+                    recording::format_line(now, &input)
+                );
             }
             let outputs = self.core.borrow_mut().handle(now, input);
             for output in outputs {
@@ -133,31 +157,48 @@
 
     fn carry_out(&self, output: Output, inputs: &mut VecDeque<Input>, answers: &mut Vec<Output>) {
         match output {
-            Output::Accepted { .. } | Output::Done { .. } | Output::TurnedAway { .. } => answers.push(output),
-            Output::Settled { job, answer } => {
+            Output::Accepted { .. } | Output::ControlAccepted { .. } | Output::Rejected { .. } => {
+                answers.push(output)
+            }
+            Output::Answered { job, answer } => {
                 self.settled.notify_one();
                 let core = self.core.borrow();
                 if let Some(j) = core.jobs().get(job) {
-                    let after = self.clock.now().saturating_sub(j.asked_at);
+                    let after = self.clock.now().saturating_sub(j.requested_at);
                     let class = self.class_name(j.submission.class);
-                    self.figures.answered(class, answer, (j.asked_at > 0).then_some(after));
+                    self.figures
+                        .answered(class, answer, (j.requested_at > 0).then_some(after));
                     let settled = self.settled_of(j, answer);
-                    self.sessions.borrow_mut().settled(&j.submission.session, job, settled);
+                    self.sessions
+                        .borrow_mut()
+                        .settled(&j.submission.session, job, settled);
                 }
             }
             Output::Finished(job) => {
                 let core = self.core.borrow();
                 if let Some(j) = core.jobs().get(job) {
-                    self.sessions.borrow_mut().finished(&j.submission.session, job);
+                    self.sessions
+                        .borrow_mut()
+                        .finished(&j.submission.session, job);
                 }
             }
-            Output::Connect { node, address, name } => {
-                let Some(shell) = self.me.borrow().upgrade() else { return };
-                let task = spawn_local(link::keep(shell, node, address, name)).abort_handle();
-                let old = self.links.borrow_mut().insert(node, LinkHandle { queue: None, task });
+            Output::Connect {
+                node,
+                address,
+                name,
+            } => {
+                let Some(shell) = self.me.borrow().upgrade() else {
+                    return;
+                };
+                let task =
+                    spawn_local(node_connection::keep(shell, node, address, name)).abort_handle();
+                let old = self
+                    .links
+                    .borrow_mut()
+                    .insert(node, LinkHandle { queue: None, task });
                 if let Some(old) = old {
                     old.task.abort();
-                    inputs.push_back(Input::LinkDown(node));
+                    inputs.push_back(Input::NodeDisconnected(node));
                 }
             }
             Output::Disconnect(node) => {
@@ -166,22 +207,31 @@
                 }
             }
             Output::Journal(entries) => self.write_down(&entries),
-            Output::Offer { node, request, attempt, .. } => {
+            Output::Dispatch {
+                node,
+                request,
+                attempt,
+                ..
+            } => {
                 self.figures.add(names::ATTEMPTS, &[], 1.0);
                 // What is not written down does not leave: it would be unknown to the next life.
                 if !self.is_written() || !self.send_output(&output) {
-                    inputs.push_back(Input::Unsent { node, request, attempt });
+                    inputs.push_back(Input::DispatchFailed {
+                        node,
+                        request,
+                        attempt,
+                    });
                 }
             }
-            Output::Withdraw { .. }
-            | Output::Act { .. }
+            Output::CancelAttempt { .. }
+            | Output::ControlTask { .. }
             | Output::Adopt { .. }
-            | Output::StopStanding { .. }
+            | Output::DiscardOrphan { .. }
             | Output::Probe(_) => {
                 self.send_output(&output);
             }
             Output::Watch => self.watch.notify_one(),
-            Output::Tell(message) => {
+            Output::Broadcast(message) => {
                 if let Some(peers) = self.peers.borrow().as_ref() {
                     let _ = peers.try_send(message);
                 }
@@ -190,7 +240,7 @@
         }
     }
 
-    fn write_down(&self, entries: &[Entry]) {
+    fn write_down(&self, entries: &[JournalEntry]) {
         let Some(journal) = &self.journal else { return };
         let mut journal = journal.borrow_mut();
         if let Err(error) = journal.write(entries) {
@@ -200,7 +250,9 @@
 
     /// All that was to be written down is.
     pub(crate) fn is_written(&self) -> bool {
-        self.journal.as_ref().is_none_or(|journal| journal.borrow().is_whole())
+        self.journal
+            .as_ref()
+            .is_none_or(|journal| journal.borrow().is_whole())
     }
 
     /// A journal that has grown is written anew with what still counts; one that failed is tried again.
@@ -218,25 +270,30 @@
     /// Queues the frame that an output is; false where there is no link or its queue is full.
     fn send_output(&self, output: &Output) -> bool {
         let core = self.core.borrow();
-        let frame = frame(&self.config, self.clock.now(), output, |job| core.jobs().get(job));
+        let frame = encode_output(&self.config, self.clock.now(), output, |job| {
+            core.jobs().get(job)
+        });
         frame.is_some_and(|(node, message)| self.send(node, message))
     }
 
     /// Queues a message for a node; false where there is no link or its queue is full.
-    pub(crate) fn send(&self, node: MachineId, message: ToNode) -> bool {
+    pub(crate) fn send(&self, node: NodeId, message: ToNode) -> bool {
         let links = self.links.borrow();
         let queue = links.get(&node).and_then(|l| l.queue.as_ref());
         queue.is_some_and(|q| q.try_send(message).is_ok())
     }
 
     /// Its own handle, for the tasks that it starts.
-    pub(crate) fn set_self(self: &Rc<Shell>) {
+    pub(crate) fn set_self(self: &Rc<Server>) {
         *self.me.borrow_mut() = Rc::downgrade(self);
     }
 
     /// The name of a class, as the settings have it.
     pub(crate) fn class_name(&self, class: u16) -> &str {
-        self.config.classes.get(usize::from(class)).map_or("unknown", String::as_str)
+        self.config
+            .classes
+            .get(usize::from(class))
+            .map_or("unknown", String::as_str)
     }
 
     /// The text by which clients know a job.
@@ -246,23 +303,25 @@
 
     /// The job of a text, if it is one of this life.
     pub(crate) fn job_named(&self, text: &str) -> Option<JobId> {
-        let own = text.strip_prefix(self.config.name.as_str())?.strip_prefix('.')?;
+        let own = text
+            .strip_prefix(self.config.name.as_str())?
+            .strip_prefix('.')?;
         let (life, number) = own.split_once('.')?;
         (u64::from_str_radix(life, 16).ok()? == self.life).then_some(JobId(number.parse().ok()?))
     }
 
-    pub(crate) fn settled_of(&self, job: &Job, answer: Answer) -> rpc::Settled {
+    pub(crate) fn settled_of(&self, job: &Job, answer: Answer) -> rpc::PlacementResult {
         let (outcome, node, retry_after) = match answer {
-            Answer::Placed(node) => (rpc::Outcome::Placed, Some(node), None),
-            Answer::Refused(after) => (rpc::Outcome::Refused, None, after),
-            Answer::Failed => (rpc::Outcome::Failed, None, None),
-            Answer::Withdrawn => (rpc::Outcome::Withdrawn, None, None),
+            Answer::Placed(node) => (rpc::PlacementOutcome::Placed, Some(node), None),
+            Answer::Rejected(after) => (rpc::PlacementOutcome::Refused, None, after),
+            Answer::Failed => (rpc::PlacementOutcome::Failed, None, None),
+            Answer::Cancelled => (rpc::PlacementOutcome::Withdrawn, None, None),
         };
-        let name = |id: MachineId| {
+        let name = |id: NodeId| {
             let known = self.core.borrow().nodes().get(id).map(|n| n.name.clone());
             known.unwrap_or_else(|| format!("{:x}", id.0))
         };
-        rpc::Settled {
+        rpc::PlacementResult {
             job_id: self.job_name(job.id),
             submission_key: job.submission.key.clone(),
             outcome,
@@ -272,37 +331,47 @@
     }
 
     /// What `wait` tells of a finished job.
-    pub(crate) fn finished_of(&self, job: &Job) -> rpc::Finished {
-        let mut finished = rpc::Finished { job_id: self.job_name(job.id), ..rpc::Finished::default() };
+    pub(crate) fn finished_of(&self, job: &Job) -> rpc::JobInfo {
+        let mut finished = rpc::JobInfo {
+            job_id: self.job_name(job.id),
+            ..rpc::JobInfo::default()
+        };
         let mut usage = |name: &str, value: String| {
             finished.rusage.insert(name.into(), value);
         };
         let outcome = match job.answer {
             Some(Answer::Placed(_)) => "placed",
-            Some(Answer::Refused(after)) => {
+            Some(Answer::Rejected(after)) => {
                 if let Some(after) = after {
                     usage("retry_after_ms", after.div_ceil(1000).to_string());
                 }
                 "refused"
             }
             Some(Answer::Failed) => "failed",
-            Some(Answer::Withdrawn) | None => "withdrawn",
+            Some(Answer::Cancelled) | None => "withdrawn",
         };
         usage("outcome", outcome.into());
         match job.end {
-            Some(End::Exited { wall, cpu, memory, .. } | End::Signalled { wall, cpu, memory, .. }) => {
+            Some(
+                TaskEnd::Exited {
+                    wall, cpu, memory, ..
+                }
+                | TaskEnd::Signalled {
+                    wall, cpu, memory, ..
+                },
+            ) => {
                 usage("wallclock_s", format!("{:.6}", wall as f64 / 1e6));
                 usage("cpu_s", format!("{:.6}", cpu as f64 / 1e6));
                 usage("memory", format!("{memory:.3}"));
             }
-            Some(End::GivenUp) => usage("end", "given-up".into()),
-            Some(End::Lost) => usage("end", "lost".into()),
+            Some(TaskEnd::GivenUp) => usage("end", "given-up".into()),
+            Some(TaskEnd::Lost) => usage("end", "lost".into()),
             None => {}
         }
         match job.end {
-            Some(End::Exited { status, .. }) => finished.exit_status = Some(status),
-            Some(End::Signalled { signal, .. }) => finished.signal = Some(signal),
-            Some(End::GivenUp | End::Lost) => {}
+            Some(TaskEnd::Exited { status, .. }) => finished.exit_status = Some(status),
+            Some(TaskEnd::Signalled { signal, .. }) => finished.signal = Some(signal),
+            Some(TaskEnd::GivenUp | TaskEnd::Lost) => {}
             None => finished.aborted = job.state == JobState::Failed,
         }
         finished
@@ -329,7 +398,7 @@
 }
 
 /// Calls the core when it wants to be called.
-pub(crate) async fn keep_time(shell: Rc<Shell>) {
+pub(crate) async fn keep_time(shell: Rc<Server>) {
     let next = || shell.core.borrow().next_wake();
     let tick = |_| {
         shell.input(Input::Tick);
