--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,14 +1,17 @@
 //! The core: inputs in, the decision module asked, its actions carried out, outputs out.
 
 use crate::Decide;
-use crate::alarms::Alarms;
-use crate::evidence::{Copy, Entry, Evidence, Of, Past, Stray, Trace, Verdict};
-use crate::jobs::{Answer, End, JobId, JobState, Jobs, Submission};
-use crate::life::{After, Ask, Attempt, Life};
-use crate::nodes::{Link, NodeLine, Nodes};
+use crate::alarms::Timers;
+use crate::attempt_log::{
+    AttemptId, Completion, Evidence, JournalEntry, Of, Stray, TaskCopy, Verdict,
+};
+use crate::jobs::{Answer, JobId, JobState, Jobs, Submission, TaskEnd};
+use crate::nodes::{ConnectionState, ListedNode, Nodes};
+use crate::request_state::{After, Ask, Attempt, RequestState};
 use peppercove::{
-    Action, Class, Confirms, Event, ListScope, Load, MachineId, MachineState, Micros, Note, Outcome, Repeat,
-    Request, RequestId, Spread, TaskKey, Why,
+    Action, AttemptOutcome, EndReason, Event, Idempotency, ListUpdateKind, LoadReport, Micros,
+    NodeId, NodeStatus, PlacementAck, PlacementRequest, RequestId, TaskClass, TaskKey, TaskUpdate,
+    TopologySpread,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,9 +23,9 @@
     /// Another number after each start of the controller.
     pub life: u64,
     /// The classes, as the decision module has them.
-    pub classes: Vec<Class>,
+    pub classes: Vec<TaskClass>,
     /// What confirms a placing.
-    pub confirms: Confirms,
+    pub confirms: PlacementAck,
     /// Attempts allowed for one ask.
     pub max_attempts: u32,
     /// Asks that may be open at once.
@@ -59,9 +62,9 @@
     /// The task, as far as the node knows it.
     pub submission: Submission,
     /// It ended while nobody could be told.
-    pub ended: Option<End>,
+    pub ended: Option<TaskEnd>,
     /// Why, where its node gave it up.
-    pub why: Why,
+    pub why: EndReason,
 }
 
 /// What a node says of one attempt.
@@ -72,13 +75,13 @@
     /// It runs.
     Running,
     /// Refused, or handed back before it ran.
-    Refused(Why),
+    Refused(EndReason),
     /// The node answers with an error.
     Error,
     /// The task ended.
-    Ended(End, Why),
+    Ended(TaskEnd, EndReason),
     /// News of the running task.
-    Note(Note),
+    Note(TaskUpdate),
 }
 
 /// What the owner of a job may do to it.
@@ -102,16 +105,18 @@
     /// Time has passed.
     Tick,
     /// News of the node list.
-    List {
+    #[serde(rename = "List")]
+    NodeList {
         /// How it relates to the list held.
-        scope: ListScope,
+        scope: ListUpdateKind,
         /// Its version.
         generation: u64,
         /// The lines.
-        lines: Vec<NodeLine>,
+        lines: Vec<ListedNode>,
     },
     /// A call to the list failed or the subscription broke.
-    ListFailed,
+    #[serde(rename = "ListFailed")]
+    NodeListFailed,
     /// A job is submitted.
     Submit {
         /// Comes back with the answer.
@@ -131,9 +136,10 @@
     /// A finished job's client has taken note of it.
     Dispose(JobId),
     /// The link to a node stands, and the node has told what it holds.
-    LinkUp {
+    #[serde(rename = "LinkUp")]
+    NodeConnected {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// Its life.
         life: u64,
         /// It has forgotten nothing that it held of this controller.
@@ -142,11 +148,12 @@
         standing: Vec<Standing>,
     },
     /// The link to a node broke.
-    LinkDown(MachineId),
+    #[serde(rename = "LinkDown")]
+    NodeDisconnected(NodeId),
     /// A node speaks of an attempt.
     News {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
@@ -154,60 +161,64 @@
         /// What it says.
         news: NodeNews,
         /// A load report that came along.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A probe came back, or did not.
     Probed {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// It answered.
         answered: bool,
         /// Its load.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// An offer could not be written: it never left.
-    Unsent {
+    #[serde(rename = "Unsent")]
+    DispatchFailed {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
         attempt: u16,
     },
     /// A message of another controller.
-    Peer {
+    #[serde(rename = "Peer")]
+    PeerMessage {
         /// Its number.
         from: u32,
         /// The message.
         message: Vec<u8>,
     },
     /// Take nothing new.
-    Stop,
+    #[serde(rename = "Stop")]
+    BeginShutdown,
     /// The grace of the stop is over: answer all that is open.
-    Abandon,
+    #[serde(rename = "Abandon")]
+    ShutdownTimeout,
 }
 
 /// Why a submission or a control was turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TurnedAway {
+pub enum Rejection {
     /// A bound is met; come again after this long.
-    Full(Micros),
+    LimitReached(Micros),
     /// The controller stops; come again after this long, or ask another.
-    Stopping(Micros),
+    ShuttingDown(Micros),
     /// An earlier attempt of the task may run; come again after this long.
-    InDoubt(Micros),
+    OutcomeAmbiguous(Micros),
     /// The task ran, or may have: it will not be started again.
-    RanAlready,
+    AlreadyRan,
     /// The task was asked for before, and what became of it is not known here: without a journal, not by this life.
-    NotKnown,
+    OutcomeUnknown,
     /// Another controller was asked for the task before and may have started it: that one can tell.
-    AskedElsewhere,
+    RequestedElsewhere,
     /// The task is another job's, which is not finished.
-    TaskTaken(JobId),
+    TaskInUse(JobId),
     /// There is no such job.
     NoSuchJob,
     /// The job's state does not allow it.
-    WrongState(JobState),
+    InvalidState(JobState),
 }
 
 /// Something to do.
@@ -221,19 +232,19 @@
         job: JobId,
     },
     /// The control is carried out or on its way.
-    Done {
+    ControlAccepted {
         /// Of the control.
         ticket: u64,
     },
     /// The submission or control is turned away.
-    TurnedAway {
+    Rejected {
         /// Of the call.
         ticket: u64,
         /// Why.
-        why: TurnedAway,
+        reason: Rejection,
     },
     /// The one final answer to the job's ask.
-    Settled {
+    Answered {
         /// The job.
         job: JobId,
         /// The answer.
@@ -244,18 +255,18 @@
     /// Keep a link to this node.
     Connect {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// Where it listens.
         address: SocketAddrV4,
         /// The name it must answer to.
         name: String,
     },
     /// Keep it no longer.
-    Disconnect(MachineId),
+    Disconnect(NodeId),
     /// Offer a task.
-    Offer {
+    Dispatch {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
@@ -266,18 +277,18 @@
         job: JobId,
     },
     /// Wait for an attempt no longer.
-    Withdraw {
+    CancelAttempt {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
         attempt: u16,
     },
     /// Act on a task that runs.
-    Act {
+    ControlTask {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// The ask.
         request: RequestId,
         /// The attempt.
@@ -288,7 +299,7 @@
     /// Call a standing task by a number of this life.
     Adopt {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// Life of the controller that placed it.
         life: u64,
         /// The ask in that life.
@@ -299,9 +310,9 @@
         request: RequestId,
     },
     /// Stop a standing task of an earlier life that nobody knows, or take note of its end.
-    StopStanding {
+    DiscardOrphan {
         /// The node.
-        node: MachineId,
+        node: NodeId,
         /// Life of the controller that placed it.
         life: u64,
         /// The ask in that life.
@@ -310,13 +321,13 @@
         attempt: u16,
     },
     /// Write these down before anything that follows is sent.
-    Journal(Vec<Entry>),
+    Journal(Vec<JournalEntry>),
     /// Subscribe to the node list.
     Watch,
     /// Ask a node for its load.
-    Probe(MachineId),
+    Probe(NodeId),
     /// Tell all other controllers something.
-    Tell(Vec<u8>),
+    Broadcast(Vec<u8>),
     /// A line for the people on call.
     Log(String),
 }
@@ -327,17 +338,21 @@
     /// Jobs taken in.
     pub submitted: u64,
     /// Submissions turned away at the door.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub submissions_rejected: u64,
     /// Asks placed.
     pub placed: u64,
     /// Asks refused.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub requests_rejected: u64,
     /// Asks failed.
     pub failed: u64,
     /// Asks ended by their owner before they were placed.
-    pub withdrawn: u64,
+    #[serde(rename = "withdrawn")]
+    pub cancelled: u64,
     /// Offers made.
-    pub offers: u64,
+    #[serde(rename = "offers")]
+    pub dispatched: u64,
     /// Offers that found no link.
     pub unreachable: u64,
     /// Attempts that nobody answered in time.
@@ -345,17 +360,23 @@
     /// Tasks taken over from an earlier life or a doubtful attempt.
     pub adopted: u64,
     /// Copies stopped that nobody waited for.
-    pub strays: u64,
+    #[serde(rename = "strays")]
+    pub orphans_stopped: u64,
     /// What nodes said of attempts that they were never sent, or that were over.
-    pub out_of_place: u64,
+    #[serde(rename = "out_of_place")]
+    pub unexpected_messages: u64,
     /// Asks that the module left without an answer at their deadline: always a fault.
-    pub overdue: u64,
+    #[serde(rename = "overdue")]
+    pub missed_deadlines: u64,
     /// Actions of the module that could not be carried out.
-    pub void_actions: u64,
+    #[serde(rename = "void_actions")]
+    pub ignored_actions: u64,
     /// Refusals that could not be promised and went out as failures: always a fault.
-    pub broken_promises: u64,
+    #[serde(rename = "broken_promises")]
+    pub unsafe_rejections: u64,
     /// Steps of a life that did not follow: always a fault.
-    pub illegal_steps: u64,
+    #[serde(rename = "illegal_steps")]
+    pub invalid_transitions: u64,
 }
 
 impl Counters {
@@ -363,21 +384,21 @@
     pub fn plus(&self, other: &Counters) -> Counters {
         Counters {
             submitted: self.submitted + other.submitted,
-            turned_away: self.turned_away + other.turned_away,
+            submissions_rejected: self.submissions_rejected + other.submissions_rejected,
             placed: self.placed + other.placed,
-            refused: self.refused + other.refused,
+            requests_rejected: self.requests_rejected + other.requests_rejected,
             failed: self.failed + other.failed,
-            withdrawn: self.withdrawn + other.withdrawn,
-            offers: self.offers + other.offers,
+            cancelled: self.cancelled + other.cancelled,
+            dispatched: self.dispatched + other.dispatched,
             unreachable: self.unreachable + other.unreachable,
             timed_out: self.timed_out + other.timed_out,
             adopted: self.adopted + other.adopted,
-            strays: self.strays + other.strays,
-            out_of_place: self.out_of_place + other.out_of_place,
-            overdue: self.overdue + other.overdue,
-            void_actions: self.void_actions + other.void_actions,
-            broken_promises: self.broken_promises + other.broken_promises,
-            illegal_steps: self.illegal_steps + other.illegal_steps,
+            orphans_stopped: self.orphans_stopped + other.orphans_stopped,
+            unexpected_messages: self.unexpected_messages + other.unexpected_messages,
+            missed_deadlines: self.missed_deadlines + other.missed_deadlines,
+            ignored_actions: self.ignored_actions + other.ignored_actions,
+            unsafe_rejections: self.unsafe_rejections + other.unsafe_rejections,
+            invalid_transitions: self.invalid_transitions + other.invalid_transitions,
         }
     }
 }
@@ -387,7 +408,7 @@
     Module(u64),
     Attempt(RequestId, u16),
     Deadline(RequestId),
-    Lost(MachineId),
+    Lost(NodeId),
 }
 
 /// One controller, without its sockets.
@@ -400,12 +421,12 @@
     nodes: Nodes,
     evidence: Evidence,
     /// Copies that may run and that the module counts as standing, by the ask that it was told of.
-    ghosts: BTreeMap<Copy, RequestId>,
+    ghosts: BTreeMap<TaskCopy, RequestId>,
     /// Copies that were adopted, by the number that their nodes know until they have heard of the new one.
-    former: BTreeMap<Copy, Trace>,
+    former: BTreeMap<TaskCopy, AttemptId>,
     /// Tasks that this life saw asked for the first time; the oldest are forgotten.
     first_seen: (BTreeSet<TaskKey>, VecDeque<TaskKey>),
-    alarms: Alarms<Alarm>,
+    alarms: Timers<Alarm>,
     next_request: u64,
     now: Micros,
     born: Option<Micros>,
@@ -415,7 +436,7 @@
     events: Vec<Event>,
     out: Vec<Output>,
     counters: Counters,
-    attempt_ends: BTreeMap<(u8, u8), (Outcome, Why, u64)>,
+    attempt_ends: BTreeMap<(u8, u8), (AttemptOutcome, EndReason, u64)>,
 }
 
 /// Rounds of events and actions that one input may cause; each failed bind is one, and attempts are bounded.
@@ -435,7 +456,7 @@
             asks: BTreeMap::new(),
             open: 0,
             nodes: Nodes::default(),
-            alarms: Alarms::default(),
+            alarms: Timers::default(),
             next_request: 0,
             now: 0,
             born: None,
@@ -450,7 +471,7 @@
     }
 
     /// Attempts that ended, by how and why.
-    pub fn attempt_ends(&self) -> impl Iterator<Item = (Outcome, Why, u64)> + '_ {
+    pub fn attempt_ends(&self) -> impl Iterator<Item = (AttemptOutcome, EndReason, u64)> + '_ {
         self.attempt_ends.values().copied()
     }
 
@@ -470,12 +491,12 @@
     }
 
     /// Asks without a final answer.
-    pub fn open_asks(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open
     }
 
     /// So many more jobs of a session stay within the bounds.
-    pub fn has_room(&self, session: &str, more: usize) -> bool {
+    pub fn has_capacity(&self, session: &str, more: usize) -> bool {
         self.open + more <= self.limits.most_open
             && self.jobs.unfinished(session) + more <= self.limits.most_session_jobs
             && self.jobs.all_unfinished() + more <= self.limits.most_jobs
@@ -483,22 +504,28 @@
 
     /// Tasks that are placed and have not ended.
     pub fn placed_tasks(&self) -> usize {
-        self.asks.values().filter(|a| matches!(a.life, Life::Placed(_))).count()
+        self.asks
+            .values()
+            .filter(|a| matches!(a.life, RequestState::Placed(_)))
+            .count()
     }
 
     /// Tasks whose fate is in doubt.
-    pub fn doubtful_tasks(&self) -> usize {
+    pub fn ambiguous_tasks(&self) -> usize {
         self.evidence.doubtful()
     }
 
     /// Nodes that hold, or may hold, a copy of a task that is followed.
-    pub fn in_doubt_at(&self) -> Vec<MachineId> {
+    pub fn nodes_with_open_copies(&self) -> Vec<NodeId> {
         self.evidence.nodes().into_iter().collect()
     }
 
     /// When it wants to be called at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
-        [self.alarms.next(), self.evidence.next()].into_iter().flatten().min()
+        [self.alarms.next_deadline(), self.evidence.next()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Takes one input in and answers with what to do, in order.
@@ -536,22 +563,22 @@
     }
 
     /// Takes in what earlier lives wrote down, before anything else: their copies may run, and are counted.
-    pub fn recover(&mut self, now: Micros, entries: &[Entry]) {
+    pub fn recover(&mut self, now: Micros, entries: &[JournalEntry]) {
         self.now = self.now.max(now);
         self.evidence.recover(self.now, entries);
-        let open: Vec<(Copy, Of)> = self.evidence.open().collect();
+        let open: Vec<(TaskCopy, Of)> = self.evidence.open().collect();
         for (copy, of) in open {
             self.haunt(copy, of);
         }
     }
 
     /// All that the next life must know, in as few entries as can say it.
-    pub fn snapshot(&self) -> Vec<Entry> {
+    pub fn snapshot(&self) -> Vec<JournalEntry> {
         self.evidence.snapshot()
     }
 
     fn ring(&mut self) {
-        while let Some(alarm) = self.alarms.due(self.now) {
+        while let Some(alarm) = self.alarms.pop_due(self.now) {
             match alarm {
                 Alarm::Module(label) => self.events.push(Event::Timer(label)),
                 Alarm::Attempt(request, attempt) => self.on_expired(request, attempt),
@@ -563,11 +590,19 @@
         for copy in due.stop {
             self.stop_copy(copy);
         }
-        for Copy { at, .. } in due.recall {
+        for TaskCopy { attempt: at, .. } in due.recall {
             if self.nodes.is_up(at.node) {
                 // Its node answers with what it knows of the attempt, or refuses it for ever.
-                let Trace { node, request, attempt } = at;
-                self.out.push(Output::Withdraw { node, request, attempt });
+                let AttemptId {
+                    node,
+                    request,
+                    number: attempt,
+                } = at;
+                self.out.push(Output::CancelAttempt {
+                    node,
+                    request,
+                    attempt,
+                });
             }
         }
     }
@@ -575,52 +610,117 @@
     fn take_in(&mut self, input: Input) {
         match input {
             Input::Tick => {}
-            Input::List { scope, generation, lines } => self.on_list(scope, generation, &lines),
-            Input::ListFailed => {
-                let (scope, version) = (ListScope::Failed, self.nodes.generation);
-                self.events.push(Event::MachineList { scope, version, lines: Vec::new() });
+            Input::NodeList {
+                scope,
+                generation,
+                lines,
+            } => self.on_list(scope, generation, &lines),
+            Input::NodeListFailed => {
+                let (scope, version) = (ListUpdateKind::Failed, self.nodes.generation);
+                self.events.push(Event::NodeList {
+                    kind: scope,
+                    version,
+                    entries: Vec::new(),
+                });
             }
             Input::Submit { ticket, submission } => self.on_submit(ticket, *submission),
-            Input::Control { ticket, job, control } => self.on_control(ticket, job, control),
+            Input::Control {
+                ticket,
+                job,
+                control,
+            } => self.on_control(ticket, job, control),
             Input::Dispose(job) => {
                 self.jobs.remove(job);
             }
-            Input::LinkUp { node, life, whole, standing } => self.on_link_up(node, life, whole, standing),
-            Input::LinkDown(node) => self.on_link_down(node),
-            Input::News { node, request, attempt, news, load } => {
-                self.on_news(Trace { node, request, attempt }, news, load);
+            Input::NodeConnected {
+                node,
+                life,
+                whole,
+                standing,
+            } => self.on_link_up(node, life, whole, standing),
+            Input::NodeDisconnected(node) => self.on_link_down(node),
+            Input::News {
+                node,
+                request,
+                attempt,
+                news,
+                load,
+            } => {
+                self.on_news(
+                    AttemptId {
+                        node,
+                        request,
+                        number: attempt,
+                    },
+                    news,
+                    load,
+                );
             }
-            Input::Probed { node, answered, load } => {
-                self.events.push(Event::Probed { machine: node, answered, load });
+            Input::Probed {
+                node,
+                answered,
+                load,
+            } => {
+                self.events.push(Event::Probed {
+                    node: node,
+                    answered,
+                    load,
+                });
             }
-            Input::Unsent { node, request, attempt } => {
-                if self.out_at(Trace { node, request, attempt }) {
+            Input::DispatchFailed {
+                node,
+                request,
+                attempt,
+            } => {
+                if self.out_at(AttemptId {
+                    node,
+                    request,
+                    number: attempt,
+                }) {
                     self.counters.unreachable += 1;
-                    self.end_attempt(request, attempt, Outcome::Unreachable, Why::Unknown, None);
+                    self.end_attempt(
+                        request,
+                        attempt,
+                        AttemptOutcome::Unreachable,
+                        EndReason::Unknown,
+                        None,
+                    );
                 }
             }
-            Input::Peer { from, message } => self.events.push(Event::Peer { from, message }),
-            Input::Stop => self.stopping = true,
-            Input::Abandon => self.on_abandon(),
+            Input::PeerMessage { from, message } => self.events.push(Event::Peer { from, message }),
+            Input::BeginShutdown => self.stopping = true,
+            Input::ShutdownTimeout => self.on_abandon(),
         }
     }
 
     // ---- The node list ----
 
-    fn on_list(&mut self, scope: ListScope, generation: u64, lines: &[NodeLine]) {
+    fn on_list(&mut self, scope: ListUpdateKind, generation: u64, lines: &[ListedNode]) {
         let (told, changes) = self.nodes.take_in(self.now, scope, generation, lines);
-        self.events.push(Event::MachineList { scope, version: generation, lines: told });
+        self.events.push(Event::NodeList {
+            kind: scope,
+            version: generation,
+            entries: told,
+        });
         for node in changes.added {
             for (copy, of) in self.evidence.back(node) {
                 self.haunt(copy, of);
             }
             if let Some(n) = self.nodes.get(node) {
-                self.out.push(Output::Connect { node, address: n.address, name: n.name.clone() });
+                self.out.push(Output::Connect {
+                    node,
+                    address: n.address,
+                    name: n.name.clone(),
+                });
             }
         }
-        if scope != ListScope::Delta {
+        if scope != ListUpdateKind::Incremental {
             // Nodes of an earlier life that no list names any more can tell nothing.
-            let unknown = self.evidence.nodes().into_iter().filter(|n| self.nodes.get(*n).is_none());
+            let unknown = self
+                .evidence
+                .nodes()
+                .into_iter()
+                .filter(|n| self.nodes.get(*n).is_none());
             for node in unknown.collect::<Vec<_>>() {
                 self.node_is_gone(node);
             }
@@ -635,9 +735,16 @@
     }
 
     /// A node that the list names no more keeps its link while it holds anything of ours: its answers count.
-    fn let_go(&mut self, node: MachineId) {
-        let gone = self.nodes.get(node).is_some_and(|n| n.line.state == MachineState::Gone);
-        let holds = |a: &Ask| a.attempts.iter().any(|t| t.node == node && t.ended.is_none());
+    fn let_go(&mut self, node: NodeId) {
+        let gone = self
+            .nodes
+            .get(node)
+            .is_some_and(|n| n.line.state == NodeStatus::Gone);
+        let holds = |a: &Ask| {
+            a.attempts
+                .iter()
+                .any(|t| t.node == node && t.ended.is_none())
+        };
         if gone && !self.asks.values().any(holds) {
             self.node_is_gone(node);
             self.nodes.forget(node);
@@ -657,7 +764,10 @@
             self.out.push(Output::Accepted { ticket, job });
             if let Some(Answer::Placed(node)) = self.jobs.get(job).and_then(|j| j.answer) {
                 self.counters.placed += 1;
-                self.out.push(Output::Settled { job, answer: Answer::Placed(node) });
+                self.out.push(Output::Answered {
+                    job,
+                    answer: Answer::Placed(node),
+                });
             }
             return;
         }
@@ -665,14 +775,21 @@
         let verdict = self.evidence.ask(submission.task, strict);
         if let Some(why) = self.turned_away(&submission, verdict) {
             self.remember_first(&submission);
-            self.counters.turned_away += 1;
-            self.out.push(Output::TurnedAway { ticket, why });
+            self.counters.submissions_rejected += 1;
+            self.out.push(Output::Rejected {
+                ticket,
+                reason: why,
+            });
             return;
         }
         self.remember_first(&submission);
         self.counters.submitted += 1;
-        let held = submission.held && matches!(verdict, Verdict::Free);
-        let state = if held { JobState::OnHold } else { JobState::Queued };
+        let held = submission.on_hold && matches!(verdict, Verdict::Free);
+        let state = if held {
+            JobState::OnHold
+        } else {
+            JobState::Queued
+        };
         let job = self.jobs.add(submission, state);
         self.out.push(Output::Accepted { ticket, job });
         match verdict {
@@ -691,16 +808,20 @@
 
     /// A second effect of the class's tasks would do harm, or is harmless only within its group and window.
     fn is_strict(&self, class: u16) -> bool {
-        self.class(class).is_none_or(|c| c.repeat != Repeat::Safe)
+        self.class(class)
+            .is_none_or(|c| c.idempotency != Idempotency::Idempotent)
     }
 
     /// Copies of the class are kept in the evidence.
     fn is_kept(&self, class: u16) -> bool {
-        self.is_strict(class) || self.class(class).is_some_and(|c| c.spread != Spread::Off)
+        self.is_strict(class)
+            || self
+                .class(class)
+                .is_some_and(|c| c.topology_spread != TopologySpread::Off)
     }
 
     fn remember_first(&mut self, submission: &Submission) {
-        if submission.again || self.limits.journal || !self.is_strict(submission.class) {
+        if submission.is_retry || self.limits.journal || !self.is_strict(submission.class) {
             return;
         }
         let (seen, order) = &mut self.first_seen;
@@ -716,9 +837,9 @@
 
     /// Without a journal a life does not know what earlier ones sent. A task that was asked for before, and not first
     /// in this life, waits until each node has told what it holds; after that it is found among that, or nobody knows.
-    fn not_known(&self, submission: &Submission) -> Option<TurnedAway> {
+    fn not_known(&self, submission: &Submission) -> Option<Rejection> {
         let known = self.limits.journal
-            || !submission.again
+            || !submission.is_retry
             || !self.is_strict(submission.class)
             || self.first_seen.0.contains(&submission.task)
             || self.evidence.copies(submission.task).next().is_some();
@@ -726,24 +847,30 @@
             return None;
         }
         let told = self.nodes.generation > 0
-            && self.nodes.iter().all(|(_, n)| n.link == Link::Up || n.line.state == MachineState::Gone);
-        Some(if told { TurnedAway::NotKnown } else { TurnedAway::InDoubt(self.limits.settle) })
+            && self.nodes.iter().all(|(_, n)| {
+                n.link == ConnectionState::Connected || n.line.state == NodeStatus::Gone
+            });
+        Some(if told {
+            Rejection::OutcomeUnknown
+        } else {
+            Rejection::OutcomeAmbiguous(self.limits.settle)
+        })
     }
 
-    fn turned_away(&self, submission: &Submission, verdict: Verdict) -> Option<TurnedAway> {
+    fn turned_away(&self, submission: &Submission, verdict: Verdict) -> Option<Rejection> {
         let unfinished = self.jobs.unfinished(&submission.session);
         if self.stopping {
-            return Some(TurnedAway::Stopping(self.limits.retry_after));
+            return Some(Rejection::ShuttingDown(self.limits.retry_after));
         }
         if let Some(job) = self.jobs.by_task(submission.task) {
-            return Some(TurnedAway::TaskTaken(job));
+            return Some(Rejection::TaskInUse(job));
         }
         match verdict {
-            Verdict::Later(after) => return Some(TurnedAway::InDoubt(after)),
-            Verdict::Never => return Some(TurnedAway::RanAlready),
+            Verdict::Later(after) => return Some(Rejection::OutcomeAmbiguous(after)),
+            Verdict::Never => return Some(Rejection::AlreadyRan),
             // Controllers share no evidence, and a start elsewhere could not be told from none.
-            Verdict::Free if submission.elsewhere && self.is_strict(submission.class) => {
-                return Some(TurnedAway::AskedElsewhere);
+            Verdict::Free if submission.requested_elsewhere && self.is_strict(submission.class) => {
+                return Some(Rejection::RequestedElsewhere);
             }
             Verdict::Free => {
                 if let Some(why) = self.not_known(submission) {
@@ -756,29 +883,43 @@
             || !self.jobs.has_room()
             || unfinished >= self.limits.most_session_jobs
             || (self.is_kept(submission.class) && self.evidence.is_full());
-        full.then_some(TurnedAway::Full(self.limits.retry_after))
+        full.then_some(Rejection::LimitReached(self.limits.retry_after))
     }
 
     /// Asks the module to place a job's task.
     fn ask(&mut self, job: JobId) {
-        let Some(j) = self.jobs.get_mut(job) else { return };
+        let Some(j) = self.jobs.get_mut(job) else {
+            return;
+        };
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        (j.ask, j.state, j.asked_at) = (Some(request), JobState::Queued, self.now);
+        (j.ask, j.state, j.requested_at) = (Some(request), JobState::Queued, self.now);
         let deadline_in = j.submission.deadline_in;
-        let request =
-            request_of(&j.submission, request, deadline_in.saturating_sub(self.limits.answer_reserve));
+        let request = request_of(
+            &j.submission,
+            request,
+            deadline_in.saturating_sub(self.limits.answer_reserve),
+        );
         let deadline = self.now.saturating_add(deadline_in);
-        let ask = Ask { request: request.clone(), job, deadline, life: Life::Waiting, attempts: Vec::new() };
-        self.alarms.set(deadline, Alarm::Deadline(request.request));
-        self.asks.insert(request.request, ask);
+        let ask = Ask {
+            request: request.clone(),
+            job,
+            deadline,
+            life: RequestState::Pending,
+            attempts: Vec::new(),
+        };
+        self.alarms.schedule(deadline, Alarm::Deadline(request.id));
+        self.asks.insert(request.id, ask);
         self.open += 1;
         self.events.push(Event::Place(request));
     }
 
     fn on_control(&mut self, ticket: u64, job: JobId, control: Control) {
         let Some(j) = self.jobs.get(job) else {
-            self.out.push(Output::TurnedAway { ticket, why: TurnedAway::NoSuchJob });
+            self.out.push(Output::Rejected {
+                ticket,
+                reason: Rejection::NoSuchJob,
+            });
             return;
         };
         let (state, ask) = (j.state, j.ask);
@@ -786,7 +927,7 @@
         let ok = match (control, state) {
             (Control::Hold, JobState::Queued) => {
                 // What may run cannot be held back any more.
-                let held_back = |a: &Ask| a.life == Life::Waiting && a.never_ran();
+                let held_back = |a: &Ask| a.life == RequestState::Pending && a.never_ran();
                 let waiting = ask.filter(|r| self.asks.get(r).is_some_and(held_back));
                 if let Some(request) = waiting {
                     self.call_off(request);
@@ -803,8 +944,11 @@
             (Control::Suspend, JobState::Running) | (Control::Resume, JobState::Suspended) => {
                 if let Some(at) = placed.filter(|at| self.nodes.is_up(at.node)) {
                     self.out.push(act(at, control));
-                    let to =
-                        if control == Control::Suspend { JobState::Suspended } else { JobState::Running };
+                    let to = if control == Control::Suspend {
+                        JobState::Suspended
+                    } else {
+                        JobState::Running
+                    };
                     if let Some(j) = self.jobs.get_mut(job) {
                         j.state = to;
                     }
@@ -814,7 +958,7 @@
                 }
             }
             (Control::Terminate, JobState::OnHold) => {
-                self.settle_job(job, Answer::Withdrawn);
+                self.settle_job(job, Answer::Cancelled);
                 true
             }
             (Control::Terminate, JobState::Queued) => {
@@ -833,26 +977,35 @@
             }
             _ => false,
         };
-        let wrong = Output::TurnedAway { ticket, why: TurnedAway::WrongState(state) };
-        self.out.push(if ok { Output::Done { ticket } } else { wrong });
+        let wrong = Output::Rejected {
+            ticket,
+            reason: Rejection::InvalidState(state),
+        };
+        self.out.push(if ok {
+            Output::ControlAccepted { ticket }
+        } else {
+            wrong
+        });
     }
 
     /// An ask that never left is forgotten, unanswered: its job makes another one later.
     fn call_off(&mut self, request: RequestId) {
-        self.events.push(Event::Unwanted(request));
+        self.events.push(Event::RequestCancelled(request));
         self.leave(request, false);
-        self.step(request, Life::Over);
+        self.step(request, RequestState::Completed);
         self.forget_if_done(request);
     }
 
     fn terminate_open(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request) else { return };
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
         let (life, job) = (ask.life, ask.job);
-        self.events.push(Event::Unwanted(request));
+        self.events.push(Event::RequestCancelled(request));
         self.leave(request, false);
-        self.step(request, Life::Over);
-        self.settle_job(job, Answer::Withdrawn);
-        if let Life::Offered(attempt) = life {
+        self.step(request, RequestState::Completed);
+        self.settle_job(job, Answer::Cancelled);
+        if let RequestState::Dispatched(attempt) = life {
             self.withdraw(request, attempt);
         }
         self.forget_if_done(request);
@@ -862,42 +1015,55 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Watch => self.out.push(Output::Watch),
-            Action::Bind { request, machine, timeout } => self.bind(request, machine, timeout),
-            Action::Withdraw { request, attempt } => self.withdraw(request, attempt),
-            Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
+            Action::WatchNodes => self.out.push(Output::Watch),
+            Action::Dispatch {
+                request,
+                node: machine,
+                timeout,
+            } => self.bind(request, machine, timeout),
+            Action::CancelAttempt { request, attempt } => self.withdraw(request, attempt),
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.answer(request, Answer::Rejected(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::Move(request) => match self.asks.get(&request).and_then(placed_at) {
+            Action::Migrate(request) => match self.asks.get(&request).and_then(placed_at) {
                 Some(at) if self.nodes.is_up(at.node) => {
                     self.moving.insert(request, ());
                     self.out.push(act(at, Control::Terminate));
                 }
-                _ => self.counters.void_actions += 1,
+                _ => self.counters.ignored_actions += 1,
             },
-            Action::SetTimer { label, at } => self.alarms.set(at.max(self.now + 1), Alarm::Module(label)),
+            Action::SetTimer { label, at } => self
+                .alarms
+                .schedule(at.max(self.now + 1), Alarm::Module(label)),
             Action::Probe(node) => {
                 if self.nodes.is_up(node) {
                     self.out.push(Output::Probe(node));
                 } else {
-                    self.events.push(Event::Probed { machine: node, answered: false, load: None });
+                    self.events.push(Event::Probed {
+                        node: node,
+                        answered: false,
+                        load: None,
+                    });
                 }
             }
-            Action::Tell(message) => self.out.push(Output::Tell(message)),
+            Action::Broadcast(message) => self.out.push(Output::Broadcast(message)),
             Action::Log(line) => self.out.push(Output::Log(line)),
         }
     }
 
-    fn bind(&mut self, request: RequestId, node: MachineId, timeout: Option<Micros>) {
+    fn bind(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
         let up = self.nodes.is_up(node);
         let Some(ask) = self.asks.get_mut(&request) else {
-            self.counters.void_actions += 1;
+            self.counters.ignored_actions += 1;
             return;
         };
         let number = u16::try_from(ask.attempts.len()).unwrap_or(u16::MAX);
         let until = ask.deadline.saturating_sub(self.limits.answer_reserve);
         let expires_at = until.min(timeout.map_or(until, |t| self.now.saturating_add(t)));
         let spent = ask.attempts.len() >= self.limits.max_attempts as usize;
-        let sent = ask.life == Life::Waiting && !spent && until > self.now;
+        let sent = ask.life == RequestState::Pending && !spent && until > self.now;
         let attempt = Attempt {
             node,
             sent_at: self.now,
@@ -908,29 +1074,61 @@
         };
         ask.attempts.push(attempt);
         if !sent {
-            self.counters.void_actions += 1;
-            self.end_attempt(request, number, Outcome::NotSent, Why::Unknown, None);
+            self.counters.ignored_actions += 1;
+            self.end_attempt(
+                request,
+                number,
+                AttemptOutcome::NotSent,
+                EndReason::Unknown,
+                None,
+            );
             return;
         }
         let job = ask.job;
-        self.step(request, Life::Offered(number));
+        self.step(request, RequestState::Dispatched(number));
         if !up {
             self.counters.unreachable += 1;
-            self.end_attempt(request, number, Outcome::Unreachable, Why::Unknown, None);
+            self.end_attempt(
+                request,
+                number,
+                AttemptOutcome::Unreachable,
+                EndReason::Unknown,
+                None,
+            );
             return;
         }
-        self.counters.offers += 1;
-        self.intend(request, Trace { node, request, attempt: number });
-        self.alarms.set(expires_at, Alarm::Attempt(request, number));
+        self.counters.dispatched += 1;
+        self.intend(
+            request,
+            AttemptId {
+                node,
+                request,
+                number: number,
+            },
+        );
+        self.alarms
+            .schedule(expires_at, Alarm::Attempt(request, number));
         let expires_in = expires_at - self.now;
-        self.out.push(Output::Offer { node, request, attempt: number, expires_in, job });
+        self.out.push(Output::Dispatch {
+            node,
+            request,
+            attempt: number,
+            expires_in,
+            job,
+        });
     }
 
     /// What is about to be sent is known, and written down, before it leaves.
-    fn intend(&mut self, request: RequestId, at: Trace) {
-        let Some(of) = self.asks.get(&request).map(|a| of(&a.request)) else { return };
+    fn intend(&mut self, request: RequestId, at: AttemptId) {
+        let Some(of) = self.asks.get(&request).map(|a| of(&a.request)) else {
+            return;
+        };
         if self.is_kept(of.class) {
-            let node_life = self.nodes.get(at.node).and_then(|n| n.own_life).unwrap_or(0);
+            let node_life = self
+                .nodes
+                .get(at.node)
+                .and_then(|n| n.own_life)
+                .unwrap_or(0);
             let copy = self.copy(at);
             self.evidence.sent(copy, node_life, of);
             self.write_down();
@@ -940,44 +1138,70 @@
     /// Stops waiting for an attempt; the node may still have started it.
     fn withdraw(&mut self, request: RequestId, attempt: u16) {
         let Some(at) = self.out_trace(request, attempt) else {
-            self.counters.void_actions += 1;
+            self.counters.ignored_actions += 1;
             return;
         };
-        self.out.push(Output::Withdraw { node: at.node, request, attempt });
-        self.end_attempt(request, attempt, Outcome::Withdrawn, Why::Unknown, None);
+        self.out.push(Output::CancelAttempt {
+            node: at.node,
+            request,
+            attempt,
+        });
+        self.end_attempt(
+            request,
+            attempt,
+            AttemptOutcome::Cancelled,
+            EndReason::Unknown,
+            None,
+        );
     }
 
     /// The final answer of the module to an ask that is not placed.
     fn answer(&mut self, request: RequestId, answer: Answer) {
         let open = self.asks.get(&request).filter(|a| a.life.is_open());
         let Some(ask) = open else {
-            self.counters.void_actions += 1;
+            self.counters.ignored_actions += 1;
             return;
         };
-        let harmful =
-            !ask.never_ran() && self.class(ask.request.class).is_none_or(|c| c.repeat == Repeat::Unsafe);
+        let harmful = !ask.never_ran()
+            && self
+                .class(ask.request.class)
+                .is_none_or(|c| c.idempotency == Idempotency::NonIdempotent);
         let (job, mut answer) = (ask.job, answer);
-        if harmful && matches!(answer, Answer::Refused(_)) {
+        if harmful && matches!(answer, Answer::Rejected(_)) {
             // Guard of the second rule: a refusal promises that a retry does no harm.
-            self.counters.broken_promises += 1;
+            self.counters.unsafe_rejections += 1;
             answer = Answer::Failed;
         }
         self.leave(request, true);
-        self.step(request, Life::Over);
+        self.step(request, RequestState::Completed);
         self.settle_job(job, answer);
         self.forget_if_done(request);
     }
 
-    fn copy(&self, at: Trace) -> Copy {
-        Copy { life: self.limits.life, at }
+    fn copy(&self, at: AttemptId) -> TaskCopy {
+        TaskCopy {
+            incarnation: self.limits.life,
+            attempt: at,
+        }
     }
 
     /// An ask ends here: nobody waits for the copies that may run.
     fn leave(&mut self, request: RequestId, wanted: bool) {
-        let Some(ask) = self.asks.get(&request) else { return };
-        let traces = ask.attempts.iter().enumerate().filter(|(_, a)| !a.never_ran());
-        let traces: Vec<Trace> =
-            traces.map(|(i, a)| Trace { node: a.node, request, attempt: i as u16 }).collect();
+        let Some(ask) = self.asks.get(&request) else {
+            return;
+        };
+        let traces = ask
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| !a.never_ran());
+        let traces: Vec<AttemptId> = traces
+            .map(|(i, a)| AttemptId {
+                node: a.node,
+                request,
+                number: i as u16,
+            })
+            .collect();
         for at in traces {
             let copy = self.copy(at);
             self.evidence.left(self.now, copy, wanted);
@@ -988,15 +1212,26 @@
 
     /// A copy may run that no open attempt stands for: the module counts it as standing until it is known to be over,
     /// so that neither spread nor room is given away twice.
-    fn haunt(&mut self, copy: Copy, of: Of) {
-        if self.class(of.class).is_none_or(|c| c.spread == Spread::Off) || self.ghosts.contains_key(&copy) {
+    fn haunt(&mut self, copy: TaskCopy, of: Of) {
+        if self
+            .class(of.class)
+            .is_none_or(|c| c.topology_spread == TopologySpread::Off)
+            || self.ghosts.contains_key(&copy)
+        {
             return;
         }
         let id = self.new_request();
-        let Of { task, service, class, tenant, cores, memory } = of;
+        let Of {
+            task,
+            service,
+            class,
+            tenant,
+            cores,
+            memory,
+        } = of;
         let (deadline_in, life_hint, again) = (0, None, true);
-        let request = Request {
-            request: id,
+        let request = PlacementRequest {
+            id: id,
             task,
             service,
             class,
@@ -1004,45 +1239,71 @@
             cores,
             memory,
             deadline_in,
-            life_hint,
-            again,
+            expected_duration: life_hint,
+            is_retry: again,
         };
         self.ghosts.insert(copy, id);
-        self.events.push(Event::Standing { request, machine: copy.at.node });
+        self.events.push(Event::RunningTask {
+            request,
+            node: copy.attempt.node,
+        });
     }
 
     /// The copy is over, or somebody's again.
-    fn lay(&mut self, copy: Copy) {
-        let Some(request) = self.ghosts.remove(&copy) else { return };
-        let (machine, outcome, why) = (copy.at.node, Outcome::Withdrawn, Why::Unknown);
+    fn lay(&mut self, copy: TaskCopy) {
+        let Some(request) = self.ghosts.remove(&copy) else {
+            return;
+        };
+        let (machine, outcome, why) = (
+            copy.attempt.node,
+            AttemptOutcome::Cancelled,
+            EndReason::Unknown,
+        );
         let (attempt, over, load) = (0, true, None);
-        self.events.push(Event::Ended { request, attempt, machine, outcome, why, over, load });
+        self.events.push(Event::AttemptEnded {
+            request,
+            attempt,
+            node: machine,
+            outcome,
+            reason: why,
+            is_final: over,
+            load,
+        });
     }
 
     /// It is proved that the copy never ran, or was stopped before its end.
-    fn copy_closed(&mut self, copy: Copy) {
+    fn copy_closed(&mut self, copy: TaskCopy) {
         self.evidence.closed(copy);
         self.lay(copy);
     }
 
-    fn copy_over(&mut self, copy: Copy, past: Past) {
+    fn copy_over(&mut self, copy: TaskCopy, past: Completion) {
         self.evidence.over(self.now, copy, past);
         self.lay(copy);
     }
 
     /// The node told how an attempt ended.
-    fn copy_ended(&mut self, copy: Copy, end: End, why: Why) {
+    fn copy_ended(&mut self, copy: TaskCopy, end: TaskEnd, why: EndReason) {
         match end {
-            End::Exited { .. } => self.copy_over(copy, Past::Ended(copy.at.node, end)),
+            TaskEnd::Exited { .. } => {
+                self.copy_over(copy, Completion::Ended(copy.attempt.node, end))
+            }
             // Its node says that it gave it up before its end, and why.
-            End::GivenUp if matches!(why, Why::Evicted | Why::PushedOut | Why::SentAway) => {
+            TaskEnd::GivenUp
+                if matches!(
+                    why,
+                    EndReason::Evicted | EndReason::Preempted | EndReason::Drained
+                ) =>
+            {
                 self.copy_closed(copy);
             }
-            End::Signalled { .. } | End::GivenUp | End::Lost => self.copy_over(copy, Past::MayHaveRun),
+            TaskEnd::Signalled { .. } | TaskEnd::GivenUp | TaskEnd::Lost => {
+                self.copy_over(copy, Completion::MayHaveRun)
+            }
         }
     }
 
-    fn node_is_gone(&mut self, node: MachineId) {
+    fn node_is_gone(&mut self, node: NodeId) {
         for copy in self.evidence.gone(self.now, node) {
             self.lay(copy);
         }
@@ -1051,17 +1312,19 @@
 
     /// The one place where a job's ask is answered.
     fn settle_job(&mut self, job: JobId, answer: Answer) {
-        let Some(j) = self.jobs.get_mut(job) else { return };
+        let Some(j) = self.jobs.get_mut(job) else {
+            return;
+        };
         // A task that was moved or came again was answered when it was first placed.
         if j.answer.is_none() {
             j.answer = Some(answer);
             match answer {
                 Answer::Placed(_) => self.counters.placed += 1,
-                Answer::Refused(_) => self.counters.refused += 1,
+                Answer::Rejected(_) => self.counters.requests_rejected += 1,
                 Answer::Failed => self.counters.failed += 1,
-                Answer::Withdrawn => self.counters.withdrawn += 1,
+                Answer::Cancelled => self.counters.cancelled += 1,
             }
-            self.out.push(Output::Settled { job, answer });
+            self.out.push(Output::Answered { job, answer });
         }
         match answer {
             Answer::Placed(_) => j.state = JobState::Running,
@@ -1076,86 +1339,140 @@
 
     // ---- Attempts ----
 
-    fn class(&self, class: u16) -> Option<&Class> {
+    fn class(&self, class: u16) -> Option<&TaskClass> {
         self.limits.classes.get(usize::from(class))
     }
 
-    fn step(&mut self, request: RequestId, to: Life) -> bool {
-        let Some(ask) = self.asks.get_mut(&request) else { return false };
+    fn step(&mut self, request: RequestId, to: RequestState) -> bool {
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return false;
+        };
         let was_open = ask.life.is_open();
-        let legal = ask.life.step(to);
+        let legal = ask.life.transition_to(to);
         self.open -= usize::from(was_open && !ask.life.is_open());
         if let Err(step) = &legal {
             debug_assert!(false, "{step}");
-            self.counters.illegal_steps += 1;
+            self.counters.invalid_transitions += 1;
             self.out.push(Output::Log(format!("fault: {step}")));
         }
         legal.is_ok()
     }
 
-    fn out_trace(&self, request: RequestId, attempt: u16) -> Option<Trace> {
-        let a = self.asks.get(&request)?.attempts.get(usize::from(attempt))?;
-        let placed = self.asks.get(&request)?.life == Life::Placed(attempt);
-        (a.ended.is_none() && !placed).then_some(Trace { node: a.node, request, attempt })
+    fn out_trace(&self, request: RequestId, attempt: u16) -> Option<AttemptId> {
+        let a = self
+            .asks
+            .get(&request)?
+            .attempts
+            .get(usize::from(attempt))?;
+        let placed = self.asks.get(&request)?.life == RequestState::Placed(attempt);
+        (a.ended.is_none() && !placed).then_some(AttemptId {
+            node: a.node,
+            request,
+            number: attempt,
+        })
     }
 
-    fn out_at(&self, trace: Trace) -> bool {
-        self.out_trace(trace.request, trace.attempt).is_some_and(|t| t.node == trace.node)
+    fn out_at(&self, trace: AttemptId) -> bool {
+        self.out_trace(trace.request, trace.number)
+            .is_some_and(|t| t.node == trace.node)
     }
 
     /// An attempt that is out ends: the ask waits again, if it is not over.
     fn end_attempt(
-        &mut self, request: RequestId, attempt: u16, outcome: Outcome, why: Why, load: Option<Load>,
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        outcome: AttemptOutcome,
+        why: EndReason,
+        load: Option<LoadReport>,
     ) {
-        let Some(ask) = self.asks.get_mut(&request) else { return };
-        let Some(a) = ask.attempts.get_mut(usize::from(attempt)).filter(|a| a.ended.is_none()) else {
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
+        let Some(a) = ask
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|a| a.ended.is_none())
+        else {
             return;
         };
         a.ended = Some(outcome);
         let (machine, life, of) = (a.node, ask.life, of(&ask.request));
-        let copy = self.copy(Trace { node: machine, request, attempt });
-        if matches!(outcome, Outcome::Refused | Outcome::Unreachable | Outcome::NotSent) {
+        let copy = self.copy(AttemptId {
+            node: machine,
+            request,
+            number: attempt,
+        });
+        if matches!(
+            outcome,
+            AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
+        ) {
             self.copy_closed(copy);
         } else if self.evidence.is_open(copy) {
             self.haunt(copy, of);
-            if matches!(life, Life::Over) {
+            if matches!(life, RequestState::Completed) {
                 self.evidence.left(self.now, copy, true);
             }
         }
-        if life == Life::Offered(attempt) {
-            self.step(request, Life::Waiting);
+        if life == RequestState::Dispatched(attempt) {
+            self.step(request, RequestState::Pending);
         }
         self.settle_by_what_was_found(request);
         let over = self.asks.get(&request).is_none_or(|a| !a.life.is_open());
         self.count_end(outcome, why);
-        self.events.push(Event::Ended { request, attempt, machine, outcome, why, over, load });
+        self.events.push(Event::AttemptEnded {
+            request,
+            attempt,
+            node: machine,
+            outcome,
+            reason: why,
+            is_final: over,
+            load,
+        });
         self.forget_if_done(request);
         self.let_go(machine);
     }
 
-    fn count_end(&mut self, outcome: Outcome, why: Why) {
+    fn count_end(&mut self, outcome: AttemptOutcome, why: EndReason) {
         let key = (outcome as u8, why as u8);
         self.attempt_ends.entry(key).or_insert((outcome, why, 0)).2 += 1;
     }
 
     fn on_expired(&mut self, request: RequestId, attempt: u16) {
-        let Some(at) = self.out_trace(request, attempt) else { return };
+        let Some(at) = self.out_trace(request, attempt) else {
+            return;
+        };
         self.counters.timed_out += 1;
-        self.out.push(Output::Withdraw { node: at.node, request, attempt });
-        self.end_attempt(request, attempt, Outcome::TimedOut, Why::Unknown, None);
+        self.out.push(Output::CancelAttempt {
+            node: at.node,
+            request,
+            attempt,
+        });
+        self.end_attempt(
+            request,
+            attempt,
+            AttemptOutcome::TimedOut,
+            EndReason::Unknown,
+            None,
+        );
     }
 
     /// Guard of the first rule: the module had until the reserve before this.
     fn on_overdue(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request).filter(|a| a.life.is_open()) else { return };
+        let Some(ask) = self.asks.get(&request).filter(|a| a.life.is_open()) else {
+            return;
+        };
         let (job, life) = (ask.job, ask.life);
-        self.counters.overdue += 1;
-        self.out.push(Output::Log(format!("fault: ask {} was left without an answer", request.0)));
-        self.events.push(Event::Unwanted(request));
+        self.counters.missed_deadlines += 1;
+        self.out.push(Output::Log(format!(
+            "fault: ask {} was left without an answer",
+            request.0
+        )));
+        self.events.push(Event::RequestCancelled(request));
         self.leave(request, true);
-        self.step(request, Life::Over);
+        self.step(request, RequestState::Completed);
         self.settle_job(job, Answer::Failed);
-        if let Life::Offered(attempt) = life {
+        if let RequestState::Dispatched(attempt) = life {
             self.withdraw(request, attempt);
         }
         self.forget_if_done(request);
@@ -1170,7 +1487,7 @@
 
     // ---- What nodes say ----
 
-    fn on_news(&mut self, at: Trace, news: NodeNews, load: Option<Load>) {
+    fn on_news(&mut self, at: AttemptId, news: NodeNews, load: Option<LoadReport>) {
         // A node that uses the new number has heard of it.
         self.former.retain(|_, named| *named != at);
         let at = self.former.get(&self.copy(at)).copied().unwrap_or(at);
@@ -1182,104 +1499,171 @@
         }
     }
 
-    fn on_news_of_offer(&mut self, at: Trace, news: NodeNews, load: Option<Load>) {
-        let Trace { node, request, attempt } = at;
-        let over = self.asks.get(&request).is_none_or(|a| a.life == Life::Over);
+    fn on_news_of_offer(&mut self, at: AttemptId, news: NodeNews, load: Option<LoadReport>) {
+        let AttemptId {
+            node,
+            request,
+            number: attempt,
+        } = at;
+        let over = self
+            .asks
+            .get(&request)
+            .is_none_or(|a| a.life == RequestState::Completed);
         match news {
             NodeNews::Accepted => {
-                if let Some(a) =
-                    self.asks.get_mut(&request).and_then(|a| a.attempts.get_mut(usize::from(attempt)))
+                if let Some(a) = self
+                    .asks
+                    .get_mut(&request)
+                    .and_then(|a| a.attempts.get_mut(usize::from(attempt)))
                 {
                     a.accepted = true;
                 }
-                if self.limits.confirms == Confirms::Accepted && !over {
+                if self.limits.confirms == PlacementAck::Accepted && !over {
                     self.on_confirmed(at);
                 }
                 self.report(node, load);
             }
             NodeNews::Running if over => {
                 // Answered meanwhile: nobody waits for this copy.
-                self.end_attempt(request, attempt, Outcome::Withdrawn, Why::Unknown, load);
+                self.end_attempt(
+                    request,
+                    attempt,
+                    AttemptOutcome::Cancelled,
+                    EndReason::Unknown,
+                    load,
+                );
                 self.on_news_out_of_place(at, &NodeNews::Running);
             }
             NodeNews::Running => {
                 self.on_confirmed(at);
-                if self.limits.confirms == Confirms::Accepted {
-                    self.events.push(Event::Noted { request, attempt, machine: node, note: Note::Runs });
+                if self.limits.confirms == PlacementAck::Accepted {
+                    self.events.push(Event::TaskUpdated {
+                        request,
+                        attempt,
+                        node: node,
+                        update: TaskUpdate::Running,
+                    });
                 }
                 self.report(node, load);
             }
             NodeNews::Refused(why) => {
-                self.end_attempt(request, attempt, Outcome::Refused, why, load);
+                self.end_attempt(request, attempt, AttemptOutcome::Rejected, why, load);
             }
             NodeNews::Error => {
                 // It may have started; its node is asked what it knows of it once nobody waits for it.
-                self.end_attempt(request, attempt, Outcome::Error, Why::Unknown, load);
+                self.end_attempt(
+                    request,
+                    attempt,
+                    AttemptOutcome::Error,
+                    EndReason::Unknown,
+                    load,
+                );
             }
             NodeNews::Ended(end, why) if over => {
                 let copy = self.copy(at);
                 self.copy_ended(copy, end, why);
-                self.end_attempt(request, attempt, Outcome::Done, Why::Unknown, load);
+                self.end_attempt(
+                    request,
+                    attempt,
+                    AttemptOutcome::Completed,
+                    EndReason::Unknown,
+                    load,
+                );
             }
             NodeNews::Ended(..) => {
                 // It ran and ended before its start was told.
                 self.on_confirmed(at);
                 self.on_news_of_placed(at, news, load);
             }
-            NodeNews::Note(note) => self.events.push(Event::Noted { request, attempt, machine: node, note }),
+            NodeNews::Note(note) => self.events.push(Event::TaskUpdated {
+                request,
+                attempt,
+                node: node,
+                update: note,
+            }),
         }
     }
 
-    fn report(&mut self, node: MachineId, load: Option<Load>) {
+    fn report(&mut self, node: NodeId, load: Option<LoadReport>) {
         if load.is_some() {
-            self.events.push(Event::Probed { machine: node, answered: true, load });
+            self.events.push(Event::Probed {
+                node: node,
+                answered: true,
+                load,
+            });
         }
     }
 
-    fn on_confirmed(&mut self, at: Trace) {
-        let Trace { node, request, attempt } = at;
-        if !self.step(request, Life::Placed(attempt)) {
+    fn on_confirmed(&mut self, at: AttemptId) {
+        let AttemptId {
+            node,
+            request,
+            number: attempt,
+        } = at;
+        if !self.step(request, RequestState::Placed(attempt)) {
             return;
         }
         let copy = self.copy(at);
         // Earlier attempts that may run as well are nobody's.
         self.leave(request, false);
         self.evidence.claimed(copy);
-        self.events.push(Event::Placed { request, attempt, machine: node });
+        self.events.push(Event::Placed {
+            request,
+            attempt,
+            node: node,
+        });
         if let Some(job) = self.asks.get(&request).map(|a| a.job) {
             self.settle_job(job, Answer::Placed(node));
         }
     }
 
-    fn on_news_of_placed(&mut self, at: Trace, news: NodeNews, load: Option<Load>) {
-        let Trace { node, request, attempt } = at;
+    fn on_news_of_placed(&mut self, at: AttemptId, news: NodeNews, load: Option<LoadReport>) {
+        let AttemptId {
+            node,
+            request,
+            number: attempt,
+        } = at;
         let (outcome, end, why) = match news {
             NodeNews::Accepted => return self.report(node, load),
             NodeNews::Running => {
-                if self.limits.confirms == Confirms::Accepted {
-                    self.events.push(Event::Noted { request, attempt, machine: node, note: Note::Runs });
+                if self.limits.confirms == PlacementAck::Accepted {
+                    self.events.push(Event::TaskUpdated {
+                        request,
+                        attempt,
+                        node: node,
+                        update: TaskUpdate::Running,
+                    });
                 }
                 return self.report(node, load);
             }
             NodeNews::Note(note) => {
-                self.events.push(Event::Noted { request, attempt, machine: node, note });
+                self.events.push(Event::TaskUpdated {
+                    request,
+                    attempt,
+                    node: node,
+                    update: note,
+                });
                 return;
             }
-            NodeNews::Ended(end @ End::Exited { .. }, why) => (Outcome::Done, end, why),
-            NodeNews::Ended(end @ End::Signalled { .. }, why) => (Outcome::Withdrawn, end, why),
-            NodeNews::Ended(end, why) => (Outcome::Lost, end, why),
+            NodeNews::Ended(end @ TaskEnd::Exited { .. }, why) => {
+                (AttemptOutcome::Completed, end, why)
+            }
+            NodeNews::Ended(end @ TaskEnd::Signalled { .. }, why) => {
+                (AttemptOutcome::Cancelled, end, why)
+            }
+            NodeNews::Ended(end, why) => (AttemptOutcome::Lost, end, why),
             NodeNews::Refused(why) => {
                 // Handed back before it ran.
                 let copy = self.copy(at);
                 self.copy_closed(copy);
-                (Outcome::Lost, End::GivenUp, why)
+                (AttemptOutcome::Lost, TaskEnd::GivenUp, why)
             }
-            NodeNews::Error => (Outcome::Error, End::Lost, Why::Unknown),
+            NodeNews::Error => (AttemptOutcome::Error, TaskEnd::Lost, EndReason::Unknown),
         };
         if let NodeNews::Ended(..) = news {
             let copy = self.copy(at);
             // What was stopped to be placed anew is known to be stopped.
-            match self.moving.contains_key(&request) && matches!(end, End::Signalled { .. }) {
+            match self.moving.contains_key(&request) && matches!(end, TaskEnd::Signalled { .. }) {
                 true => self.copy_closed(copy),
                 false => self.copy_ended(copy, end, why),
             }
@@ -1287,14 +1671,27 @@
         self.end_placed(at, outcome, end, why, load);
     }
 
-    fn end_placed(&mut self, at: Trace, outcome: Outcome, end: End, why: Why, load: Option<Load>) {
-        let Trace { node, request, attempt } = at;
-        let Some(ask) = self.asks.get_mut(&request) else { return };
+    fn end_placed(
+        &mut self,
+        at: AttemptId,
+        outcome: AttemptOutcome,
+        end: TaskEnd,
+        why: EndReason,
+        load: Option<LoadReport>,
+    ) {
+        let AttemptId {
+            node,
+            request,
+            number: attempt,
+        } = at;
+        let Some(ask) = self.asks.get_mut(&request) else {
+            return;
+        };
         let (job, of) = (ask.job, of(&ask.request));
         if let Some(a) = ask.attempts.get_mut(usize::from(attempt)) {
             a.ended = Some(outcome);
         }
-        self.step(request, Life::Over);
+        self.step(request, RequestState::Completed);
         let copy = self.copy(at);
         if self.evidence.is_open(copy) {
             // Lost sight of, not known to be over.
@@ -1302,9 +1699,17 @@
             self.evidence.left(self.now, copy, true);
         }
         self.count_end(outcome, why);
-        self.events.push(Event::Ended { request, attempt, machine: node, outcome, why, over: true, load });
+        self.events.push(Event::AttemptEnded {
+            request,
+            attempt,
+            node: node,
+            outcome,
+            reason: why,
+            is_final: true,
+            load,
+        });
         // Moved, it is asked for again only where it is known to be stopped before its end.
-        let stopped = !matches!(end, End::Exited { .. })
+        let stopped = !matches!(end, TaskEnd::Exited { .. })
             && (!self.is_strict(of.class) || self.evidence.ask(of.task, true) == Verdict::Free);
         let moved = self.moving.remove(&request).is_some() && stopped;
         self.forget_if_done(request);
@@ -1314,21 +1719,33 @@
             if let Some(j) = self.jobs.get_mut(job) {
                 j.end = Some(end);
             }
-            let done = matches!(end, End::Exited { .. } | End::Signalled { .. });
-            self.finish(job, if done { JobState::Done } else { JobState::Failed });
+            let done = matches!(end, TaskEnd::Exited { .. } | TaskEnd::Signalled { .. });
+            self.finish(
+                job,
+                if done {
+                    JobState::Done
+                } else {
+                    JobState::Failed
+                },
+            );
         }
         self.let_go(node);
     }
 
     /// News of an attempt that is over, was another node's, or never was. It settles doubts; a copy that runs and
     /// that nobody waits for is stopped, so that it does not hold its room.
-    fn on_news_out_of_place(&mut self, at: Trace, news: &NodeNews) {
-        self.counters.out_of_place += 1;
+    fn on_news_out_of_place(&mut self, at: AttemptId, news: &NodeNews) {
+        self.counters.unexpected_messages += 1;
         // A node that names another's attempt is not to be told anything about it.
-        let known = self.asks.get(&at.request).and_then(|a| a.attempts.get(usize::from(at.attempt)));
+        let known = self
+            .asks
+            .get(&at.request)
+            .and_then(|a| a.attempts.get(usize::from(at.number)));
         if known.is_some_and(|a| a.node != at.node) {
-            self.out
-                .push(Output::Log(format!("node {:x} speaks of an attempt that is not its own", at.node.0)));
+            self.out.push(Output::Log(format!(
+                "node {:x} speaks of an attempt that is not its own",
+                at.node.0
+            )));
             return;
         }
         match news {
@@ -1348,13 +1765,22 @@
                 let (copy, went_on) = (self.copy(at), self.went_on(at));
                 let of = self.asks.get(&at.request).map(|a| of(&a.request));
                 self.copy_ended(copy, *end, *why);
-                let ran = of.is_some_and(|of| match self.evidence.ask(of.task, self.is_strict(of.class)) {
-                    Verdict::Ran(..) | Verdict::Never => true,
-                    // A second run of what does no harm is not needed either.
-                    _ => matches!(end, End::Exited { .. }),
+                let ran = of.is_some_and(|of| {
+                    match self.evidence.ask(of.task, self.is_strict(of.class)) {
+                        Verdict::Ran(..) | Verdict::Never => true,
+                        // A second run of what does no harm is not needed either.
+                        _ => matches!(end, TaskEnd::Exited { .. }),
+                    }
                 });
                 if went_on {
-                    self.found(at, if ran { After::Ended(*end) } else { After::Nothing });
+                    self.found(
+                        at,
+                        if ran {
+                            After::Ended(*end)
+                        } else {
+                            After::Nothing
+                        },
+                    );
                 }
             }
             // An error proves nothing: its node's record does.
@@ -1364,20 +1790,22 @@
     }
 
     /// The attempt was given up or its link broke, and its ask is still to be placed.
-    fn went_on(&self, at: Trace) -> bool {
+    fn went_on(&self, at: AttemptId) -> bool {
         let ask = self.asks.get(&at.request).filter(|a| a.life.is_open());
-        let attempt = ask.and_then(|a| a.attempts.get(usize::from(at.attempt)));
+        let attempt = ask.and_then(|a| a.attempts.get(usize::from(at.number)));
         attempt.is_some_and(|a| a.node == at.node && a.ended.is_some())
     }
 
     /// News of an attempt that was given up: what its ask waits for runs after all, or has run.
-    fn found(&mut self, at: Trace, after: After) {
+    fn found(&mut self, at: AttemptId, after: After) {
         let copy = self.copy(at);
         if after == After::Runs {
             self.evidence.confirmed(copy);
         }
-        let Some(ask) = self.asks.get_mut(&at.request) else { return };
-        if let Some(a) = ask.attempts.get_mut(usize::from(at.attempt)) {
+        let Some(ask) = self.asks.get_mut(&at.request) else {
+            return;
+        };
+        if let Some(a) = ask.attempts.get_mut(usize::from(at.number)) {
             a.after = after;
         }
         self.settle_by_what_was_found(at.request);
@@ -1387,16 +1815,41 @@
     /// told that it is no longer wanted, and of the standing task in its place. While another attempt is out, that one
     /// comes to its end first: two answers must not be in the making.
     fn settle_by_what_was_found(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request).filter(|a| a.life == Life::Waiting) else { return };
-        let found = ask.attempts.iter().enumerate().find(|(_, a)| a.after != After::Nothing);
+        let Some(ask) = self
+            .asks
+            .get(&request)
+            .filter(|a| a.life == RequestState::Pending)
+        else {
+            return;
+        };
+        let found = ask
+            .attempts
+            .iter()
+            .enumerate()
+            .find(|(_, a)| a.after != After::Nothing);
         let Some((i, a)) = found else { return };
-        let (job, at, after) = (ask.job, Trace { node: a.node, request, attempt: i as u16 }, a.after);
+        let (job, at, after) = (
+            ask.job,
+            AttemptId {
+                node: a.node,
+                request,
+                number: i as u16,
+            },
+            a.after,
+        );
         self.call_off(request);
         match after {
             After::Runs => self.take_over(job, self.copy(at)),
             After::Ended(end) => {
-                let exited = matches!(end, End::Exited { .. });
-                self.settle_job(job, if exited { Answer::Placed(at.node) } else { Answer::Failed });
+                let exited = matches!(end, TaskEnd::Exited { .. });
+                self.settle_job(
+                    job,
+                    if exited {
+                        Answer::Placed(at.node)
+                    } else {
+                        Answer::Failed
+                    },
+                );
                 if exited {
                     if let Some(j) = self.jobs.get_mut(job) {
                         j.end = Some(end);
@@ -1408,48 +1861,72 @@
         }
     }
 
-    fn stop_copy(&mut self, copy: Copy) {
-        if copy.life == self.limits.life {
-            self.stop_stray(copy.at);
+    fn stop_copy(&mut self, copy: TaskCopy) {
+        if copy.incarnation == self.limits.life {
+            self.stop_stray(copy.attempt);
         }
     }
 
-    fn stop_stray(&mut self, at: Trace) {
-        self.counters.strays += 1;
+    fn stop_stray(&mut self, at: AttemptId) {
+        self.counters.orphans_stopped += 1;
         self.out.push(act(at, Control::Terminate));
     }
 
     // ---- Links ----
 
-    fn on_link_up(&mut self, node: MachineId, life: u64, whole: bool, standing: Vec<Standing>) {
+    fn on_link_up(&mut self, node: NodeId, life: u64, whole: bool, standing: Vec<Standing>) {
         if self.nodes.is_up(node) {
             // A second link stands for the first: what was under way on that one is as lost as if it had broken.
             self.on_link_down(node);
         }
-        let Some(n) = self.nodes.get_mut(node) else { return };
-        (n.link, n.own_life) = (Link::Up, Some(life));
+        let Some(n) = self.nodes.get_mut(node) else {
+            return;
+        };
+        (n.link, n.own_life) = (ConnectionState::Connected, Some(life));
         // The list tells of a restart seconds later; until then all controllers would push a cold node over.
         if let Some(line) = n.restarted(self.now, life) {
-            let (scope, version) = (ListScope::Delta, self.nodes.generation);
-            self.events.push(Event::MachineList { scope, version, lines: vec![line] });
-        }
-        let standing: Vec<Standing> =
-            standing.into_iter().filter_map(|s| self.by_its_present_number(node, s)).collect();
+            let (scope, version) = (ListUpdateKind::Incremental, self.nodes.generation);
+            self.events.push(Event::NodeList {
+                kind: scope,
+                version,
+                entries: vec![line],
+            });
+        }
+        let standing: Vec<Standing> = standing
+            .into_iter()
+            .filter_map(|s| self.by_its_present_number(node, s))
+            .collect();
         let own = |s: &&Standing| s.life == self.limits.life;
-        let trace = |s: &Standing| Trace { node, request: s.request, attempt: s.attempt };
-        let held: Vec<Trace> = standing.iter().filter(own).map(trace).collect();
-        let named: Vec<Copy> = standing.iter().map(|s| Copy { life: s.life, at: trace(s) }).collect();
+        let trace = |s: &Standing| AttemptId {
+            node,
+            request: s.request,
+            number: s.attempt,
+        };
+        let held: Vec<AttemptId> = standing.iter().filter(own).map(trace).collect();
+        let named: Vec<TaskCopy> = standing
+            .iter()
+            .map(|s| TaskCopy {
+                incarnation: s.life,
+                attempt: trace(s),
+            })
+            .collect();
         for copy in self.evidence.greeted(self.now, node, life, whole, &named) {
             self.lay(copy);
         }
-        let placed: Vec<Trace> = self
+        let placed: Vec<AttemptId> = self
             .asks
             .values()
             .filter_map(placed_at)
             .filter(|t| t.node == node && !held.contains(t))
             .collect();
         for at in placed {
-            self.end_placed(at, Outcome::Lost, End::Lost, Why::Unknown, None);
+            self.end_placed(
+                at,
+                AttemptOutcome::Lost,
+                TaskEnd::Lost,
+                EndReason::Unknown,
+                None,
+            );
         }
         for s in standing {
             if s.life == self.limits.life {
@@ -1469,44 +1946,98 @@
 
     /// Danger: the word that a copy goes by a new number can be lost with its link. Its node then names it by the former
     /// one, and the job would be taken for lost and the copy for a stray: stopped, and counted no more while it goes on.
-    fn by_its_present_number(&mut self, node: MachineId, s: Standing) -> Option<Standing> {
+    fn by_its_present_number(&mut self, node: NodeId, s: Standing) -> Option<Standing> {
         let (life, was, attempt) = (s.life, s.request, s.attempt);
-        let copy = Copy { life, at: Trace { node, request: was, attempt } };
-        let Some(&named) = self.former.get(&copy) else { return Some(s) };
+        let copy = TaskCopy {
+            incarnation: life,
+            attempt: AttemptId {
+                node,
+                request: was,
+                number: attempt,
+            },
+        };
+        let Some(&named) = self.former.get(&copy) else {
+            return Some(s);
+        };
         if let Some(end) = s.ended {
-            self.out.push(Output::StopStanding { node, life, was, attempt });
+            self.out.push(Output::DiscardOrphan {
+                node,
+                life,
+                was,
+                attempt,
+            });
             self.on_news(named, NodeNews::Ended(end, s.why), None);
             return None;
         }
-        self.out.push(Output::Adopt { node, life, was, attempt, request: named.request });
-        Some(Standing { life: self.limits.life, request: named.request, attempt: named.attempt, ..s })
+        self.out.push(Output::Adopt {
+            node,
+            life,
+            was,
+            attempt,
+            request: named.request,
+        });
+        Some(Standing {
+            life: self.limits.life,
+            request: named.request,
+            attempt: named.number,
+            ..s
+        })
     }
 
     /// Nothing that a node may still call by a former number is remembered for longer than the copy matters.
-    fn forget_former(&mut self, node: MachineId) {
-        let Core { asks, evidence, former, limits, .. } = self;
+    fn forget_former(&mut self, node: NodeId) {
+        let Core {
+            asks,
+            evidence,
+            former,
+            limits,
+            ..
+        } = self;
         former.retain(|_, named| {
             let stands = asks.get(&named.request).and_then(placed_at) == Some(*named);
-            named.node != node || stands || evidence.is_open(Copy { life: limits.life, at: *named })
+            named.node != node
+                || stands
+                || evidence.is_open(TaskCopy {
+                    incarnation: limits.life,
+                    attempt: *named,
+                })
         });
     }
 
     /// A task of an earlier life ran and ended: its job is known again under its key, and one that must not run
     /// twice is not started again for an owner who never heard of it.
-    fn learn_of_past(&mut self, node: MachineId, s: Standing, end: End) {
-        let ran = matches!(end, End::Exited { .. } | End::Signalled { .. });
+    fn learn_of_past(&mut self, node: NodeId, s: Standing, end: TaskEnd) {
+        let ran = matches!(end, TaskEnd::Exited { .. } | TaskEnd::Signalled { .. });
         let (life, was, attempt) = (s.life, s.request, s.attempt);
-        let copy = Copy { life, at: Trace { node, request: was, attempt } };
+        let copy = TaskCopy {
+            incarnation: life,
+            attempt: AttemptId {
+                node,
+                request: was,
+                number: attempt,
+            },
+        };
         if self.evidence.is_open(copy) {
             self.copy_ended(copy, end, s.why);
         } else if self.is_strict(s.submission.class) && ran {
-            let past =
-                if matches!(end, End::Exited { .. }) { Past::Ended(node, end) } else { Past::MayHaveRun };
+            let past = if matches!(end, TaskEnd::Exited { .. }) {
+                Completion::Ended(node, end)
+            } else {
+                Completion::MayHaveRun
+            };
             self.evidence.ran(self.now, s.submission.task, past);
         }
         self.write_down();
-        self.out.push(Output::StopStanding { node, life, was, attempt });
-        let known = self.jobs.by_key(&s.submission.session, &s.submission.key).is_some();
+        self.out.push(Output::DiscardOrphan {
+            node,
+            life,
+            was,
+            attempt,
+        });
+        let known = self
+            .jobs
+            .by_key(&s.submission.session, &s.submission.key)
+            .is_some();
         if known || self.jobs.by_task(s.submission.task).is_some() || !self.jobs.has_room() {
             return;
         }
@@ -1514,7 +2045,14 @@
         if let Some(j) = self.jobs.get_mut(job) {
             (j.answer, j.end) = (Some(Answer::Placed(node)), Some(end));
         }
-        self.finish(job, if ran { JobState::Done } else { JobState::Failed });
+        self.finish(
+            job,
+            if ran {
+                JobState::Done
+            } else {
+                JobState::Failed
+            },
+        );
     }
 
     fn new_request(&mut self) -> RequestId {
@@ -1523,16 +2061,34 @@
     }
 
     /// A task that an earlier life placed runs on; its job is found again under its key.
-    fn adopt(&mut self, node: MachineId, s: Standing) {
-        let Standing { life, request: was, attempt, submission, .. } = s;
-        let copy = Copy { life, at: Trace { node, request: was, attempt } };
+    fn adopt(&mut self, node: NodeId, s: Standing) {
+        let Standing {
+            life,
+            request: was,
+            attempt,
+            submission,
+            ..
+        } = s;
+        let copy = TaskCopy {
+            incarnation: life,
+            attempt: AttemptId {
+                node,
+                request: was,
+                number: attempt,
+            },
+        };
         let known = self.class(submission.class).is_some();
         let taken = self.jobs.by_task(submission.task).is_some();
         if !known || taken || !self.jobs.has_room() {
-            self.counters.strays += 1;
-            self.copy_over(copy, Past::MayHaveRun);
+            self.counters.orphans_stopped += 1;
+            self.copy_over(copy, Completion::MayHaveRun);
             self.write_down();
-            self.out.push(Output::StopStanding { node, life, was, attempt });
+            self.out.push(Output::DiscardOrphan {
+                node,
+                life,
+                was,
+                attempt,
+            });
             return;
         }
         let job = self.jobs.add_unclaimed(submission);
@@ -1541,30 +2097,52 @@
             (j.answer, j.state) = (Some(Answer::Placed(node)), JobState::Running);
         }
         self.write_down();
-        self.out.push(Output::Adopt { node, life, was, attempt, request });
+        self.out.push(Output::Adopt {
+            node,
+            life,
+            was,
+            attempt,
+            request,
+        });
     }
 
     /// A doubtful copy was found running and its owner asks again: that copy is the new job's.
-    fn take_over(&mut self, job: JobId, copy: Copy) {
+    fn take_over(&mut self, job: JobId, copy: TaskCopy) {
         let request = self.stand(job, copy);
-        self.settle_job(job, Answer::Placed(copy.at.node));
+        self.settle_job(job, Answer::Placed(copy.attempt.node));
         self.write_down();
-        let (life, was, attempt) = (copy.life, copy.at.request, copy.at.attempt);
-        self.out.push(Output::Adopt { node: copy.at.node, life, was, attempt, request });
+        let (life, was, attempt) = (copy.incarnation, copy.attempt.request, copy.attempt.number);
+        self.out.push(Output::Adopt {
+            node: copy.attempt.node,
+            life,
+            was,
+            attempt,
+            request,
+        });
     }
 
-    fn stand(&mut self, job: JobId, copy: Copy) -> RequestId {
-        let (id, node) = (self.new_request(), copy.at.node);
+    fn stand(&mut self, job: JobId, copy: TaskCopy) -> RequestId {
+        let (id, node) = (self.new_request(), copy.attempt.node);
         self.counters.adopted += 1;
         self.lay(copy);
-        let Some(j) = self.jobs.get_mut(job) else { return id };
+        let Some(j) = self.jobs.get_mut(job) else {
+            return id;
+        };
         j.ask = Some(id);
         let request = request_of(&j.submission, id, 0);
-        let named = self.copy(Trace { node, request: id, attempt: 0 });
-        for later in self.former.values_mut().filter(|n| **n == copy.at && copy.life == self.limits.life) {
-            *later = named.at;
-        }
-        self.former.insert(copy, named.at);
+        let named = self.copy(AttemptId {
+            node,
+            request: id,
+            number: 0,
+        });
+        for later in self
+            .former
+            .values_mut()
+            .filter(|n| **n == copy.attempt && copy.incarnation == self.limits.life)
+        {
+            *later = named.attempt;
+        }
+        self.former.insert(copy, named.attempt);
         if self.evidence.is_open(copy) {
             self.evidence.renamed(copy, named);
         } else if self.is_kept(request.class) {
@@ -1581,37 +2159,71 @@
             after: After::Nothing,
         };
         let (deadline, attempts) = (self.now, vec![attempt]);
-        let ask = Ask { request: request.clone(), job, deadline, life: Life::Waiting, attempts };
+        let ask = Ask {
+            request: request.clone(),
+            job,
+            deadline,
+            life: RequestState::Pending,
+            attempts,
+        };
         self.asks.insert(id, ask);
         self.open += 1;
-        self.step(id, Life::Placed(0));
-        self.events.push(Event::Standing { request, machine: node });
+        self.step(id, RequestState::Placed(0));
+        self.events.push(Event::RunningTask {
+            request,
+            node: node,
+        });
         id
     }
 
-    fn on_link_down(&mut self, node: MachineId) {
-        let Some(n) = self.nodes.get_mut(node) else { return };
-        if n.link == Link::Up {
-            n.link = Link::Down(self.now);
-            self.alarms.set(self.now.saturating_add(self.limits.lost_after), Alarm::Lost(node));
+    fn on_link_down(&mut self, node: NodeId) {
+        let Some(n) = self.nodes.get_mut(node) else {
+            return;
+        };
+        if n.link == ConnectionState::Connected {
+            n.link = ConnectionState::Disconnected(self.now);
+            self.alarms.schedule(
+                self.now.saturating_add(self.limits.lost_after),
+                Alarm::Lost(node),
+            );
         }
         let out: Vec<(RequestId, u16)> = self
             .asks
             .iter()
-            .flat_map(|(r, a)| a.attempts.iter().enumerate().map(move |(i, t)| (*r, a, i as u16, t)))
-            .filter(|(_, a, i, t)| t.node == node && t.ended.is_none() && a.life != Life::Placed(*i))
+            .flat_map(|(r, a)| {
+                a.attempts
+                    .iter()
+                    .enumerate()
+                    .map(move |(i, t)| (*r, a, i as u16, t))
+            })
+            .filter(|(_, a, i, t)| {
+                t.node == node && t.ended.is_none() && a.life != RequestState::Placed(*i)
+            })
             .map(|(r, _, i, _)| (r, i))
             .collect();
         for (request, attempt) in out {
-            self.end_attempt(request, attempt, Outcome::Lost, Why::Unknown, None);
-        }
-        if self.nodes.get(node).is_some_and(|n| n.line.state == MachineState::Gone) {
+            self.end_attempt(
+                request,
+                attempt,
+                AttemptOutcome::Lost,
+                EndReason::Unknown,
+                None,
+            );
+        }
+        if self
+            .nodes
+            .get(node)
+            .is_some_and(|n| n.line.state == NodeStatus::Gone)
+        {
             self.lose_placed(node);
         }
     }
 
-    fn on_lost(&mut self, node: MachineId) {
-        let Some(Link::Down(since)) = self.nodes.get(node).map(|n| n.link) else { return };
+    fn on_lost(&mut self, node: NodeId) {
+        let Some(ConnectionState::Disconnected(since)) = self.nodes.get(node).map(|n| n.link)
+        else {
+            return;
+        };
         if since.saturating_add(self.limits.lost_after) <= self.now {
             self.lose_placed(node);
         }
@@ -1619,11 +2231,21 @@
 
     /// Tasks on a node that is gone, or was out of reach for too long, count as lost; whether they still run
     /// stays in doubt until the node is heard again or gone for good.
-    fn lose_placed(&mut self, node: MachineId) {
-        let placed: Vec<Trace> =
-            self.asks.values().filter_map(placed_at).filter(|t| t.node == node).collect();
+    fn lose_placed(&mut self, node: NodeId) {
+        let placed: Vec<AttemptId> = self
+            .asks
+            .values()
+            .filter_map(placed_at)
+            .filter(|t| t.node == node)
+            .collect();
         for at in placed {
-            self.end_placed(at, Outcome::Lost, End::Lost, Why::Unknown, None);
+            self.end_placed(
+                at,
+                AttemptOutcome::Lost,
+                TaskEnd::Lost,
+                EndReason::Unknown,
+                None,
+            );
         }
         self.let_go(node);
     }
@@ -1632,33 +2254,92 @@
 
     fn on_abandon(&mut self) {
         self.stopping = true;
-        let open: Vec<RequestId> = self.asks.values().filter(|a| a.life.is_open()).map(Ask::id).collect();
+        let open: Vec<RequestId> = self
+            .asks
+            .values()
+            .filter(|a| a.life.is_open())
+            .map(Ask::id)
+            .collect();
         for request in open {
-            self.events.push(Event::Unwanted(request));
+            self.events.push(Event::RequestCancelled(request));
             let harmless = self.asks.get(&request).is_some_and(Ask::never_ran);
             let retry_after = Some(self.limits.retry_after);
-            self.answer(request, if harmless { Answer::Refused(retry_after) } else { Answer::Failed });
+            self.answer(
+                request,
+                if harmless {
+                    Answer::Rejected(retry_after)
+                } else {
+                    Answer::Failed
+                },
+            );
         }
     }
 }
 
-fn placed_at(ask: &Ask) -> Option<Trace> {
-    let Life::Placed(attempt) = ask.life else { return None };
+fn placed_at(ask: &Ask) -> Option<AttemptId> {
+    let RequestState::Placed(attempt) = ask.life else {
+        return None;
+    };
     let node = ask.attempts.get(usize::from(attempt))?.node;
-    Some(Trace { node, request: ask.id(), attempt })
+    Some(AttemptId {
+        node,
+        request: ask.id(),
+        number: attempt,
+    })
 }
 
-fn act(at: Trace, control: Control) -> Output {
-    Output::Act { node: at.node, request: at.request, attempt: at.attempt, control }
+fn act(at: AttemptId, control: Control) -> Output {
+    Output::ControlTask {
+        node: at.node,
+        request: at.request,
+        attempt: at.number,
+        control,
+    }
 }
 
 /// What a copy of the ask is of.
-fn of(r: &Request) -> Of {
-    let Request { task, service, class, tenant, cores, memory, .. } = *r;
-    Of { task, service, class, tenant, cores, memory }
+fn of(r: &PlacementRequest) -> Of {
+    let PlacementRequest {
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+        ..
+    } = *r;
+    Of {
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+    }
 }
 
-fn request_of(s: &Submission, request: RequestId, deadline_in: Micros) -> Request {
-    let Submission { task, service, class, tenant, cores, memory, life_hint, again, .. } = s.clone();
-    Request { request, task, service, class, tenant, cores, memory, deadline_in, life_hint, again }
+fn request_of(s: &Submission, request: RequestId, deadline_in: Micros) -> PlacementRequest {
+    let Submission {
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+        expected_duration: life_hint,
+        is_retry: again,
+        ..
+    } = s.clone();
+    PlacementRequest {
+        id: request,
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+        deadline_in,
+        expected_duration: life_hint,
+        is_retry: again,
+    }
 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,6 +1,6 @@
 //! The jobs that clients see: their states, their one settlement and their end. Bounded in number.
 
-use peppercove::{MachineId, Micros, RequestId, ServiceId, TaskKey};
+use peppercove::{Micros, NodeId, RequestId, ServiceId, TaskKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -43,14 +43,18 @@
     /// How long its owner waits for the answer.
     pub deadline_in: Micros,
     /// How long it is expected to run.
-    pub life_hint: Option<Micros>,
+    #[serde(rename = "life_hint")]
+    pub expected_duration: Option<Micros>,
     /// It was asked for before.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub is_retry: bool,
     /// Another controller was asked for it before, and may have started it.
     #[serde(default)]
-    pub elsewhere: bool,
+    #[serde(rename = "elsewhere")]
+    pub requested_elsewhere: bool,
     /// It starts on hold (`drmaa_js_state`).
-    pub held: bool,
+    #[serde(rename = "held")]
+    pub on_hold: bool,
     /// What to run.
     pub program: Program,
 }
@@ -59,18 +63,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// The task is placed on this node.
-    Placed(MachineId),
+    Placed(NodeId),
     /// Turned away; a retry is harmless, best after this long.
-    Refused(Option<Micros>),
+    #[serde(rename = "Refused")]
+    Rejected(Option<Micros>),
     /// No promise about its effect.
     Failed,
     /// Its owner ended it before it was placed.
-    Withdrawn,
+    #[serde(rename = "Withdrawn")]
+    Cancelled,
 }
 
 /// How a placed job's task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum End {
+pub enum TaskEnd {
     /// By itself, with a status.
     Exited {
         /// Exit status.
@@ -135,11 +141,11 @@
     /// The ask that is made for it.
     pub ask: Option<RequestId>,
     /// When the last ask was made for it.
-    pub asked_at: Micros,
+    pub requested_at: Micros,
     /// The answer, once it is given.
     pub answer: Option<Answer>,
     /// How its task ended.
-    pub end: Option<End>,
+    pub end: Option<TaskEnd>,
     /// Found running after a restart; no client of this life has asked for it.
     pub unclaimed: bool,
     /// The key of an earlier life, where the job was claimed under another.
@@ -164,7 +170,10 @@
 impl Jobs {
     /// A table of at most `most` jobs.
     pub fn new(most: usize) -> Jobs {
-        Jobs { most: most.max(1), ..Jobs::default() }
+        Jobs {
+            most: most.max(1),
+            ..Jobs::default()
+        }
     }
 
     /// Jobs in the table.
@@ -204,7 +213,9 @@
 
     /// The job submitted under a key.
     pub fn by_key(&self, session: &str, key: &str) -> Option<JobId> {
-        self.keys.get(&(session.to_owned(), key.to_owned())).copied()
+        self.keys
+            .get(&(session.to_owned(), key.to_owned()))
+            .copied()
     }
 
     /// The unfinished job that asks for, or runs, a task.
@@ -220,21 +231,30 @@
     /// Takes a job in; the oldest finished one makes room where there is none.
     pub fn add(&mut self, submission: Submission, state: JobState) -> JobId {
         while self.jobs.len() >= self.most {
-            let Some(oldest) = self.finished.pop_front() else { break };
+            let Some(oldest) = self.finished.pop_front() else {
+                break;
+            };
             self.forgotten += u64::from(self.remove(oldest));
         }
         let id = JobId(self.next);
         self.next += 1;
-        self.keys.insert((submission.session.clone(), submission.key.clone()), id);
+        self.keys
+            .insert((submission.session.clone(), submission.key.clone()), id);
         self.tasks.insert(submission.task, id);
-        self.sessions.entry(submission.session.clone()).or_default().insert(id);
-        *self.unfinished.entry(submission.session.clone()).or_insert(0) += 1;
+        self.sessions
+            .entry(submission.session.clone())
+            .or_default()
+            .insert(id);
+        *self
+            .unfinished
+            .entry(submission.session.clone())
+            .or_insert(0) += 1;
         let job = Job {
             id,
             submission,
             state,
             ask: None,
-            asked_at: 0,
+            requested_at: 0,
             answer: None,
             end: None,
             unclaimed: false,
@@ -262,14 +282,20 @@
         }
         job.unclaimed = false;
         // Whoever still knows it by its first key finds it too.
-        job.first_key = Some(std::mem::replace(&mut job.submission.key, submission.key.clone()));
-        self.keys.insert((submission.session.clone(), submission.key.clone()), id);
+        job.first_key = Some(std::mem::replace(
+            &mut job.submission.key,
+            submission.key.clone(),
+        ));
+        self.keys
+            .insert((submission.session.clone(), submission.key.clone()), id);
         Some(id)
     }
 
     /// A job reached its end: its task may be asked for by another.
     pub(crate) fn finish(&mut self, id: JobId, state: JobState) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.state.is_final()) else { return };
+        let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.state.is_final()) else {
+            return;
+        };
         (job.state, job.ask) = (state, None);
         if self.tasks.get(&job.submission.task) == Some(&id) {
             self.tasks.remove(&job.submission.task);
@@ -293,7 +319,9 @@
         if !self.jobs.get(&id).is_some_and(|j| j.state.is_final()) {
             return false;
         }
-        let Some(job) = self.jobs.remove(&id) else { return false };
+        let Some(job) = self.jobs.remove(&id) else {
+            return false;
+        };
         if let Some(ids) = self.sessions.get_mut(&job.submission.session) {
             ids.remove(&id);
             if ids.is_empty() {
--- a/crates/exchange/src/greeting.rs
+++ b/crates/exchange/src/greeting.rs
@@ -1,14 +1,14 @@
 //! The greeting of a node: what it says of itself, and then all that it holds of this controller.
 
-use crate::nodes::{Heard, heard, past, request_of, submission_of};
-use peppercove::{MachineId, Why};
+use crate::nodes::{DecodedMessage, decode_message, past, request_id_of, submission_of};
+use peppercove::{EndReason, NodeId};
 use peppercove_config::Config;
 use peppercove_core::{Input, Standing};
-use peppercove_protocol::node::{FromNode, Party, ToNode};
+use peppercove_protocol::node::{FromNode, ProcessIdentity, ToNode};
 
 /// Why a node's greeting was not accepted.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum GreetError {
+pub enum HandshakeError {
     /// The list names another node at its address.
     #[error("the node answers to the name {0}")]
     WrongName(String),
@@ -25,17 +25,17 @@
 
 /// What a message of the greeting leads to.
 #[derive(Debug, PartialEq)]
-pub enum Step {
+pub enum HandshakeProgress {
     /// More is to come; this is to be taken in meanwhile.
-    More(Option<Heard>),
+    Pending(Option<DecodedMessage>),
     /// The node has told all that it holds; what it told last is to be taken in before.
-    Up(Option<Heard>, Input),
+    Complete(Option<DecodedMessage>, Input),
 }
 
 /// A greeting under way on one link.
 #[derive(Debug)]
-pub struct Greeting {
-    node: MachineId,
+pub struct Handshake {
+    node: NodeId,
     name: String,
     most: usize,
     life: Option<u64>,
@@ -44,58 +44,100 @@
     standing: Vec<Standing>,
 }
 
-impl Greeting {
+impl Handshake {
     /// A greeting with the node that the list calls `name`; it may hold `most` tasks of this controller.
-    pub fn new(node: MachineId, name: &str, most: usize) -> Greeting {
-        Greeting { node, name: name.into(), most, life: None, whole: false, left: 0, standing: Vec::new() }
+    pub fn new(node: NodeId, name: &str, most: usize) -> Handshake {
+        Handshake {
+            node,
+            name: name.into(),
+            most,
+            life: None,
+            whole: false,
+            left: 0,
+            standing: Vec::new(),
+        }
     }
 
     /// The message that opens a link.
     pub fn hello(config: &Config, life: u64) -> ToNode {
-        let controller = Party { name: config.name.clone(), life };
-        ToNode::Hello { version: peppercove_protocol::VERSION, controller }
+        let controller = ProcessIdentity {
+            name: config.name.clone(),
+            incarnation: life,
+        };
+        ToNode::Hello {
+            version: peppercove_protocol::VERSION,
+            controller,
+        }
     }
 
     /// Takes one message of the node in.
     ///
     /// # Errors
-    /// [`GreetError`]: the link is of no use.
-    pub fn hear(&mut self, message: FromNode) -> Result<Step, GreetError> {
+    /// [`HandshakeError`]: the link is of no use.
+    pub fn on_message(&mut self, message: FromNode) -> Result<HandshakeProgress, HandshakeError> {
         let mut meanwhile = None;
         match (self.life, message) {
-            (None, FromNode::Welcome { version, node, standing, whole }) => {
+            (
+                None,
+                FromNode::Welcome {
+                    version,
+                    node,
+                    known_tasks: standing,
+                    is_complete: whole,
+                },
+            ) => {
                 if version != peppercove_protocol::VERSION {
-                    return Err(GreetError::WrongVersion(version));
+                    return Err(HandshakeError::WrongVersion(version));
                 }
                 if node.name != self.name {
-                    return Err(GreetError::WrongName(node.name));
+                    return Err(HandshakeError::WrongName(node.name));
                 }
                 if standing as usize > self.most {
-                    return Err(GreetError::TooMuch(standing));
+                    return Err(HandshakeError::TooMuch(standing));
                 }
-                (self.life, self.left, self.whole) = (Some(node.life), standing, whole);
+                (self.life, self.left, self.whole) = (Some(node.incarnation), standing, whole);
             }
-            (None, _) => return Err(GreetError::NotGreeted),
-            (Some(_), FromNode::Standing { life, attempt, work, ended }) => {
-                let (request, submission) = (request_of(attempt), submission_of(work));
-                let (ended, why) = ended.map_or((None, Why::Unknown), past);
+            (None, _) => return Err(HandshakeError::NotGreeted),
+            (
+                Some(_),
+                FromNode::KnownTask {
+                    incarnation: life,
+                    attempt,
+                    task: work,
+                    ended,
+                },
+            ) => {
+                let (request, submission) = (request_id_of(attempt), submission_of(work));
+                let (ended, why) = ended.map_or((None, EndReason::Unknown), past);
                 let attempt = attempt.number;
-                self.standing.push(Standing { life, request, attempt, submission, ended, why });
+                self.standing.push(Standing {
+                    life,
+                    request,
+                    attempt,
+                    submission,
+                    ended,
+                    why,
+                });
                 self.left = self.left.saturating_sub(1);
             }
             // An end that was not acknowledged counts among what follows.
             (Some(_), other) => {
-                meanwhile = Some(heard(self.node, other));
+                meanwhile = Some(decode_message(self.node, other));
                 self.left = self.left.saturating_sub(1);
             }
         }
         match self.life {
             Some(life) if self.left == 0 => {
                 let standing = std::mem::take(&mut self.standing);
-                let up = Input::LinkUp { node: self.node, life, whole: self.whole, standing };
-                Ok(Step::Up(meanwhile, up))
+                let up = Input::NodeConnected {
+                    node: self.node,
+                    life,
+                    whole: self.whole,
+                    standing,
+                };
+                Ok(HandshakeProgress::Complete(meanwhile, up))
             }
-            _ => Ok(Step::More(meanwhile)),
+            _ => Ok(HandshakeProgress::Pending(meanwhile)),
         }
     }
 }
--- a/crates/exchange/src/nodes.rs
+++ b/crates/exchange/src/nodes.rs
@@ -1,39 +1,41 @@
 //! Frames of nodes to inputs, outputs to frames of nodes.
 
-use peppercove::{Load, MachineId, Note, RequestId, Why};
+use peppercove::{EndReason, LoadReport, NodeId, RequestId, TaskUpdate};
 use peppercove_config::Config;
-use peppercove_core::{Control, End, Input, Job, Limits, NodeNews, Output, Submission};
-use peppercove_protocol::node::{self, AttemptId, FromNode, Program, Reason, Report, TaskNote, ToNode, Work};
+use peppercove_core::{Control, Input, Job, Limits, NodeNews, Output, Submission, TaskEnd};
+use peppercove_protocol::node::{
+    self, AttemptId, FromNode, NodeLoad, NodeReason, OfferedTask, Program, TaskMeasurement, ToNode,
+};
 use std::time::Duration;
 
 /// What bounds a core, by the settings.
-pub fn limits(config: &Config, life: u64) -> Limits {
+pub fn core_limits(config: &Config, life: u64) -> Limits {
     let micros = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(u64::MAX);
     Limits {
         life,
-        classes: config.module.classes.clone(),
-        confirms: config.module.confirms,
-        max_attempts: config.module.max_attempts,
-        most_open: config.limits.open_asks,
+        classes: config.scheduler.classes.clone(),
+        confirms: config.scheduler.placement_ack,
+        max_attempts: config.scheduler.max_attempts,
+        most_open: config.limits.open_requests,
         most_jobs: config.limits.jobs,
         most_session_jobs: config.limits.session_jobs,
-        answer_reserve: micros(config.limits.answer_reserve),
+        answer_reserve: micros(config.limits.deadline_margin),
         retry_after: micros(config.limits.retry_after),
-        settle: config.module.settle,
-        fate_memory: micros(config.limits.fate_memory),
-        most_fates: config.limits.doubtful,
+        settle: config.scheduler.ambiguous_retry_delay,
+        fate_memory: micros(config.limits.outcome_retention),
+        most_fates: config.limits.ambiguous_tasks,
         lost_after: micros(config.limits.lost_after),
-        journal: config.journal.is_some(),
+        journal: config.journal_path.is_some(),
     }
 }
 
 /// A task as nodes know it.
-pub fn work_of(config: &Config, s: &Submission) -> Work {
-    let class = config.module.classes.get(usize::from(s.class));
-    let repeat = match class.map(|c| c.repeat) {
-        Some(peppercove::Repeat::Safe) => node::Repeat::Safe,
-        Some(peppercove::Repeat::Keyed { .. }) => node::Repeat::Keyed,
-        _ => node::Repeat::Unsafe,
+pub fn work_of(config: &Config, s: &Submission) -> OfferedTask {
+    let class = config.scheduler.classes.get(usize::from(s.class));
+    let repeat = match class.map(|c| c.idempotency) {
+        Some(peppercove::Idempotency::Idempotent) => node::Idempotency::Idempotent,
+        Some(peppercove::Idempotency::Keyed { .. }) => node::Idempotency::Keyed,
+        _ => node::Idempotency::NonIdempotent,
     };
     let program = Program {
         command: s.program.command.clone(),
@@ -42,7 +44,7 @@
         working_directory: s.program.working_directory.clone(),
         key: format!("{}\n{}", s.session, s.key),
     };
-    Work {
+    OfferedTask {
         task: s.task.0,
         service: s.service.0,
         class: s.class,
@@ -50,14 +52,18 @@
         cores: s.cores,
         memory: s.memory,
         priority: class.map_or(0, |c| c.priority),
-        repeat,
+        idempotency: repeat,
         program,
     }
 }
 
 /// A standing task as the core knows submissions.
-pub fn submission_of(work: Work) -> Submission {
-    let (session, key) = work.program.key.split_once('\n').unwrap_or(("", &work.program.key));
+pub fn submission_of(work: OfferedTask) -> Submission {
+    let (session, key) = work
+        .program
+        .key
+        .split_once('\n')
+        .unwrap_or(("", &work.program.key));
     Submission {
         session: session.into(),
         key: key.into(),
@@ -68,10 +74,10 @@
         cores: work.cores,
         memory: work.memory,
         deadline_in: 0,
-        life_hint: None,
-        again: true,
-        elsewhere: false,
-        held: false,
+        expected_duration: None,
+        is_retry: true,
+        requested_elsewhere: false,
+        on_hold: false,
         program: peppercove_core::Program {
             command: work.program.command,
             args: work.program.args,
@@ -82,38 +88,95 @@
 }
 
 /// The ask that an attempt belongs to.
-pub fn request_of(attempt: AttemptId) -> RequestId {
+pub fn request_id_of(attempt: AttemptId) -> RequestId {
     RequestId(attempt.request)
 }
 
 /// The frame that an output is, and the node that it is for; `None` where it is for somebody else. `job` finds the job
 /// of an offer.
-pub fn frame<'a>(
-    config: &Config, nonce: u64, output: &Output, job: impl FnOnce(peppercove_core::JobId) -> Option<&'a Job>,
-) -> Option<(MachineId, ToNode)> {
-    let id = |request: RequestId, number: u16| AttemptId { request: request.0, number };
+pub fn encode_output<'a>(
+    config: &Config,
+    nonce: u64,
+    output: &Output,
+    job: impl FnOnce(peppercove_core::JobId) -> Option<&'a Job>,
+) -> Option<(NodeId, ToNode)> {
+    let id = |request: RequestId, number: u16| AttemptId {
+        request: request.0,
+        number,
+    };
     Some(match *output {
-        Output::Offer { node, request, attempt, expires_in, job: number } => {
+        Output::Dispatch {
+            node,
+            request,
+            attempt,
+            expires_in,
+            job: number,
+        } => {
             let work = work_of(config, &job(number)?.submission);
-            (node, ToNode::Offer { attempt: id(request, attempt), expires_in, work })
-        }
-        Output::Withdraw { node, request, attempt } => {
-            (node, ToNode::Withdraw { attempt: id(request, attempt) })
+            (
+                node,
+                ToNode::Offer {
+                    attempt: id(request, attempt),
+                    expires_in,
+                    task: work,
+                },
+            )
         }
-        Output::Act { node, request, attempt, control } => {
+        Output::CancelAttempt {
+            node,
+            request,
+            attempt,
+        } => (
+            node,
+            ToNode::CancelAttempt {
+                attempt: id(request, attempt),
+            },
+        ),
+        Output::ControlTask {
+            node,
+            request,
+            attempt,
+            control,
+        } => {
             let action = match control {
                 Control::Suspend => node::Control::Suspend,
                 Control::Resume => node::Control::Resume,
                 Control::Terminate | Control::Hold | Control::Release => node::Control::Terminate,
             };
-            (node, ToNode::Control { attempt: id(request, attempt), action })
-        }
-        Output::Adopt { node, life, was, attempt, request } => {
-            (node, ToNode::Adopt { life, attempt: id(was, attempt), named: id(request, 0) })
-        }
-        Output::StopStanding { node, life, was, attempt } => {
-            (node, ToNode::Discard { life, attempt: id(was, attempt) })
+            (
+                node,
+                ToNode::Control {
+                    attempt: id(request, attempt),
+                    action,
+                },
+            )
         }
+        Output::Adopt {
+            node,
+            life,
+            was,
+            attempt,
+            request,
+        } => (
+            node,
+            ToNode::Adopt {
+                incarnation: life,
+                attempt: id(was, attempt),
+                new_attempt: id(request, 0),
+            },
+        ),
+        Output::DiscardOrphan {
+            node,
+            life,
+            was,
+            attempt,
+        } => (
+            node,
+            ToNode::Discard {
+                incarnation: life,
+                attempt: id(was, attempt),
+            },
+        ),
         Output::Probe(node) => (node, ToNode::Probe { nonce }),
         _ => return None,
     })
@@ -121,7 +184,7 @@
 
 /// What a message of a node comes to.
 #[derive(Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct DecodedMessage {
     /// To be taken in.
     pub input: Option<Input>,
     /// To be answered once that is done.
@@ -129,79 +192,107 @@
 }
 
 /// Reads a message of a node that has greeted.
-pub fn heard(node: MachineId, message: FromNode) -> Heard {
+pub fn decode_message(node: NodeId, message: FromNode) -> DecodedMessage {
     let mut reply = None;
     let (attempt, news, load) = match message {
         FromNode::Accepted { attempt, load } => (attempt, NodeNews::Accepted, load),
         FromNode::Running { attempt, load } => (attempt, NodeNews::Running, load),
-        FromNode::Refused { attempt, reason, load } => (attempt, NodeNews::Refused(why(reason)), load),
+        FromNode::Rejected {
+            attempt,
+            reason,
+            load,
+        } => (attempt, NodeNews::Refused(why(reason)), load),
         FromNode::Ended { attempt, end, load } => {
             // The node keeps an end until it is taken note of; it may have been told on a link that broke.
-            reply = Some(ToNode::Noted { attempt });
+            reply = Some(ToNode::AcknowledgeEnd { attempt });
             (attempt, ended(end), load)
         }
-        FromNode::Note { attempt, note } => (attempt, NodeNews::Note(noted(note)), None),
-        FromNode::Probed { load, .. } => {
-            let input = Some(Input::Probed { node, answered: true, load: load.map(loaded) });
-            return Heard { input, reply };
+        FromNode::Measurement {
+            attempt,
+            measurement: note,
+        } => (attempt, NodeNews::Note(noted(note)), None),
+        FromNode::ProbeReply { load, .. } => {
+            let input = Some(Input::Probed {
+                node,
+                answered: true,
+                load: load.map(loaded),
+            });
+            return DecodedMessage { input, reply };
         }
         // Out of turn: a node tells what it holds when it is greeted.
-        FromNode::Welcome { .. } | FromNode::Standing { .. } => return Heard::default(),
+        FromNode::Welcome { .. } | FromNode::KnownTask { .. } => return DecodedMessage::default(),
     };
-    let (request, attempt) = (request_of(attempt), attempt.number);
-    let input = Some(Input::News { node, request, attempt, news, load: load.map(loaded) });
-    Heard { input, reply }
+    let (request, attempt) = (request_id_of(attempt), attempt.number);
+    let input = Some(Input::News {
+        node,
+        request,
+        attempt,
+        news,
+        load: load.map(loaded),
+    });
+    DecodedMessage { input, reply }
 }
 
-fn loaded(report: Report) -> Load {
+fn loaded(report: NodeLoad) -> LoadReport {
     let finite = |x: Option<f64>| x.filter(|x| x.is_finite());
-    Load {
+    LoadReport {
         free_cores: finite(report.free_cores),
         free_memory: finite(report.free_memory),
-        busy: finite(report.busy),
-        waiting: finite(report.waiting),
+        cpu_utilization: finite(report.cpu_utilization),
+        queue_depth: finite(report.queue_depth),
     }
 }
 
-fn why(reason: Reason) -> Why {
+fn why(reason: NodeReason) -> EndReason {
     match reason {
-        Reason::Unknown => Why::Unknown,
-        Reason::NoCores => Why::NoCores,
-        Reason::NoMemory => Why::NoMemory,
-        Reason::Busy => Why::Busy,
-        Reason::NotHere => Why::NotHere,
-        Reason::Evicted => Why::Evicted,
-        Reason::PushedOut => Why::PushedOut,
-        Reason::SentAway => Why::SentAway,
+        NodeReason::Unknown => EndReason::Unknown,
+        NodeReason::InsufficientCores => EndReason::InsufficientCores,
+        NodeReason::InsufficientMemory => EndReason::InsufficientMemory,
+        NodeReason::QueueFull => EndReason::QueueFull,
+        NodeReason::Ineligible => EndReason::Ineligible,
+        NodeReason::Evicted => EndReason::Evicted,
+        NodeReason::Preempted => EndReason::Preempted,
+        NodeReason::Drained => EndReason::Drained,
     }
 }
 
-fn ended(end: node::End) -> NodeNews {
+fn ended(end: node::TaskExit) -> NodeNews {
     match end {
-        node::End::Exited { status, usage: u } => {
-            NodeNews::Ended(End::Exited { status, wall: u.wall, cpu: u.cpu, memory: u.memory }, Why::Unknown)
-        }
-        node::End::Signalled { signal, usage: u } => NodeNews::Ended(
-            End::Signalled { signal, wall: u.wall, cpu: u.cpu, memory: u.memory },
-            Why::Unknown,
+        node::TaskExit::Exited { status, usage: u } => NodeNews::Ended(
+            TaskEnd::Exited {
+                status,
+                wall: u.wall,
+                cpu: u.cpu,
+                memory: u.memory,
+            },
+            EndReason::Unknown,
+        ),
+        node::TaskExit::Signalled { signal, usage: u } => NodeNews::Ended(
+            TaskEnd::Signalled {
+                signal,
+                wall: u.wall,
+                cpu: u.cpu,
+                memory: u.memory,
+            },
+            EndReason::Unknown,
         ),
-        node::End::Error => NodeNews::Error,
-        node::End::GivenUp(reason) => NodeNews::Ended(End::GivenUp, why(reason)),
+        node::TaskExit::Error => NodeNews::Error,
+        node::TaskExit::Evicted(reason) => NodeNews::Ended(TaskEnd::GivenUp, why(reason)),
     }
 }
 
-pub(crate) fn past(end: node::End) -> (Option<End>, Why) {
+pub(crate) fn past(end: node::TaskExit) -> (Option<TaskEnd>, EndReason) {
     match ended(end) {
         NodeNews::Ended(end, why) => (Some(end), why),
-        _ => (Some(End::Lost), Why::Unknown),
+        _ => (Some(TaskEnd::Lost), EndReason::Unknown),
     }
 }
 
-fn noted(note: TaskNote) -> Note {
+fn noted(note: TaskMeasurement) -> TaskUpdate {
     match note {
-        TaskNote::CoresUsed(x) => Note::CoresUsed(x),
-        TaskNote::MemoryUsed(x) => Note::MemoryUsed(x),
-        TaskNote::Served(x) => Note::Served(x),
-        TaskNote::NodeMemory(x) => Note::MachineMemory(x),
+        TaskMeasurement::CoresUsed(x) => TaskUpdate::CoresUsed(x),
+        TaskMeasurement::MemoryUsed(x) => TaskUpdate::MemoryUsed(x),
+        TaskMeasurement::ServedShare(x) => TaskUpdate::ServedShare(x),
+        TaskMeasurement::NodeMemoryShare(x) => TaskUpdate::NodeMemoryShare(x),
     }
 }
--- a/crates/fleet/src/places.rs
+++ b/crates/fleet/src/topology.rs
@@ -1,17 +1,17 @@
 //! The machines that the list names, counted by zone and kind, and how many slots put one into a view there.
 
-use crate::slots::COLD_SLOTS;
-use peppercove::{MachineLine, MachineState};
+use crate::replica_slots::COLD_START_SLOTS;
+use peppercove::{NodeEntry, NodeStatus};
 use std::collections::BTreeMap;
 
 /// Machines of each kind in each zone that a view has in the mean, where there are so many: a keyed task whose group is its
 /// zone finds another one, and with a zone's loss no view loses a kind.
-pub const LEAST_EACH: u64 = 16;
+pub const MIN_NODES_PER_ZONE_AND_KIND: u64 = 16;
 
 /// Zone and kind.
 pub(crate) type Place = (u8, u8);
 
-pub(crate) fn place(line: &MachineLine) -> Place {
+pub(crate) fn place(line: &NodeEntry) -> Place {
     (line.zone, line.kind)
 }
 
@@ -21,11 +21,18 @@
 /// Slots that put a machine into this share of the views; two slots may have one owner.
 fn slots_for(share: f64, schedulers: u32) -> u32 {
     let missed = (1.0 - 1.0 / f64::from(schedulers.max(1))).ln();
-    let least = f64::from(COLD_SLOTS);
-    let slots =
-        if share < NEARLY_ALL { ((1.0 - share).ln() / missed).ceil().max(least) } else { f64::INFINITY };
+    let least = f64::from(COLD_START_SLOTS);
+    let slots = if share < NEARLY_ALL {
+        ((1.0 - share).ln() / missed).ceil().max(least)
+    } else {
+        f64::INFINITY
+    };
     let reached = 1.0 - (missed * slots).exp();
-    if reached < NEARLY_ALL { slots as u32 } else { u32::MAX }
+    if reached < NEARLY_ALL {
+        slots as u32
+    } else {
+        u32::MAX
+    }
 }
 
 #[derive(Debug)]
@@ -39,12 +46,16 @@
 
 impl Places {
     pub(crate) fn new(each: u64) -> Places {
-        Places { each, ready: BTreeMap::new(), slots: BTreeMap::new() }
+        Places {
+            each,
+            ready: BTreeMap::new(),
+            slots: BTreeMap::new(),
+        }
     }
 
     /// A machine's line is taken in place of another; none where there was none, or is none any more.
-    pub(crate) fn change(&mut self, before: Option<&MachineLine>, after: Option<&MachineLine>) {
-        let ready = |line: &&MachineLine| line.state == MachineState::Ready;
+    pub(crate) fn change(&mut self, before: Option<&NodeEntry>, after: Option<&NodeEntry>) {
+        let ready = |line: &&NodeEntry| line.state == NodeStatus::Ready;
         if let Some(line) = before.filter(ready)
             && let Some(count) = self.ready.get_mut(&place(line))
         {
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -6,7 +6,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::{View, owner};
+use peppercove_fleet::{NodeSubset, slot_owner};
 use std::collections::BTreeMap;
 
 const SCHEDULERS: u32 = 40;
@@ -26,14 +26,25 @@
     /// The fewest slots, eight at least, that put this share of a place into each view; all from nine tenths on.
     fn wanted(share: f64) -> u32 {
         let reached = |slots: u32| 1.0 - (1.0 - 1.0 / f64::from(SCHEDULERS)).powi(slots as i32);
-        let slots = (8..).find(|slots| reached(*slots) >= share.min(0.99)).unwrap();
-        if share >= 0.9 || reached(slots) >= 0.9 { u32::MAX } else { slots }
+        let slots = (8..)
+            .find(|slots| reached(*slots) >= share.min(0.99))
+            .unwrap();
+        if share >= 0.9 || reached(slots) >= 0.9 {
+            u32::MAX
+        } else {
+            slots
+        }
     }
 
     fn take_in(&mut self, event: &Event) {
         self.list.decide(0, std::slice::from_ref(event));
         let mut ready: BTreeMap<(u8, u8), u32> = BTreeMap::new();
-        for line in self.list.lines.values().filter(|line| line.state == MachineState::Ready) {
+        for line in self
+            .list
+            .lines
+            .values()
+            .filter(|line| line.state == NodeStatus::Ready)
+        {
             *ready.entry((line.zone, line.kind)).or_default() += 1;
         }
         let all: u32 = ready.values().sum();
@@ -52,19 +63,35 @@
         }
     }
 
-    fn shows(&self, line: &MachineLine) -> bool {
-        let slots = self.slots.get(&(line.zone, line.kind)).copied().unwrap_or(u32::MAX);
-        !self.bounded || slots == u32::MAX || (0..slots).any(|s| owner(line.machine, s, SCHEDULERS) == OWN)
+    fn shows(&self, line: &NodeEntry) -> bool {
+        let slots = self
+            .slots
+            .get(&(line.zone, line.kind))
+            .copied()
+            .unwrap_or(u32::MAX);
+        !self.bounded
+            || slots == u32::MAX
+            || (0..slots).any(|s| slot_owner(line.node, s, SCHEDULERS) == OWN)
     }
 }
 
 /// A machine's line with some life in it.
-fn some_line(rng: &mut fastrand::Rng, now: Micros) -> MachineLine {
-    let state = [MachineState::Ready, MachineState::Ready, MachineState::Draining, MachineState::Gone];
+fn some_line(rng: &mut fastrand::Rng, now: Micros) -> NodeEntry {
+    let state = [
+        NodeStatus::Ready,
+        NodeStatus::Ready,
+        NodeStatus::Draining,
+        NodeStatus::Gone,
+    ];
     let line = line(rng.u64(0..MACHINES));
     let kind = if rng.u8(0..20) == 0 { 2 } else { line.kind };
     let started_at = if rng.bool() { now } else { 0 };
-    MachineLine { state: state[rng.usize(0..4)], kind, started_at, ..line }
+    NodeEntry {
+        state: state[rng.usize(0..4)],
+        kind,
+        started_at,
+        ..line
+    }
 }
 
 /// A list event of any sort: changes, a zone lost or back, the whole, what was seen before a restart, a failure, and what
@@ -72,24 +99,40 @@
 fn some_list(rng: &mut fastrand::Rng, now: Micros, version: &mut u64, told: &[Event]) -> Event {
     *version += 1;
     let zone = |z: u64, state| {
-        lines(0..MACHINES)
-            .into_iter()
-            .filter_map(move |line| (u64::from(line.zone) == z).then_some(MachineLine { state, ..line }))
+        lines(0..MACHINES).into_iter().filter_map(move |line| {
+            (u64::from(line.zone) == z).then_some(NodeEntry { state, ..line })
+        })
     };
     match rng.u8(0..20) {
-        0 => list(ListScope::Delta, *version, zone(rng.u64(0..3), MachineState::Gone).collect()),
-        1 | 2 => list(ListScope::Delta, *version, zone(rng.u64(0..3), MachineState::Ready).collect()),
+        0 => list(
+            ListUpdateKind::Incremental,
+            *version,
+            zone(rng.u64(0..3), NodeStatus::Gone).collect(),
+        ),
+        1 | 2 => list(
+            ListUpdateKind::Incremental,
+            *version,
+            zone(rng.u64(0..3), NodeStatus::Ready).collect(),
+        ),
         3 | 4 => {
             let least = rng.u64(0..MACHINES);
-            list(ListScope::Full, *version, lines(rng.u64(0..=least)..MACHINES))
+            list(
+                ListUpdateKind::Full,
+                *version,
+                lines(rng.u64(0..=least)..MACHINES),
+            )
         }
-        5 => list(ListScope::Cached, version.saturating_sub(rng.u64(0..5)), lines(0..rng.u64(0..MACHINES))),
-        6 => list(ListScope::Failed, 0, Vec::new()),
+        5 => list(
+            ListUpdateKind::Cached,
+            version.saturating_sub(rng.u64(0..5)),
+            lines(0..rng.u64(0..MACHINES)),
+        ),
+        6 => list(ListUpdateKind::Failed, 0, Vec::new()),
         7..10 if !told.is_empty() => told[rng.usize(0..told.len())].clone(),
-        10 => list(ListScope::Full, *version, Vec::new()),
+        10 => list(ListUpdateKind::Full, *version, Vec::new()),
         _ => {
             let some = (0..rng.usize(0..30)).map(|_| some_line(rng, now));
-            list(ListScope::Delta, *version, some.collect())
+            list(ListUpdateKind::Incremental, *version, some.collect())
         }
     }
 }
@@ -107,23 +150,36 @@
             view.decide(now, std::slice::from_ref(&event));
             model.take_in(&event);
             events.push(event);
-            assert_eq!(view.is_bounded(), model.bounded, "seed {seed}, step {step}: {:?}", events.last());
+            assert_eq!(
+                view.is_bounded(),
+                model.bounded,
+                "seed {seed}, step {step}: {:?}",
+                events.last()
+            );
             bounded += usize::from(model.bounded);
             for line in model.list.lines.values() {
-                let (machine, ready) = (line.machine, line.state == MachineState::Ready);
-                let at = || format!("seed {seed}, step {step}: {line:?} after {:?}", events.last());
+                let (machine, ready) = (line.node, line.state == NodeStatus::Ready);
+                let at = || {
+                    format!(
+                        "seed {seed}, step {step}: {line:?} after {:?}",
+                        events.last()
+                    )
+                };
                 // Where no machine of its place takes tasks it does not matter who has it.
                 let shown = ready && model.shows(line);
-                assert_eq!(view.module().open(machine), shown, "{}", at());
-                assert!(!ready || view.shows(machine) == shown, "{}", at());
-                if let Some(told) = view.module().lines.get(&machine).filter(|_| shown) {
-                    let as_listed = MachineLine { cold_share: None, ..told.clone() };
+                assert_eq!(view.inner().open(machine), shown, "{}", at());
+                assert!(!ready || view.contains(machine) == shown, "{}", at());
+                if let Some(told) = view.inner().lines.get(&machine).filter(|_| shown) {
+                    let as_listed = NodeEntry {
+                        slow_start_share: None,
+                        ..told.clone()
+                    };
                     assert_eq!(as_listed, *line, "{}", at());
                 }
                 outside += usize::from(ready && !shown);
             }
-            let known = |machine: &MachineId| model.list.lines.contains_key(machine);
-            assert!(view.module().lines.keys().all(known));
+            let known = |machine: &NodeId| model.list.lines.contains_key(machine);
+            assert!(view.inner().lines.keys().all(known));
         }
     }
     assert!(
@@ -132,7 +188,7 @@
     );
 }
 
-fn viewed(settings: &Settings, seed: u64) -> View<Scheduler> {
+fn viewed(settings: &Settings, seed: u64) -> NodeSubset<Scheduler> {
     module(settings, SIZE, seed)
 }
 
@@ -152,7 +208,11 @@
             site.restart(round % 2);
         }
         site.live(1, 8, 16, MACHINES);
-        for (name, held) in site.members.iter().flat_map(|member| member.module.held()) {
+        for (name, held) in site
+            .members
+            .iter()
+            .flat_map(|member| member.module.table_sizes())
+        {
             let most = most.entry(name).or_insert(0);
             *most = held.max(*most);
         }
@@ -161,10 +221,24 @@
     for _ in 0..20 * SECOND / site::STEP {
         site.step();
     }
-    let left: BTreeMap<&str, usize> = site.members.iter().flat_map(|member| member.module.held()).collect();
+    let left: BTreeMap<&str, usize> = site
+        .members
+        .iter()
+        .flat_map(|member| member.module.table_sizes())
+        .collect();
     println!("{most:?}, then {left:?}");
     let size = SIZE as usize;
-    assert!(most["services"] <= size && most["homes"] <= size && most["more"] <= size, "{most:?}");
-    assert!(most["shown"] <= 5 * size && most["racks"] <= 25 && most["open"] <= 120, "{most:?}");
-    assert_eq!((left["racks"], left["more"], left["open"], left["unplaced"]), (0, 0, 0, 0), "{left:?}");
+    assert!(
+        most["services"] <= size && most["homes"] <= size && most["more"] <= size,
+        "{most:?}"
+    );
+    assert!(
+        most["shown"] <= 5 * size && most["racks"] <= 25 && most["open"] <= 120,
+        "{most:?}"
+    );
+    assert_eq!(
+        (left["racks"], left["more"], left["open"], left["unplaced"]),
+        (0, 0, 0, 0),
+        "{left:?}"
+    );
 }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -5,18 +5,18 @@
 //! plays the same scripts on real sockets. What the daemon's I/O code would decide is in `peppercove-exchange` and used
 //! here as there.
 
-pub mod hunt;
-pub mod owners;
+pub mod client_model;
+pub mod fuzz;
 pub mod report;
-pub mod script;
-mod world;
+pub mod scenario;
+mod simulator;
 
-pub use report::{Delays, Report};
-pub use script::Script;
-pub use world::{play, play_bounded, play_seen, play_with};
+pub use report::{PlacementDelays, ScenarioReport};
+pub use scenario::Scenario;
+pub use simulator::{simulate, simulate_with_decider, simulate_with_events, simulate_with_subset};
 
 /// The days that the program carries with it, by name.
-pub fn shipped() -> &'static [(&'static str, &'static str)] {
+pub fn built_in_scenarios() -> &'static [(&'static str, &'static str)] {
     &[
         ("quiet", include_str!("../days/quiet.xml")),
         ("hang", include_str!("../days/hang.xml")),
@@ -38,9 +38,15 @@
         ("liars", include_str!("../days/liars.xml")),
         ("burst", include_str!("../days/burst.xml")),
         ("bad-clients", include_str!("../days/bad-clients.xml")),
-        ("controller-killed", include_str!("../days/controller-killed.xml")),
+        (
+            "controller-killed",
+            include_str!("../days/controller-killed.xml"),
+        ),
         ("rack-cut-off", include_str!("../days/rack-cut-off.xml")),
-        ("update-in-doubt", include_str!("../days/update-in-doubt.xml")),
+        (
+            "update-in-doubt",
+            include_str!("../days/update-in-doubt.xml"),
+        ),
         ("overlapping", include_str!("../days/overlapping.xml")),
     ]
 }
--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/simulator.rs
@@ -5,23 +5,23 @@
 mod listing;
 mod wire;
 
-use crate::owners::Tally;
-use crate::report::Report;
-use crate::script::{Arrival, Script};
+use crate::client_model::Tally;
+use crate::report::ScenarioReport;
+use crate::scenario::{JobArrival, Scenario};
 use clients::{Ask, Desk, Reply};
 use listing::Subscription;
-use peppercove::{MachineId, Micros, Scheduler, Settings};
-use peppercove_audit::{Event, Seen};
+use peppercove::{Micros, NodeId, Scheduler, Settings};
+use peppercove_audit::{Event, Observation};
 use peppercove_config::Config;
-use peppercove_core::evidence::Entry;
-use peppercove_core::nodes::id_of;
+use peppercove_core::attempt_log::JournalEntry;
+use peppercove_core::nodes::node_id_of;
 use peppercove_core::{Core, Counters, Decide, Input, Output};
-use peppercove_exchange::{Retry, limits};
-use peppercove_fleet::View;
+use peppercove_exchange::{Backoff, core_limits};
+use peppercove_fleet::NodeSubset;
 use peppercove_protocol::list::FromList;
-use peppercove_protocol::node::{FromNode, Party, ToNode};
-use peppercove_standins::model::{Model, Shared};
-use peppercove_standins::roster::{Facts, Roster};
+use peppercove_protocol::node::{FromNode, ProcessIdentity, ToNode};
+use peppercove_standins::node_model::{FleetState, NodeModel};
+use peppercove_standins::node_registry::{Facts, NodeRegistry};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -37,7 +37,12 @@
     /// The list looks around.
     Publish,
     /// A controller tries to reach a node.
-    Dial { seat: usize, life: u64, machine: MachineId, try_: u64 },
+    Dial {
+        seat: usize,
+        life: u64,
+        machine: NodeId,
+        try_: u64,
+    },
     /// It waited long enough for the greeting.
     GreetLate { wire: usize },
     /// A frame arrives at a node.
@@ -49,15 +54,28 @@
     /// A controller calls the list.
     CallList { seat: usize, life: u64 },
     /// News of the list arrives; `None` is a failure.
-    News { seat: usize, life: u64, subscription: u64, news: Option<Box<FromList>> },
+    News {
+        seat: usize,
+        life: u64,
+        subscription: u64,
+        news: Option<Box<FromList>>,
+    },
     /// A job is asked for.
     Arrives { load: usize, number: u64 },
     /// A job of the script is asked for.
     Stated { index: usize },
     /// An owner's call arrives at its controller.
-    Call { seat: usize, life: u64, ask: Box<Ask> },
+    Call {
+        seat: usize,
+        life: u64,
+        ask: Box<Ask>,
+    },
     /// An answer arrives at an owner.
-    Reply { desk: usize, life: u64, reply: Box<Reply> },
+    Reply {
+        desk: usize,
+        life: u64,
+        reply: Box<Reply>,
+    },
     /// An owner finds its controller, or learns that it is away.
     Reach { desk: usize },
     /// An owner asks again.
@@ -72,7 +90,7 @@
     starts: u64,
     process: Option<Process>,
     /// The journal on its disk: what outlives a kill.
-    journal: Vec<Entry>,
+    journal: Vec<JournalEntry>,
     counted: Vec<Counters>,
 }
 
@@ -80,15 +98,15 @@
 struct Process {
     core: Core<Box<dyn Decide>>,
     life: u64,
-    links: BTreeMap<MachineId, Link>,
+    links: BTreeMap<NodeId, Link>,
     armed: Option<Micros>,
     list: Subscription,
-    list_retry: Retry,
+    list_retry: Backoff,
 }
 
 /// A node: its model, and which link of each controller it speaks to.
 struct Station {
-    model: Model,
+    model: NodeModel,
     address: SocketAddrV4,
     links: BTreeMap<String, usize>,
     dead: bool,
@@ -101,7 +119,7 @@
 pub type MakeDecider<'a> = &'a dyn Fn(&Settings, u64) -> Box<dyn Decide>;
 
 pub(crate) struct World<'a> {
-    script: &'a Script,
+    script: &'a Scenario,
     decider: MakeDecider<'a>,
     seed: u64,
     now: Micros,
@@ -110,43 +128,55 @@
     rng: fastrand::Rng,
     seats: Vec<Seat>,
     stations: Vec<Station>,
-    by_id: BTreeMap<MachineId, usize>,
+    by_id: BTreeMap<NodeId, usize>,
     wires: Vec<Wire>,
-    roster: Roster,
+    roster: NodeRegistry,
     list_down: u32,
     desks: Vec<Desk>,
     tally: Tally,
     rate: f64,
     book: Vec<Event>,
-    shared: Shared,
+    shared: FleetState,
     hazards: BTreeMap<&'static str, u64>,
     hit: BTreeMap<usize, Vec<usize>>,
     end: Micros,
 }
 
 /// Plays a day in simulated time. The same day and seed give the same report.
-pub fn play(script: &Script, seed: u64) -> Report {
-    play_seen(script, seed).0
+pub fn simulate(script: &Scenario, seed: u64) -> ScenarioReport {
+    simulate_with_events(script, seed).0
 }
 
 /// Plays a day and gives what crossed the network as well, for people who look into a breach.
-pub fn play_seen(script: &Script, seed: u64) -> (Report, Vec<Event>) {
+pub fn simulate_with_events(script: &Scenario, seed: u64) -> (ScenarioReport, Vec<Event>) {
     let module = |settings: &Settings, seed| -> Box<dyn Decide> {
-        Box::new(View::new(Scheduler::new(settings.clone(), seed), settings))
+        Box::new(NodeSubset::new(
+            Scheduler::new(settings.clone(), seed),
+            settings,
+        ))
     };
-    play_with(script, seed, &module)
+    simulate_with_decider(script, seed, &module)
 }
 
 /// Plays a day whose controllers have views of so many machines beside one of each zone and kind, as a large fleet's have.
-pub fn play_bounded(script: &Script, seed: u64, size: u64) -> Report {
+pub fn simulate_with_subset(script: &Scenario, seed: u64, size: u64) -> ScenarioReport {
     let module = |settings: &Settings, seed| -> Box<dyn Decide> {
-        Box::new(View::with_sizes(Scheduler::new(settings.clone(), seed), settings, size, 1))
+        Box::new(NodeSubset::with_target_sizes(
+            Scheduler::new(settings.clone(), seed),
+            settings,
+            size,
+            1,
+        ))
     };
-    play_with(script, seed, &module).0
+    simulate_with_decider(script, seed, &module).0
 }
 
 /// Plays a day with other deciders than the program's own.
-pub fn play_with(script: &Script, seed: u64, decider: MakeDecider<'_>) -> (Report, Vec<Event>) {
+pub fn simulate_with_decider(
+    script: &Scenario,
+    seed: u64,
+    decider: MakeDecider<'_>,
+) -> (ScenarioReport, Vec<Event>) {
     let mut world = World::new(script, seed, decider);
     world.run();
     let report = world.report();
@@ -157,20 +187,33 @@
 const MOST_EVENTS: u64 = 200_000_000;
 
 impl<'a> World<'a> {
-    fn new(script: &'a Script, seed: u64, decider: MakeDecider<'a>) -> World<'a> {
+    fn new(script: &'a Scenario, seed: u64, decider: MakeDecider<'a>) -> World<'a> {
         let micros = |d: Duration| d.as_micros() as Micros;
-        let shared = Shared::default();
-        let mut roster = Roster::new(micros(script.list_late), micros(script.list_refresh).max(1_000));
+        let shared = FleetState::default();
+        let mut roster = NodeRegistry::new(
+            micros(script.list_late),
+            micros(script.list_refresh).max(1_000),
+        );
         let mut stations = Vec::new();
         let mut by_id = BTreeMap::new();
         for (i, spec) in script.nodes.iter().enumerate() {
-            let model = Model::new(spec.clone(), shared.clone(), 1, seed ^ (i as u64) << 8);
+            let model = NodeModel::new(spec.clone(), shared.clone(), 1, seed ^ (i as u64) << 8);
             let port = i as u16;
-            let address = SocketAddrV4::new([127, 0, 1 + (i >> 16) as u8, 1].into(), port.wrapping_add(1));
+            let address = SocketAddrV4::new(
+                [127, 0, 1 + (i >> 16) as u8, 1].into(),
+                port.wrapping_add(1),
+            );
             roster.add(address, Facts::of(&model));
-            by_id.insert(id_of(address), i);
+            by_id.insert(node_id_of(address), i);
             let links = BTreeMap::new();
-            stations.push(Station { model, address, links, dead: false, cut: 0, armed: None });
+            stations.push(Station {
+                model,
+                address,
+                links,
+                dead: false,
+                cut: 0,
+                armed: None,
+            });
         }
         let seats = (0..script.controllers).map(|i| Seat {
             config: seat_config(script, seed, i),
@@ -179,7 +222,9 @@
             journal: Vec::new(),
             counted: Vec::new(),
         });
-        let desks = (0..script.controllers).map(|i| Desk::new(seed, i)).collect();
+        let desks = (0..script.controllers)
+            .map(|i| Desk::new(seed, i))
+            .collect();
         World {
             script,
             decider,
@@ -229,14 +274,26 @@
             self.next_arrival(load, 0, begin);
         }
         for (index, job) in self.script.jobs.iter().enumerate() {
-            self.at(begin + job.at.as_micros() as Micros, Happens::Stated { index });
+            self.at(
+                begin + job.at.as_micros() as Micros,
+                Happens::Stated { index },
+            );
         }
         for (index, fault) in self.script.faults.iter().enumerate() {
-            self.at(begin + fault.at.as_micros() as Micros, Happens::Fault { index, begins: true });
+            self.at(
+                begin + fault.at.as_micros() as Micros,
+                Happens::Fault {
+                    index,
+                    begins: true,
+                },
+            );
         }
         for _ in 0..MOST_EVENTS {
-            let Some(((at, _), happens)) = self.agenda.pop_first() else { break };
-            let idle = at >= self.end && self.desks.iter().all(|d| d.open == 0) && self.faults_over(at);
+            let Some(((at, _), happens)) = self.agenda.pop_first() else {
+                break;
+            };
+            let idle =
+                at >= self.end && self.desks.iter().all(|d| d.open == 0) && self.faults_over(at);
             if at > last || idle {
                 break;
             }
@@ -247,7 +304,8 @@
 
     fn faults_over(&self, at: Micros) -> bool {
         let begin = 1_000_000;
-        let over = |f: &crate::script::Fault| begin + (f.at + f.lasts).as_micros() as Micros <= at;
+        let over =
+            |f: &crate::scenario::Fault| begin + (f.at + f.lasts).as_micros() as Micros <= at;
         self.script.faults.iter().all(over)
     }
 
@@ -269,18 +327,28 @@
                 }
             }
             Happens::Publish => self.publish(),
-            Happens::Dial { seat, life, machine, try_ } => self.dial(seat, life, machine, try_),
+            Happens::Dial {
+                seat,
+                life,
+                machine,
+                try_,
+            } => self.dial(seat, life, machine, try_),
             Happens::GreetLate { wire } => self.greet_late(wire),
             Happens::ToNode { wire, message } => self.at_node(wire, *message),
             Happens::FromNode { wire, message } => self.at_controller(wire, *message),
             Happens::Broken { wire, at_node } => self.broken(wire, at_node),
             Happens::CallList { seat, life } => self.call_list(seat, life),
-            Happens::News { seat, life, subscription, news } => {
+            Happens::News {
+                seat,
+                life,
+                subscription,
+                news,
+            } => {
                 self.list_news(seat, life, subscription, news);
             }
             Happens::Arrives { load, number } => self.arrives(load, number),
             Happens::Stated { index } => {
-                let job: Arrival = self.script.jobs[index].clone();
+                let job: JobArrival = self.script.jobs[index].clone();
                 let desk = job.controller % self.desks.len();
                 self.submit(desk, job, 1 << 56 | index as u64);
             }
@@ -296,7 +364,7 @@
         *self.hazards.entry(name).or_insert(0) += 1;
     }
 
-    fn see(&mut self, seen: Seen) {
+    fn see(&mut self, seen: Observation) {
         self.book.push(Event { at: self.now, seen });
     }
 
@@ -316,8 +384,11 @@
         self.seats[seat].process.as_mut().filter(|p| p.life == life)
     }
 
-    fn party(&self, seat: usize, life: u64) -> Party {
-        Party { name: self.seats[seat].config.name.clone(), life }
+    fn party(&self, seat: usize, life: u64) -> ProcessIdentity {
+        ProcessIdentity {
+            name: self.seats[seat].config.name.clone(),
+            incarnation: life,
+        }
     }
 
     fn start(&mut self, seat: usize) {
@@ -331,19 +402,29 @@
         let life = xxhash_rust::xxh3::xxh3_64(format!("{seat} {}", s.starts).as_bytes());
         let config = &s.config;
         let seed = config.seed.unwrap_or(0).wrapping_add(s.starts << 32);
-        let mut core = Core::new((self.decider)(&config.module, seed), limits(config, life));
+        let mut core = Core::new(
+            (self.decider)(&config.scheduler, seed),
+            core_limits(config, life),
+        );
         core.recover(wall(now), &s.journal);
-        if config.journal.is_some() {
+        if config.journal_path.is_some() {
             s.journal = core.snapshot();
         }
-        let list_retry = Retry::new(config.listen.retry_least, config.listen.retry_most);
+        let list_retry = Backoff::new(config.network.retry_least, config.network.retry_most);
         let (links, list) = (BTreeMap::new(), Subscription::default());
-        s.process = Some(Process { core, life, links, armed: None, list, list_retry });
-        if !s.config.module.list_on_request {
+        s.process = Some(Process {
+            core,
+            life,
+            links,
+            armed: None,
+            list,
+            list_retry,
+        });
+        if !s.config.scheduler.is_list_polled {
             self.at(now, Happens::CallList { seat, life });
         }
         let controller = self.seats[seat].config.name.clone();
-        self.see(Seen::Started { controller });
+        self.see(Observation::Started { controller });
         self.input(seat, Input::Tick);
         let wait = self.rng.u64(1_000..50_000);
         self.after(wait, Happens::Reach { desk: seat });
@@ -351,15 +432,17 @@
 
     /// The process ends as by SIGKILL: what it had handed to the network may still arrive, nothing else is left.
     fn kill(&mut self, seat: usize) {
-        let Some(process) = self.seats[seat].process.take() else { return };
-        if process.core.open_asks() > 0 {
+        let Some(process) = self.seats[seat].process.take() else {
+            return;
+        };
+        if process.core.open_requests() > 0 {
             self.hazard("killed with asks open");
         }
         if process.core.placed_tasks() > 0 {
             self.hazard("killed with placed tasks running");
         }
-        let open: Vec<MachineId> = process.core.in_doubt_at();
-        let lost = |m: &MachineId| {
+        let open: Vec<NodeId> = process.core.nodes_with_open_copies();
+        let lost = |m: &NodeId| {
             let station = self.by_id.get(m).map(|i| &self.stations[*i]);
             station.is_some_and(|s| s.dead || s.cut > 0 || s.model.faults().hangs)
         };
@@ -368,7 +451,7 @@
         }
         self.seats[seat].counted.push(process.core.counters());
         let name = self.seats[seat].config.name.clone();
-        self.see(Seen::Killed { controller: name });
+        self.see(Observation::Killed { controller: name });
         for link in process.links.values() {
             if let Some(wire) = link.wire() {
                 self.end_dies(wire, false);
@@ -383,15 +466,22 @@
         let mut inputs = std::collections::VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let now = self.now;
-            let Some(process) = self.seats[seat].process.as_mut() else { return };
+            let Some(process) = self.seats[seat].process.as_mut() else {
+                return;
+            };
             let outputs = process.core.handle(wall(now), input);
             for output in outputs {
                 self.carry_out(seat, output, &mut inputs);
             }
         }
         let now = self.now;
-        let Some(process) = self.seats[seat].process.as_mut() else { return };
-        let (life, next) = (process.life, process.core.next_wake().map(|at| at.saturating_sub(WALL)));
+        let Some(process) = self.seats[seat].process.as_mut() else {
+            return;
+        };
+        let (life, next) = (
+            process.life,
+            process.core.next_wake().map(|at| at.saturating_sub(WALL)),
+        );
         if let Some(at) = next.filter(|at| process.armed.is_none_or(|armed| *at < armed)) {
             let at = at.max(now + 1);
             process.armed = Some(at);
@@ -399,24 +489,50 @@
         }
     }
 
-    fn carry_out(&mut self, seat: usize, output: Output, inputs: &mut std::collections::VecDeque<Input>) {
-        let Some(process) = self.seats[seat].process.as_ref() else { return };
+    fn carry_out(
+        &mut self,
+        seat: usize,
+        output: Output,
+        inputs: &mut std::collections::VecDeque<Input>,
+    ) {
+        let Some(process) = self.seats[seat].process.as_ref() else {
+            return;
+        };
         let life = process.life;
         match output {
             Output::Accepted { ticket, job } => self.accepted(seat, life, ticket, job),
-            Output::TurnedAway { ticket, why } => self.turned_away(seat, life, ticket, why),
-            Output::Settled { job, answer } => self.settled(seat, life, job, answer),
-            Output::Done { .. } | Output::Finished(_) | Output::Tell(_) | Output::Log(_) => {}
-            Output::Connect { node, address, name } => self.connect(seat, life, node, address, name),
+            Output::Rejected {
+                ticket,
+                reason: why,
+            } => self.turned_away(seat, life, ticket, why),
+            Output::Answered { job, answer } => self.settled(seat, life, job, answer),
+            Output::ControlAccepted { .. }
+            | Output::Finished(_)
+            | Output::Broadcast(_)
+            | Output::Log(_) => {}
+            Output::Connect {
+                node,
+                address,
+                name,
+            } => self.connect(seat, life, node, address, name),
             Output::Disconnect(node) => self.disconnect(seat, node),
             Output::Journal(entries) => self.seats[seat].journal.extend(entries),
             Output::Watch => {
                 let wait = self.rng.u64(20..100);
                 self.after(wait, Happens::CallList { seat, life });
             }
-            Output::Offer { node, request, attempt, .. } => {
+            Output::Dispatch {
+                node,
+                request,
+                attempt,
+                ..
+            } => {
                 if !self.send_output(seat, &output) {
-                    inputs.push_back(Input::Unsent { node, request, attempt });
+                    inputs.push_back(Input::DispatchFailed {
+                        node,
+                        request,
+                        attempt,
+                    });
                 }
             }
             _ => {
@@ -427,7 +543,7 @@
 
     // ---- The end ----
 
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> ScenarioReport {
         let mut counters = Counters::default();
         for seat in &self.seats {
             let now = seat.process.as_ref().map(|p| p.core.counters());
@@ -440,7 +556,7 @@
         // The network may hold an answer up for as long as its slowest message. What nodes say is written down as it
         // reaches the controller, so that it takes no time from there.
         let stall = 45_000;
-        Report::judged(
+        ScenarioReport::judged(
             self.script,
             self.seed,
             &self.book,
@@ -462,15 +578,15 @@
     WALL + now
 }
 
-fn seat_config(script: &Script, seed: u64, i: usize) -> Config {
+fn seat_config(script: &Scenario, seed: u64, i: usize) -> Config {
     let mut config = script.config.clone();
     config.name = format!("controller-{i}");
     config.seed = Some(seed.wrapping_mul(1000) + i as u64);
-    config.journal = script.journal.then(|| "journal".into());
-    config.module = Settings {
+    config.journal_path = script.journal.then(|| "journal".into());
+    config.scheduler = Settings {
         schedulers: script.controllers as u32,
-        own_number: i as u32,
-        ..script.config.module.clone()
+        own_index: i as u32,
+        ..script.config.scheduler.clone()
     };
     config
 }
--- a/crates/kernel/src/world/clients.rs
+++ b/crates/kernel/src/simulator/clients.rs
@@ -1,14 +1,14 @@
 //! Owners, and what passes between them and their controllers.
 
 use super::{Happens, World};
-use crate::owners::{Next, after_answer, after_door, after_loss, may_try};
-use crate::script::Arrival;
-use peppercove::{Micros, Repeat, ServiceId, TaskKey};
-use peppercove_audit::Seen;
-use peppercove_core::{Answer, Input, JobId, Program, Submission, TurnedAway};
+use crate::client_model::{Next, after_answer, after_door, after_loss, may_try};
+use crate::scenario::JobArrival;
+use peppercove::{Idempotency, Micros, ServiceId, TaskKey};
+use peppercove_audit::Observation;
+use peppercove_core::{Answer, Input, JobId, Program, Rejection, Submission};
 use peppercove_protocol::drmaa::Errno;
 use peppercove_protocol::node;
-use peppercove_protocol::rpc::Outcome;
+use peppercove_protocol::rpc::PlacementOutcome;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// A job that somebody waits for.
 #[derive(Clone, Debug)]
 pub(super) struct Ask {
-    arrival: Rc<Arrival>,
+    arrival: Rc<JobArrival>,
     task: u64,
     tries: u32,
     since: Micros,
@@ -29,9 +29,20 @@
 /// What a controller tells an owner.
 #[derive(Debug)]
 pub(super) enum Reply {
-    Taken { key: String, job: String },
-    TurnedAway { key: String, errno: Errno, retry_after: Option<u64> },
-    Settled { key: String, job: String, outcome: Outcome },
+    Taken {
+        key: String,
+        job: String,
+    },
+    TurnedAway {
+        key: String,
+        errno: Errno,
+        retry_after: Option<u64>,
+    },
+    Settled {
+        key: String,
+        job: String,
+        outcome: PlacementOutcome,
+    },
 }
 
 /// The owners of one controller, on one connection at a time.
@@ -43,7 +54,7 @@
     queue: Vec<Ask>,
     sent: BTreeMap<String, Ask>,
     taken: BTreeMap<String, Ask>,
-    early: BTreeMap<String, Outcome>,
+    early: BTreeMap<String, PlacementOutcome>,
     calls: u64,
     /// When the last message each way arrives: at the controller, at the owner.
     last: [Micros; 2],
@@ -73,14 +84,20 @@
         let wait = -(1.0 - self.rng.f64()).ln() / rate;
         let at = from + (wait * 1e6) as Micros;
         if at < self.end {
-            self.at(at, Happens::Arrives { load, number: number + 1 });
+            self.at(
+                at,
+                Happens::Arrives {
+                    load,
+                    number: number + 1,
+                },
+            );
         }
     }
 
     pub(super) fn arrives(&mut self, load: usize, number: u64) {
         let l = &self.script.loads[load];
         let desk = self.rng.usize(0..self.desks.len());
-        let arrival = Arrival {
+        let arrival = JobArrival {
             at: Duration::from_micros(self.now),
             class: l.class.clone(),
             service: format!("{}-{}", l.class, self.rng.u64(0..l.services)),
@@ -94,7 +111,7 @@
         self.next_arrival(load, number, self.now);
     }
 
-    pub(super) fn submit(&mut self, desk: usize, arrival: Arrival, task: u64) {
+    pub(super) fn submit(&mut self, desk: usize, arrival: JobArrival, task: u64) {
         self.tally.jobs += 1;
         self.desks[desk].open += 1;
         let ask = Ask {
@@ -113,13 +130,22 @@
         let latency = self.latency();
         let now = self.now;
         let d = &mut self.desks[desk];
-        let Some(life) = d.connected else { return d.queue.push(ask) };
+        let Some(life) = d.connected else {
+            return d.queue.push(ask);
+        };
         d.calls += 1;
         ask.key = format!("{:x}-{}-{}", ask.task, ask.tries, d.calls);
         d.sent.insert(ask.key.clone(), ask.clone());
         d.last[0] = (now + latency).max(d.last[0] + 1);
         let at = d.last[0];
-        self.at(at, Happens::Call { seat: desk, life, ask: Box::new(ask) });
+        self.at(
+            at,
+            Happens::Call {
+                seat: desk,
+                life,
+                ask: Box::new(ask),
+            },
+        );
     }
 
     pub(super) fn call(&mut self, seat: usize, life: u64, ask: Ask) {
@@ -128,23 +154,33 @@
         }
         let config = &self.seats[seat].config;
         let a = &ask.arrival;
-        let class = config.classes.iter().position(|c| *c == a.class).unwrap_or(0);
-        let asks = config.class_asks[class];
-        let tenant = a.tenant.as_ref().and_then(|t| config.tenants.iter().position(|n| n == t)).unwrap_or(0);
+        let class = config
+            .classes
+            .iter()
+            .position(|c| *c == a.class)
+            .unwrap_or(0);
+        let asks = config.class_defaults[class];
+        let tenant = a
+            .tenant
+            .as_ref()
+            .and_then(|t| config.tenants.iter().position(|n| n == t))
+            .unwrap_or(0);
         let submission = Submission {
             session: self.desks[seat].session.clone(),
             key: ask.key.clone(),
             task: TaskKey(xxh3_64(format!("task {:x}", ask.task).as_bytes())),
-            service: ServiceId(xxh3_64(format!("{class} {tenant} {}", a.service).as_bytes())),
+            service: ServiceId(xxh3_64(
+                format!("{class} {tenant} {}", a.service).as_bytes(),
+            )),
             class: class as u16,
             tenant: tenant as u32,
             cores: a.cores.unwrap_or(asks.0),
             memory: a.memory.unwrap_or(asks.1),
-            deadline_in: config.module.classes[class].deadline,
-            life_hint: None,
-            again: ask.tries > 0,
-            elsewhere: ask.asked.is_some_and(|asked| asked != seat),
-            held: false,
+            deadline_in: config.scheduler.classes[class].deadline,
+            expected_duration: None,
+            is_retry: ask.tries > 0,
+            requested_elsewhere: ask.asked.is_some_and(|asked| asked != seat),
+            on_hold: false,
             program: Program {
                 command: "sleep".into(),
                 env: vec![format!("PEPPERCOVE_LIFE_US={}", a.life.as_micros())],
@@ -153,7 +189,13 @@
         };
         // The same key again is the same job: the core looks it up. The number of the call finds its answer.
         let ticket = ticket(&ask.key);
-        self.input(seat, Input::Submit { ticket, submission: Box::new(submission) });
+        self.input(
+            seat,
+            Input::Submit {
+                ticket,
+                submission: Box::new(submission),
+            },
+        );
     }
 
     fn tell(&mut self, seat: usize, life: u64, reply: Reply) {
@@ -165,11 +207,22 @@
         }
         d.last[1] = (now + latency).max(d.last[1] + 1);
         let at = d.last[1];
-        self.at(at, Happens::Reply { desk: seat, life, reply: Box::new(reply) });
+        self.at(
+            at,
+            Happens::Reply {
+                desk: seat,
+                life,
+                reply: Box::new(reply),
+            },
+        );
     }
 
     fn key_of(&self, seat: usize, ticket_: u64) -> Option<String> {
-        self.desks[seat].sent.keys().find(|k| ticket(k) == ticket_).cloned()
+        self.desks[seat]
+            .sent
+            .keys()
+            .find(|k| ticket(k) == ticket_)
+            .cloned()
     }
 
     fn job_name(&self, seat: usize, life: u64, job: JobId) -> String {
@@ -183,29 +236,41 @@
         }
     }
 
-    pub(super) fn turned_away(&mut self, seat: usize, life: u64, ticket: u64, why: TurnedAway) {
-        let Some(key) = self.key_of(seat, ticket) else { return };
+    pub(super) fn turned_away(&mut self, seat: usize, life: u64, ticket: u64, why: Rejection) {
+        let Some(key) = self.key_of(seat, ticket) else {
+            return;
+        };
         let (errno, after) = match why {
-            TurnedAway::Full(after) | TurnedAway::Stopping(after) | TurnedAway::InDoubt(after) => {
-                (Errno::TryLater, Some(after.div_ceil(1000)))
-            }
-            TurnedAway::RanAlready
-            | TurnedAway::NotKnown
-            | TurnedAway::AskedElsewhere
-            | TurnedAway::TaskTaken(_) => (Errno::DeniedByDrm, None),
-            TurnedAway::NoSuchJob | TurnedAway::WrongState(_) => (Errno::InvalidJob, None),
+            Rejection::LimitReached(after)
+            | Rejection::ShuttingDown(after)
+            | Rejection::OutcomeAmbiguous(after) => (Errno::TryLater, Some(after.div_ceil(1000))),
+            Rejection::AlreadyRan
+            | Rejection::OutcomeUnknown
+            | Rejection::RequestedElsewhere
+            | Rejection::TaskInUse(_) => (Errno::DeniedByDrm, None),
+            Rejection::NoSuchJob | Rejection::InvalidState(_) => (Errno::InvalidJob, None),
         };
-        self.tell(seat, life, Reply::TurnedAway { key, errno, retry_after: after });
+        self.tell(
+            seat,
+            life,
+            Reply::TurnedAway {
+                key,
+                errno,
+                retry_after: after,
+            },
+        );
     }
 
     pub(super) fn settled(&mut self, seat: usize, life: u64, job: JobId, answer: Answer) {
         let process = self.seats[seat].process.as_ref();
-        let Some(j) = process.and_then(|p| p.core.jobs().get(job)) else { return };
+        let Some(j) = process.and_then(|p| p.core.jobs().get(job)) else {
+            return;
+        };
         let outcome = match answer {
-            Answer::Placed(_) => Outcome::Placed,
-            Answer::Refused(_) => Outcome::Refused,
-            Answer::Failed => Outcome::Failed,
-            Answer::Withdrawn => Outcome::Withdrawn,
+            Answer::Placed(_) => PlacementOutcome::Placed,
+            Answer::Rejected(_) => PlacementOutcome::Refused,
+            Answer::Failed => PlacementOutcome::Failed,
+            Answer::Cancelled => PlacementOutcome::Withdrawn,
         };
         if j.submission.session == self.desks[seat].session {
             let key = j.submission.key.clone();
@@ -224,13 +289,26 @@
         let session = self.desks[desk].session.clone();
         match reply {
             Reply::Taken { key, job } => {
-                let Some(ask) = self.desks[desk].sent.remove(&key) else { return };
+                let Some(ask) = self.desks[desk].sent.remove(&key) else {
+                    return;
+                };
                 let controller = self.seats[desk].config.name.clone();
                 let config = &self.seats[desk].config;
-                let class = config.classes.iter().position(|c| *c == ask.arrival.class).unwrap_or(0);
-                let class = &config.module.classes[class];
-                let (deadline, repeat) = (class.deadline, repeat_of(class.repeat));
-                self.see(Seen::Taken { controller, session, key: key.clone(), job, deadline, repeat });
+                let class = config
+                    .classes
+                    .iter()
+                    .position(|c| *c == ask.arrival.class)
+                    .unwrap_or(0);
+                let class = &config.scheduler.classes[class];
+                let (deadline, repeat) = (class.deadline, repeat_of(class.idempotency));
+                self.see(Observation::Taken {
+                    controller,
+                    session,
+                    key: key.clone(),
+                    job,
+                    deadline,
+                    repeat,
+                });
                 match self.desks[desk].early.remove(&key) {
                     Some(outcome) => self.answered(desk, ask, outcome),
                     None => {
@@ -238,15 +316,26 @@
                     }
                 }
             }
-            Reply::TurnedAway { key, errno, retry_after } => {
-                self.see(Seen::TurnedAway { errno });
+            Reply::TurnedAway {
+                key,
+                errno,
+                retry_after,
+            } => {
+                self.see(Observation::TurnedAway { errno });
                 *self.tally.turned_away.entry(errno.name()).or_insert(0) += 1;
-                let Some(ask) = self.desks[desk].sent.remove(&key) else { return };
+                let Some(ask) = self.desks[desk].sent.remove(&key) else {
+                    return;
+                };
                 let next = after_door(retry_after, &mut self.desks[desk].rng);
                 self.go_on(desk, ask, next);
             }
             Reply::Settled { key, job, outcome } => {
-                self.see(Seen::Settled { session, key: key.clone(), job, outcome });
+                self.see(Observation::Settled {
+                    session,
+                    key: key.clone(),
+                    job,
+                    outcome,
+                });
                 match self.desks[desk].taken.remove(&key) {
                     Some(ask) => self.answered(desk, ask, outcome),
                     None => {
@@ -257,9 +346,10 @@
         }
     }
 
-    fn answered(&mut self, desk: usize, ask: Ask, outcome: Outcome) {
-        self.tally.answered(ask.task, &ask.arrival.class, outcome, self.now - ask.since);
-        let settle = Duration::from_micros(self.script.config.module.settle);
+    fn answered(&mut self, desk: usize, ask: Ask, outcome: PlacementOutcome) {
+        self.tally
+            .answered(ask.task, &ask.arrival.class, outcome, self.now - ask.since);
+        let settle = Duration::from_micros(self.script.config.scheduler.ambiguous_retry_delay);
         let safe = self.is_safe(&ask);
         let next = after_answer(outcome, safe, settle, &mut self.desks[desk].rng);
         self.go_on(desk, ask, next);
@@ -267,8 +357,12 @@
 
     fn is_safe(&self, ask: &Ask) -> bool {
         let config = &self.script.config;
-        let class = config.classes.iter().position(|c| *c == ask.arrival.class).unwrap_or(0);
-        config.module.classes[class].repeat == Repeat::Safe
+        let class = config
+            .classes
+            .iter()
+            .position(|c| *c == ask.arrival.class)
+            .unwrap_or(0);
+        config.scheduler.classes[class].idempotency == Idempotency::Idempotent
     }
 
     fn go_on(&mut self, desk: usize, ask: Ask, next: Next) {
@@ -299,7 +393,13 @@
             return;
         }
         self.tally.again += 1;
-        self.after(after, Happens::Again { desk, ask: Box::new(ask) });
+        self.after(
+            after,
+            Happens::Again {
+                desk,
+                ask: Box::new(ask),
+            },
+        );
     }
 
     /// An owner looks for its controller: it finds it, or finds that the connection is gone.
@@ -314,10 +414,16 @@
         d.early.clear();
         d.connected = life;
         let queued = std::mem::take(&mut d.queue);
-        let settle = Duration::from_micros(self.script.config.module.settle);
+        let settle = Duration::from_micros(self.script.config.scheduler.ambiguous_retry_delay);
         for ask in lost {
             let (safe, others) = (self.is_safe(&ask), self.desks.len() > 1);
-            let next = after_loss(safe, others, self.script.owners_move, settle, &mut self.desks[desk].rng);
+            let next = after_loss(
+                safe,
+                others,
+                self.script.owners_move,
+                settle,
+                &mut self.desks[desk].rng,
+            );
             self.go_on(desk, ask, next);
         }
         for ask in queued {
@@ -330,10 +436,10 @@
     xxh3_64(key.as_bytes())
 }
 
-fn repeat_of(repeat: Repeat) -> node::Repeat {
+fn repeat_of(repeat: Idempotency) -> node::Idempotency {
     match repeat {
-        Repeat::Safe => node::Repeat::Safe,
-        Repeat::Keyed { .. } => node::Repeat::Keyed,
-        Repeat::Unsafe => node::Repeat::Unsafe,
+        Idempotency::Idempotent => node::Idempotency::Idempotent,
+        Idempotency::Keyed { .. } => node::Idempotency::Keyed,
+        Idempotency::NonIdempotent => node::Idempotency::NonIdempotent,
     }
 }
--- a/crates/kernel/src/world/faults.rs
+++ b/crates/kernel/src/simulator/faults.rs
@@ -1,11 +1,11 @@
 //! What goes wrong, and when it is over.
 
 use super::{Happens, World};
-use crate::script::{Fault, Hits};
+use crate::scenario::{Fault, FaultTarget};
 use peppercove::Micros;
 use peppercove_protocol::list::NodeState;
-use peppercove_standins::model::{ClassFault, Faults};
-use peppercove_standins::roster::Facts;
+use peppercove_standins::node_model::{ClassFault, Faults};
+use peppercove_standins::node_registry::Facts;
 
 impl World<'_> {
     pub(super) fn fault(&mut self, index: usize, begins: bool) {
@@ -14,7 +14,13 @@
             let hit = self.hit_by(&fault, index);
             self.hit.insert(index, hit);
             let lasts = fault.lasts.as_micros() as Micros;
-            self.after(lasts, Happens::Fault { index, begins: false });
+            self.after(
+                lasts,
+                Happens::Fault {
+                    index,
+                    begins: false,
+                },
+            );
         }
         let hit = self.hit.get(&index).cloned().unwrap_or_default();
         self.cause(&fault, &hit, begins);
@@ -23,13 +29,21 @@
     fn hit_by(&mut self, fault: &Fault, index: usize) -> Vec<usize> {
         let mut rng = fastrand::Rng::with_seed(self.seed ^ 0xfau64 ^ (index as u64) << 16);
         let of_seats = fault.kind == "controller-killed";
-        let count = if of_seats { self.seats.len() } else { self.stations.len() };
+        let count = if of_seats {
+            self.seats.len()
+        } else {
+            self.stations.len()
+        };
         let spec = |i: &usize| self.stations[*i].model.spec();
         match &fault.hits {
-            Hits::Controller(i) if of_seats => vec![*i],
-            Hits::Node(name) if !of_seats => (0..count).filter(|i| spec(i).name == *name).collect(),
-            Hits::Rack(rack) if !of_seats => (0..count).filter(|i| spec(i).rack == *rack).collect(),
-            Hits::Share(share) => {
+            FaultTarget::Controller(i) if of_seats => vec![*i],
+            FaultTarget::Node(name) if !of_seats => {
+                (0..count).filter(|i| spec(i).name == *name).collect()
+            }
+            FaultTarget::Rack(rack) if !of_seats => {
+                (0..count).filter(|i| spec(i).rack == *rack).collect()
+            }
+            FaultTarget::Share(share) => {
                 let mut all: Vec<usize> = (0..count).collect();
                 rng.shuffle(&mut all);
                 all.truncate(((count as f64 * share).round() as usize).max(1));
@@ -51,7 +65,8 @@
         }
         let (now, begin) = (self.now, 1_000_000);
         let near = |f: &Fault| {
-            f.kind == "controller-killed" && (begin + f.at.as_micros() as Micros).abs_diff(now) < begin
+            f.kind == "controller-killed"
+                && (begin + f.at.as_micros() as Micros).abs_diff(now) < begin
         };
         if self.script.faults.iter().any(near) {
             self.hazard("a node and a controller are lost within a second");
@@ -85,11 +100,13 @@
             }
             ("rack-cut", false) => hit.iter().for_each(|node| self.stations[*node].cut -= 1),
             ("cut" | "cut-midframe", true) => hit.iter().for_each(|node| self.links_die(*node)),
-            ("flush", true) => hit.iter().for_each(|node| self.stations[*node].model.flush(size)),
+            ("flush", true) => hit
+                .iter()
+                .for_each(|node| self.stations[*node].model.flush(size)),
             ("dies", true) => {
                 for &node in hit {
                     self.dies(node);
-                    self.list_says(node, NodeState::Gone);
+                    self.list_says(node, NodeState::Removed);
                 }
             }
             ("restarts", true) => hit.iter().for_each(|node| self.dies(*node)),
@@ -112,7 +129,7 @@
             ("drains", false) => {
                 for &node in hit {
                     self.dies(node);
-                    self.list_says(node, NodeState::Gone);
+                    self.list_says(node, NodeState::Removed);
                 }
             }
             ("cut" | "cut-midframe" | "flush" | "dies", false) => {}
--- a/crates/kernel/src/world/wire.rs
+++ b/crates/kernel/src/simulator/wire.rs
@@ -2,12 +2,14 @@
 //! ends that learn of it at different times.
 
 use super::{Happens, Station, World};
-use peppercove::{MachineId, Micros};
-use peppercove_audit::Seen;
+use peppercove::{Micros, NodeId};
+use peppercove_audit::Observation;
 use peppercove_core::{Input, Output};
-use peppercove_exchange::{Greeting, Heard, Retry, Step, frame, heard};
+use peppercove_exchange::{
+    Backoff, DecodedMessage, Handshake, HandshakeProgress, decode_message, encode_output,
+};
 use peppercove_protocol::node::{FromNode, ToNode};
-use peppercove_standins::model::{Model, Outgoing};
+use peppercove_standins::node_model::{NodeModel, Outgoing};
 use std::net::SocketAddrV4;
 
 /// One link, from its dialling on.
@@ -15,7 +17,7 @@
     seat: usize,
     life: u64,
     node: usize,
-    machine: MachineId,
+    machine: NodeId,
     /// Life of the node's process that was dialled.
     node_life: u64,
     /// Which ends still hold it: controller, node.
@@ -24,7 +26,7 @@
     lost_from: [Micros; 2],
     /// The last frame under way arrives then: at the controller, at the node.
     last: [Micros; 2],
-    greeting: Option<Greeting>,
+    greeting: Option<Handshake>,
     replies: Vec<ToNode>,
 }
 
@@ -32,7 +34,7 @@
 pub(super) struct Link {
     address: SocketAddrV4,
     name: String,
-    retry: Retry,
+    retry: Backoff,
     wire: Option<usize>,
     /// The core knows that it stands.
     up: bool,
@@ -47,31 +49,65 @@
 
 impl World<'_> {
     pub(super) fn connect(
-        &mut self, seat: usize, life: u64, machine: MachineId, address: SocketAddrV4, name: String,
+        &mut self,
+        seat: usize,
+        life: u64,
+        machine: NodeId,
+        address: SocketAddrV4,
+        name: String,
     ) {
         self.disconnect(seat, machine);
-        let Some(process) = self.process(seat, life) else { return };
-        let retry = Retry::new(Default::default(), Default::default());
-        let link = Link { address, name, retry, wire: None, up: false, tries: 0 };
+        let Some(process) = self.process(seat, life) else {
+            return;
+        };
+        let retry = Backoff::new(Default::default(), Default::default());
+        let link = Link {
+            address,
+            name,
+            retry,
+            wire: None,
+            up: false,
+            tries: 0,
+        };
         process.links.insert(machine, link);
-        let listen = &self.seats[seat].config.listen;
-        let retry = Retry::new(listen.retry_least, listen.retry_most);
-        if let Some(link) = self.process(seat, life).and_then(|p| p.links.get_mut(&machine)) {
+        let listen = &self.seats[seat].config.network;
+        let retry = Backoff::new(listen.retry_least, listen.retry_most);
+        if let Some(link) = self
+            .process(seat, life)
+            .and_then(|p| p.links.get_mut(&machine))
+        {
             link.retry = retry;
         }
-        self.after(10, Happens::Dial { seat, life, machine, try_: 0 });
+        self.after(
+            10,
+            Happens::Dial {
+                seat,
+                life,
+                machine,
+                try_: 0,
+            },
+        );
     }
 
-    pub(super) fn disconnect(&mut self, seat: usize, machine: MachineId) {
-        let link = self.seats[seat].process.as_mut().and_then(|p| p.links.remove(&machine));
+    pub(super) fn disconnect(&mut self, seat: usize, machine: NodeId) {
+        let link = self.seats[seat]
+            .process
+            .as_mut()
+            .and_then(|p| p.links.remove(&machine));
         if let Some(wire) = link.and_then(|l| l.wire) {
             self.end_dies(wire, false);
         }
     }
 
-    pub(super) fn dial(&mut self, seat: usize, life: u64, machine: MachineId, try_: u64) {
-        let Some(process) = self.process(seat, life) else { return };
-        let Some(link) = process.links.get(&machine).filter(|l| l.tries == try_ && l.wire.is_none()) else {
+    pub(super) fn dial(&mut self, seat: usize, life: u64, machine: NodeId, try_: u64) {
+        let Some(process) = self.process(seat, life) else {
+            return;
+        };
+        let Some(link) = process
+            .links
+            .get(&machine)
+            .filter(|l| l.tries == try_ && l.wire.is_none())
+        else {
             return;
         };
         let (address, name) = (link.address, link.name.clone());
@@ -81,9 +117,9 @@
             return self.dial_again(seat, life, machine);
         };
         let config = &self.seats[seat].config;
-        let greeting = Greeting::new(machine, &name, config.limits.jobs);
-        let hello = Greeting::hello(config, life);
-        let late = config.listen.connect_timeout.as_micros() as Micros;
+        let greeting = Handshake::new(machine, &name, config.limits.jobs);
+        let hello = Handshake::hello(config, life);
+        let late = config.network.connect_timeout.as_micros() as Micros;
         let wire = self.wires.len();
         let node_life = self.stations[node].model.life();
         self.wires.push(Wire {
@@ -98,7 +134,10 @@
             greeting: Some(greeting),
             replies: Vec::new(),
         });
-        if let Some(link) = self.process(seat, life).and_then(|p| p.links.get_mut(&machine)) {
+        if let Some(link) = self
+            .process(seat, life)
+            .and_then(|p| p.links.get_mut(&machine))
+        {
             link.wire = Some(wire);
         }
         // Connecting takes a way there and back before the first frame.
@@ -107,12 +146,28 @@
         self.after(late, Happens::GreetLate { wire });
     }
 
-    fn dial_again(&mut self, seat: usize, life: u64, machine: MachineId) {
+    fn dial_again(&mut self, seat: usize, life: u64, machine: NodeId) {
         let scatter = self.rng.f64();
-        let Some(link) = self.process(seat, life).and_then(|p| p.links.get_mut(&machine)) else { return };
+        let Some(link) = self
+            .process(seat, life)
+            .and_then(|p| p.links.get_mut(&machine))
+        else {
+            return;
+        };
         link.tries += 1;
-        let (wait, try_) = (link.retry.failed(scatter).as_micros() as Micros, link.tries);
-        self.after(wait.max(100), Happens::Dial { seat, life, machine, try_ });
+        let (wait, try_) = (
+            link.retry.next_delay(scatter).as_micros() as Micros,
+            link.tries,
+        );
+        self.after(
+            wait.max(100),
+            Happens::Dial {
+                seat,
+                life,
+                machine,
+                try_,
+            },
+        );
     }
 
     pub(super) fn greet_late(&mut self, wire: usize) {
@@ -138,17 +193,33 @@
         let (controller, node) = (self.party(w.seat, w.life), w.node);
         if !matches!(message, ToNode::Hello { .. }) {
             let node = self.stations[node].model.spec().name.clone();
-            self.see(Seen::ToNode { controller, node, message: message.clone() });
+            self.see(Observation::ToNode {
+                controller,
+                node,
+                message: message.clone(),
+            });
         }
         match self.passes(wire, true) {
-            Some(at) => self.at(at, Happens::ToNode { wire, message: Box::new(message) }),
+            Some(at) => self.at(
+                at,
+                Happens::ToNode {
+                    wire,
+                    message: Box::new(message),
+                },
+            ),
             None => self.hazard("frame to a node lost at a cut"),
         }
     }
 
     fn send_from_node(&mut self, wire: usize, message: FromNode) {
         match self.passes(wire, false) {
-            Some(at) => self.at(at, Happens::FromNode { wire, message: Box::new(message) }),
+            Some(at) => self.at(
+                at,
+                Happens::FromNode {
+                    wire,
+                    message: Box::new(message),
+                },
+            ),
             None => self.hazard("frame of a node lost at a cut"),
         }
     }
@@ -156,15 +227,26 @@
     /// The frame of an output goes out; false where no link stands.
     pub(super) fn send_output(&mut self, seat: usize, output: &Output) -> bool {
         let s = &self.seats[seat];
-        let Some(process) = &s.process else { return false };
-        let made = frame(&s.config, self.now, output, |job| process.core.jobs().get(job));
-        let Some((machine, message)) = made else { return false };
+        let Some(process) = &s.process else {
+            return false;
+        };
+        let made = encode_output(&s.config, self.now, output, |job| {
+            process.core.jobs().get(job)
+        });
+        let Some((machine, message)) = made else {
+            return false;
+        };
         self.send(seat, machine, message)
     }
 
-    fn send(&mut self, seat: usize, machine: MachineId, message: ToNode) -> bool {
-        let link = self.seats[seat].process.as_ref().and_then(|p| p.links.get(&machine));
-        let Some(wire) = link.filter(|l| l.up).and_then(|l| l.wire) else { return false };
+    fn send(&mut self, seat: usize, machine: NodeId, message: ToNode) -> bool {
+        let link = self.seats[seat]
+            .process
+            .as_ref()
+            .and_then(|p| p.links.get(&machine));
+        let Some(wire) = link.filter(|l| l.up).and_then(|l| l.wire) else {
+            return false;
+        };
         self.send_to_node(wire, message);
         true
     }
@@ -192,8 +274,12 @@
         let current = self.stations[node].links.get(&controller.name) == Some(&wire);
         if let ToNode::Hello { .. } = message {
             let now = self.now;
-            let said = self.stations[node].model.greet(now, &controller, wire as u64);
-            let old = self.stations[node].links.insert(controller.name.clone(), wire);
+            let said = self.stations[node]
+                .model
+                .greet(now, &controller, wire as u64);
+            let old = self.stations[node]
+                .links
+                .insert(controller.name.clone(), wire);
             for message in said {
                 self.send_from_node(wire, message);
             }
@@ -207,21 +293,33 @@
         if !current {
             self.hazard("frame on an older link after a newer has greeted");
         }
-        if !self.stations[node].model.is_current(&controller.name, wire as u64) {
+        if !self.stations[node]
+            .model
+            .is_current(&controller.name, wire as u64)
+        {
             return;
         }
         self.node_acts(node, |model, now| match message {
             ToNode::Hello { .. } => Vec::new(),
-            ToNode::Offer { attempt, expires_in, work } => {
-                model.offer(now, &controller, attempt, expires_in, work)
-            }
-            ToNode::Withdraw { attempt } => model.withdraw(now, &controller, attempt),
-            ToNode::Adopt { life, attempt, named } => model.adopt(now, &controller, life, attempt, named),
-            ToNode::Noted { attempt } => {
+            ToNode::Offer {
+                attempt,
+                expires_in,
+                task: work,
+            } => model.offer(now, &controller, attempt, expires_in, work),
+            ToNode::CancelAttempt { attempt } => model.withdraw(now, &controller, attempt),
+            ToNode::Adopt {
+                incarnation: life,
+                attempt,
+                new_attempt: named,
+            } => model.adopt(now, &controller, life, attempt, named),
+            ToNode::AcknowledgeEnd { attempt } => {
                 model.noted(&controller, attempt);
                 Vec::new()
             }
-            ToNode::Discard { life, attempt } => model.discard(now, &controller, life, attempt),
+            ToNode::Discard {
+                incarnation: life,
+                attempt,
+            } => model.discard(now, &controller, life, attempt),
             ToNode::Control { attempt, action } => model.control(now, &controller, attempt, action),
             ToNode::Probe { nonce } => model.probe(now, &controller, nonce),
         });
@@ -237,27 +335,31 @@
             return self.hazard("frame of a node lost at a cut");
         }
         if let FromNode::Welcome { node: told, .. } = &message
-            && told.life > 1
+            && told.incarnation > 1
         {
             self.hazard("a node is reached again under another life");
         }
         let name = self.stations[node].model.spec().name.clone();
         let controller = self.party(seat, life);
-        self.see(Seen::FromNode { controller, node: name, message: message.clone() });
+        self.see(Observation::FromNode {
+            controller,
+            node: name,
+            message: message.clone(),
+        });
         let Some(mut greeting) = self.wires[wire].greeting.take() else {
-            return self.take(seat, machine, heard(machine, message));
+            return self.take(seat, machine, decode_message(machine, message));
         };
-        let heard = greeting.hear(message);
+        let heard = greeting.on_message(message);
         let (meanwhile, up) = match heard {
-            Ok(Step::More(meanwhile)) => (meanwhile, None),
-            Ok(Step::Up(meanwhile, up)) => (meanwhile, Some(up)),
+            Ok(HandshakeProgress::Pending(meanwhile)) => (meanwhile, None),
+            Ok(HandshakeProgress::Complete(meanwhile, up)) => (meanwhile, Some(up)),
             Err(_) => {
                 self.end_dies(wire, false);
                 return self.lost_at_controller(wire);
             }
         };
         self.wires[wire].greeting = Some(greeting);
-        if let Some(Heard { input, reply }) = meanwhile {
+        if let Some(DecodedMessage { input, reply }) = meanwhile {
             if let Some(input) = input {
                 self.input(seat, input);
             }
@@ -266,7 +368,10 @@
         let Some(up) = up else { return };
         self.wires[wire].greeting = None;
         let replies = std::mem::take(&mut self.wires[wire].replies);
-        if let Some(link) = self.process(seat, life).and_then(|p| p.links.get_mut(&machine)) {
+        if let Some(link) = self
+            .process(seat, life)
+            .and_then(|p| p.links.get_mut(&machine))
+        {
             link.up = true;
             link.retry.reset();
         }
@@ -276,7 +381,7 @@
         self.input(seat, up);
     }
 
-    fn take(&mut self, seat: usize, machine: MachineId, message: Heard) {
+    fn take(&mut self, seat: usize, machine: NodeId, message: DecodedMessage) {
         if let Some(input) = message.input {
             self.input(seat, input);
         }
@@ -291,8 +396,11 @@
     /// after a while.
     pub(super) fn end_dies(&mut self, wire: usize, at_node: bool) {
         let half = self.rng.u64(0..400);
-        let learns =
-            if self.rng.u32(0..10) == 0 { self.rng.u64(5_000..300_000) } else { self.rng.u64(100..3_000) };
+        let learns = if self.rng.u32(0..10) == 0 {
+            self.rng.u64(5_000..300_000)
+        } else {
+            self.rng.u64(100..3_000)
+        };
         let now = self.now;
         let w = &mut self.wires[wire];
         let (here, there) = (usize::from(at_node), usize::from(!at_node));
@@ -305,19 +413,34 @@
         if at_node {
             self.parts(wire);
         }
-        self.after(learns, Happens::Broken { wire, at_node: !at_node });
+        self.after(
+            learns,
+            Happens::Broken {
+                wire,
+                at_node: !at_node,
+            },
+        );
     }
 
     /// The way between them is cut: each end learns of it for itself, and both go on sending until then.
     pub(super) fn cut_wire(&mut self, wire: usize) {
         for way in 0..2 {
             let half = self.rng.u64(0..400);
-            let learns =
-                if self.rng.u32(0..4) == 0 { self.rng.u64(5_000..200_000) } else { self.rng.u64(100..2_000) };
+            let learns = if self.rng.u32(0..4) == 0 {
+                self.rng.u64(5_000..200_000)
+            } else {
+                self.rng.u64(100..2_000)
+            };
             let now = self.now;
             let w = &mut self.wires[wire];
             w.lost_from[way] = w.lost_from[way].min(now + half);
-            self.after(half + learns, Happens::Broken { wire, at_node: way == 1 });
+            self.after(
+                half + learns,
+                Happens::Broken {
+                    wire,
+                    at_node: way == 1,
+                },
+            );
         }
     }
 
@@ -337,7 +460,12 @@
     fn lost_at_controller(&mut self, wire: usize) {
         let w = &self.wires[wire];
         let (seat, life, node, machine) = (w.seat, w.life, w.node, w.machine);
-        let Some(link) = self.process(seat, life).and_then(|p| p.links.get_mut(&machine)) else { return };
+        let Some(link) = self
+            .process(seat, life)
+            .and_then(|p| p.links.get_mut(&machine))
+        else {
+            return;
+        };
         if link.wire != Some(wire) {
             return;
         }
@@ -346,8 +474,8 @@
         if was_up {
             let node = self.stations[node].model.spec().name.clone();
             let controller = self.party(seat, life);
-            self.see(Seen::LinkClosed { controller, node });
-            self.input(seat, Input::LinkDown(machine));
+            self.see(Observation::LinkClosed { controller, node });
+            self.input(seat, Input::NodeDisconnected(machine));
         }
         self.dial_again(seat, life, machine);
     }
@@ -366,7 +494,11 @@
     // ---- Nodes ----
 
     /// Lets a node act, and passes on what it says.
-    pub(super) fn node_acts(&mut self, node: usize, act: impl FnOnce(&mut Model, Micros) -> Vec<Outgoing>) {
+    pub(super) fn node_acts(
+        &mut self,
+        node: usize,
+        act: impl FnOnce(&mut NodeModel, Micros) -> Vec<Outgoing>,
+    ) {
         let now = self.now;
         let station: &mut Station = &mut self.stations[node];
         let said = act(&mut station.model, now);
@@ -410,6 +542,11 @@
     /// Every link of a node, held by either end.
     pub(super) fn wires_of(&self, node: usize) -> Vec<usize> {
         let held = |w: &Wire| w.node == node && w.holds != [false, false];
-        self.wires.iter().enumerate().filter(|(_, w)| held(w)).map(|(i, _)| i).collect()
+        self.wires
+            .iter()
+            .enumerate()
+            .filter(|(_, w)| held(w))
+            .map(|(i, _)| i)
+            .collect()
     }
 }
