--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -34,9 +34,17 @@
 }
 
 const fn family(
-    name: &'static str, kind: Kind, labels: &'static [&'static str], help: &'static str,
+    name: &'static str,
+    kind: Kind,
+    labels: &'static [&'static str],
+    help: &'static str,
 ) -> Family {
-    Family { name, kind, labels, help }
+    Family {
+        name,
+        kind,
+        labels,
+        help,
+    }
 }
 
 macro_rules! families {
@@ -52,7 +60,7 @@
         "Time from an ask for a placing to its answer, in seconds.";
     SUBMISSIONS = "peppercove_submissions_total", Counter, ["class"],
         "Jobs taken in.";
-    TURNED_AWAY = "peppercove_turned_away_total", Counter, ["reason"],
+    SUBMISSIONS_REJECTED = "peppercove_turned_away_total", Counter, ["reason"],
         "Submissions turned away at the door.";
     ANSWERS = "peppercove_answers_total", Counter, ["class", "outcome"],
         "Asks answered: placed, refused, failed or withdrawn.";
@@ -60,21 +68,21 @@
         "Offers made to nodes.";
     ATTEMPT_ENDS = "peppercove_attempt_ends_total", Counter, ["outcome", "reason"],
         "Attempts that ended, by how and why.";
-    OPEN_ASKS = "peppercove_open_asks", Gauge, [],
+    OPEN_REQUESTS = "peppercove_open_asks", Gauge, [],
         "Asks without an answer.";
     RUNNING_TASKS = "peppercove_running_tasks", Gauge, [],
         "Tasks placed and not ended.";
-    DOUBTFUL_TASKS = "peppercove_doubtful_tasks", Gauge, [],
+    AMBIGUOUS_TASKS = "peppercove_doubtful_tasks", Gauge, [],
         "Unsafe tasks whose fate is not known.";
     ADOPTED = "peppercove_adopted_tasks_total", Counter, [],
         "Running tasks taken over from an earlier life or a doubtful attempt.";
-    STRAYS = "peppercove_stray_tasks_total", Counter, [],
+    ORPHANS = "peppercove_stray_tasks_total", Counter, [],
         "Running copies stopped because nobody waited for them.";
     NODES = "peppercove_nodes", Gauge, ["state", "link"],
         "Nodes that the list names, by state and link.";
     LIST_GENERATION = "peppercove_node_list_generation", Gauge, [],
         "Version of the node list held.";
-    LIST_HEARD = "peppercove_node_list_heard_timestamp_seconds", Gauge, [],
+    LIST_LAST_CONTACT = "peppercove_node_list_heard_timestamp_seconds", Gauge, [],
         "When the node list was heard last, in seconds since 1970.";
     LIST_FAILURES = "peppercove_node_list_failures_total", Counter, [],
         "Calls to the node list that failed and subscriptions that broke.";
@@ -86,16 +94,18 @@
         "Samples made, pushed, and dropped by reason.";
     PUSHES = "peppercove_push_requests_total", Counter, ["status"],
         "Requests to the receiver, by status or `no-answer`.";
-    BACKLOG = "peppercove_push_backlog_bytes", Gauge, [],
+    WAL_BYTES = "peppercove_push_backlog_bytes", Gauge, [],
         "Samples that wait to be pushed, in bytes on disk.";
-    LOOP_LATE = "peppercove_loop_late_seconds", Gauge, [],
+    EVENT_LOOP_LAG = "peppercove_loop_late_seconds", Gauge, [],
         "How late the daemon's own loop was when last looked at, in seconds.";
     START = "peppercove_start_timestamp_seconds", Gauge, [],
         "When the controller started, in seconds since 1970.";
 }
 
 /// Upper bounds of the placing delays, in seconds: from what a controller adds itself up to the longest deadlines.
-pub const DELAY_BOUNDS: &[f64] = &[0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 12.0];
+pub const DELAY_BOUNDS: &[f64] = &[
+    0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 12.0,
+];
 
 /// Values that one label may have; further ones count under [`OTHER`].
 pub const MOST_VALUES: usize = 64;
@@ -107,7 +117,7 @@
 /// A name that the table does not have, or other labels than it says: a fault of the program.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("there is no {kind:?} {name} with {labels} labels")]
-pub struct NoSuchFigure {
+pub struct UnknownMetric {
     /// The name.
     pub name: String,
     /// What it was taken for.
@@ -118,7 +128,7 @@
 
 /// One value of one series at one time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Point {
+pub struct MetricPoint {
     /// Name of the series, with `_bucket`, `_sum` or `_count` where it is part of a histogram.
     pub name: String,
     /// Labels, sorted by name, without the name of the series.
@@ -147,35 +157,60 @@
 impl Metrics {
     /// All families of the table, without a value yet.
     pub fn new() -> Metrics {
-        let (mut counters, mut gauges, mut histograms) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (mut counters, mut gauges, mut histograms) =
+            (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let registry = Registry::new();
         for f in FAMILIES {
             let opts = Opts::new(f.name, f.help);
             // The table is checked by a test, so what is made of it cannot fail for what it holds.
             match f.kind {
                 Kind::Counter => {
-                    keep(&registry, CounterVec::new(opts, f.labels), f.name, &mut counters);
+                    keep(
+                        &registry,
+                        CounterVec::new(opts, f.labels),
+                        f.name,
+                        &mut counters,
+                    );
                 }
                 Kind::Gauge => {
-                    keep(&registry, GaugeVec::new(opts, f.labels), f.name, &mut gauges);
+                    keep(
+                        &registry,
+                        GaugeVec::new(opts, f.labels),
+                        f.name,
+                        &mut gauges,
+                    );
                 }
                 Kind::Histogram => {
                     let opts = HistogramOpts::from(opts).buckets(DELAY_BOUNDS.to_vec());
-                    keep(&registry, HistogramVec::new(opts, f.labels), f.name, &mut histograms);
+                    keep(
+                        &registry,
+                        HistogramVec::new(opts, f.labels),
+                        f.name,
+                        &mut histograms,
+                    );
                 }
             }
         }
-        Metrics { registry, counters, gauges, histograms, values: RefCell::default() }
+        Metrics {
+            registry,
+            counters,
+            gauges,
+            histograms,
+            values: RefCell::default(),
+        }
     }
 
     /// Adds to a counter.
     ///
     /// # Errors
     /// [`NoSuchFigure`]; the counter of faults cannot be missing, so callers may count it there.
-    pub fn add(&self, name: &'static str, labels: &[&str], more: f64) -> Result<(), NoSuchFigure> {
+    pub fn add(&self, name: &'static str, labels: &[&str], more: f64) -> Result<(), UnknownMetric> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
-        let counter = self.counters.get(name).and_then(|c| c.get_metric_with_label_values(&labels).ok());
+        let counter = self
+            .counters
+            .get(name)
+            .and_then(|c| c.get_metric_with_label_values(&labels).ok());
         let counter = counter.ok_or_else(|| missing(name, Kind::Counter, labels.len()))?;
         // A counter that went down would look like a restart to whoever reads it.
         counter.inc_by(if more.is_finite() { more.max(0.0) } else { 0.0 });
@@ -186,11 +221,16 @@
     ///
     /// # Errors
     /// [`NoSuchFigure`].
-    pub fn set(&self, name: &'static str, labels: &[&str], to: f64) -> Result<(), NoSuchFigure> {
+    pub fn set(&self, name: &'static str, labels: &[&str], to: f64) -> Result<(), UnknownMetric> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
-        let gauge = self.gauges.get(name).and_then(|g| g.get_metric_with_label_values(&labels).ok());
-        gauge.ok_or_else(|| missing(name, Kind::Gauge, labels.len()))?.set(to);
+        let gauge = self
+            .gauges
+            .get(name)
+            .and_then(|g| g.get_metric_with_label_values(&labels).ok());
+        gauge
+            .ok_or_else(|| missing(name, Kind::Gauge, labels.len()))?
+            .set(to);
         Ok(())
     }
 
@@ -198,11 +238,21 @@
     ///
     /// # Errors
     /// [`NoSuchFigure`].
-    pub fn observe(&self, name: &'static str, labels: &[&str], value: f64) -> Result<(), NoSuchFigure> {
+    pub fn observe(
+        &self,
+        name: &'static str,
+        labels: &[&str],
+        value: f64,
+    ) -> Result<(), UnknownMetric> {
         let labels = self.bounded(name, labels);
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
-        let histogram = self.histograms.get(name).and_then(|h| h.get_metric_with_label_values(&labels).ok());
-        histogram.ok_or_else(|| missing(name, Kind::Histogram, labels.len()))?.observe(value);
+        let histogram = self
+            .histograms
+            .get(name)
+            .and_then(|h| h.get_metric_with_label_values(&labels).ok());
+        histogram
+            .ok_or_else(|| missing(name, Kind::Histogram, labels.len()))?
+            .observe(value);
         Ok(())
     }
 
@@ -227,17 +277,25 @@
     }
 
     /// Every value as it is now, sorted by name and labels.
-    pub fn gather(&self) -> Vec<Point> {
+    pub fn gather(&self) -> Vec<MetricPoint> {
         let mut points = Vec::new();
         for gathered in self.registry.gather() {
-            let Some(family) = FAMILIES.iter().find(|f| f.name == gathered.name()) else { continue };
+            let Some(family) = FAMILIES.iter().find(|f| f.name == gathered.name()) else {
+                continue;
+            };
             for metric in gathered.get_metric() {
                 let pairs = metric.get_label().iter();
-                let mut labels: Vec<(String, String)> =
-                    pairs.map(|l| (l.name().to_owned(), l.value().to_owned())).collect();
+                let mut labels: Vec<(String, String)> = pairs
+                    .map(|l| (l.name().to_owned(), l.value().to_owned()))
+                    .collect();
                 labels.sort();
                 let mut point = |suffix: &str, labels: Vec<(String, String)>, value: f64| {
-                    points.push(Point { name: format!("{}{suffix}", family.name), labels, family, value });
+                    points.push(MetricPoint {
+                        name: format!("{}{suffix}", family.name),
+                        labels,
+                        family,
+                        value,
+                    });
                 };
                 match family.kind {
                     Kind::Counter => point("", labels, metric.get_counter().get_value()),
@@ -257,7 +315,11 @@
                                 b.cumulative_count() as f64,
                             );
                         }
-                        point("_bucket", bucket("+Inf".into()), h.get_sample_count() as f64);
+                        point(
+                            "_bucket",
+                            bucket("+Inf".into()),
+                            h.get_sample_count() as f64,
+                        );
                         point("_sum", labels.clone(), h.get_sample_sum());
                         point("_count", labels, h.get_sample_count() as f64);
                     }
@@ -269,12 +331,18 @@
     }
 }
 
-fn missing(name: &str, kind: Kind, labels: usize) -> NoSuchFigure {
-    NoSuchFigure { name: name.into(), kind, labels }
+fn missing(name: &str, kind: Kind, labels: usize) -> UnknownMetric {
+    UnknownMetric {
+        name: name.into(),
+        kind,
+        labels,
+    }
 }
 
 fn keep<T: Collector + Clone + 'static>(
-    registry: &Registry, made: prometheus::Result<T>, name: &'static str,
+    registry: &Registry,
+    made: prometheus::Result<T>,
+    name: &'static str,
     into: &mut BTreeMap<&'static str, T>,
 ) {
     if let Ok(made) = made
@@ -297,7 +365,11 @@
             Kind::Histogram => "histogram",
         };
         let labels: Vec<String> = f.labels.iter().map(|l| format!("`{l}`")).collect();
-        let labels = if labels.is_empty() { "–".into() } else { labels.join(", ") };
+        let labels = if labels.is_empty() {
+            "–".into()
+        } else {
+            labels.join(", ")
+        };
         out += &format!("| `{}` | {kind} | {labels} | {} |\n", f.name, f.help);
     }
     out
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a controller, as the platform writes it.
 
-use crate::feed::{self, Entry};
-use peppercove::wire::{Shape, WireError, read_settings};
+use crate::endpoint_watch::{self, EndpointEvent};
+use peppercove::adapter_protocol::{ProtocolError, RecordSchema, read_settings};
 use peppercove::{Micros, Settings};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     Json(#[from] serde_json::Error),
     /// The settings in it cannot be used.
     #[error("configuration: {0}")]
-    Settings(#[from] WireError),
+    Settings(#[from] ProtocolError),
     /// A value that makes no sense.
     #[error("configuration: {key}: {problem}")]
     Value {
@@ -44,7 +44,7 @@
     seed: String,
     limits: Limits,
     journal: SocketAddr,
-    known: Known,
+    known: InitialEndpoints,
     settings: serde_json::Value,
 }
 
@@ -61,12 +61,12 @@
 
 /// The journal service's events up to the start.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Known {
+pub struct InitialEndpoints {
     /// Number of the last one.
     pub pos: u64,
     /// The events.
     #[serde(default)]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEvent>,
 }
 
 /// A configuration that was read and checked.
@@ -83,11 +83,11 @@
     /// Where the journal service is.
     pub journal: SocketAddr,
     /// Its events so far.
-    pub known: Known,
+    pub known: InitialEndpoints,
     /// The decision module's settings.
     pub settings: Settings,
     /// The names and shapes around them.
-    pub shape: Shape,
+    pub shape: RecordSchema,
 }
 
 /// Fewest descriptors with which a controller can serve: its listener, the journal, logs, and a few connections.
@@ -98,30 +98,66 @@
     ///
     /// # Errors
     /// [`ConfigError`] names what is missing or wrong.
-    pub fn parse(text: &str, name: Option<&str>, listen: Option<&str>) -> Result<Config, ConfigError> {
+    pub fn parse(
+        text: &str,
+        name: Option<&str>,
+        listen: Option<&str>,
+    ) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text)?;
         let differs = |key, file: &str, variable, environment: Option<&str>| match environment {
-            Some(e) if e != file => {
-                Err(ConfigError::Differs { key, file: file.into(), variable, environment: e.into() })
-            }
+            Some(e) if e != file => Err(ConfigError::Differs {
+                key,
+                file: file.into(),
+                variable,
+                environment: e.into(),
+            }),
             _ => Ok(()),
         };
         differs("name", &file.name, "LB_NAME", name)?;
         differs("listen", &file.listen.to_string(), "LB_LISTEN", listen)?;
-        let wrong = |key, problem: &str| ConfigError::Value { key, problem: problem.into() };
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| wrong("seed", &e.to_string()))?;
+        let wrong = |key, problem: &str| ConfigError::Value {
+            key,
+            problem: problem.into(),
+        };
+        let seed =
+            u64::from_str_radix(&file.seed, 16).map_err(|e| wrong("seed", &e.to_string()))?;
         if file.limits.sockets < LEAST_SOCKETS {
-            let problem = format!("{} are too few, {LEAST_SOCKETS} are needed", file.limits.sockets);
+            let problem = format!(
+                "{} are too few, {LEAST_SOCKETS} are needed",
+                file.limits.sockets
+            );
             return Err(wrong("limits.sockets", &problem));
         }
         let (mut settings, shape) = read_settings(&serde_json::to_vec(&file.settings)?)?;
         if settings.classes.is_empty() || shape.classes.iter().any(String::is_empty) {
-            return Err(wrong("settings.classes", "each class needs a name, and one class is needed"));
+            return Err(wrong(
+                "settings.classes",
+                "each class needs a name, and one class is needed",
+            ));
         }
-        let [first, most] = feed::ask_again(settings.drain_grace, dial_timeout(&shape));
-        settings.ask_again = [settings.ask_again[0].min(first), settings.ask_again[1].min(most)];
-        let File { name, listen, limits, journal, known, .. } = file;
-        Ok(Config { name, listen, seed, limits, journal, known, settings, shape })
+        let [first, most] = endpoint_watch::ask_again(settings.drain_grace, dial_timeout(&shape));
+        settings.poll_backoff = [
+            settings.poll_backoff[0].min(first),
+            settings.poll_backoff[1].min(most),
+        ];
+        let File {
+            name,
+            listen,
+            limits,
+            journal,
+            known,
+            ..
+        } = file;
+        Ok(Config {
+            name,
+            listen,
+            seed,
+            limits,
+            journal,
+            known,
+            settings,
+            shape,
+        })
     }
 
     /// How long a connection may take to come up.
@@ -131,6 +167,10 @@
 }
 
 /// The settings may leave it out; a link of the data centre is up within far less.
-fn dial_timeout(shape: &Shape) -> Micros {
-    if shape.dial_timeout > 0 { shape.dial_timeout } else { 1_000_000 }
+fn dial_timeout(shape: &RecordSchema) -> Micros {
+    if shape.dial_timeout > 0 {
+        shape.dial_timeout
+    } else {
+        1_000_000
+    }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::row::At;
 use anyhow::Result;
 use bytes::BytesMut;
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -57,7 +57,9 @@
         spawn_local(async move {
             loop {
                 match listener.accept().await {
-                    Ok((stream, _)) => drop(spawn_local(serve(stream, bytes.clone(), untold.clone()))),
+                    Ok((stream, _)) => {
+                        drop(spawn_local(serve(stream, bytes.clone(), untold.clone())))
+                    }
                     Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
                 }
             }
@@ -72,15 +74,16 @@
     carry(stream, said, &bytes, |message| {
         let id = message.id;
         match message.kind {
-            Kind::Test => {
-                let _ = out.send(Message::new(Kind::Tested, id).with(code::CAUSE, &[1]));
+            MessageKind::Test => {
+                let _ = out.send(Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]));
             }
-            Kind::SetUp => {
+            MessageKind::SetUp => {
                 if !std::mem::replace(&mut known, true) {
                     let ends = untold.borrow_mut().remove(&(id >> 40)).unwrap_or_default();
                     ends.into_iter().for_each(|end| drop(out.send(end)));
                 }
-                let answer = Message::new(Kind::Answer, id).with(code::DESCRIPTION, &[b'h'; DESCRIPTION]);
+                let answer = Message::new(MessageKind::Answer, id)
+                    .with(code::DESCRIPTION, &[b'h'; DESCRIPTION]);
                 let _ = out.send(answer);
                 if id & LASTING == 0 {
                     let (out, untold) = (out.clone(), untold.clone());
@@ -100,7 +103,10 @@
 
 /// Carries messages both ways until one side ends.
 async fn carry(
-    stream: TcpStream, mut said: UnboundedReceiver<Message>, bytes: &Bytes, mut hear: impl FnMut(Message),
+    stream: TcpStream,
+    mut said: UnboundedReceiver<Message>,
+    bytes: &Bytes,
+    mut hear: impl FnMut(Message),
 ) {
     let _ = stream.set_nodelay(true);
     let (mut from, mut to) = stream.into_split();
@@ -174,17 +180,27 @@
 impl Owners {
     /// Opens so many connections; each has passed a test, or is not waited for any longer than a second.
     pub async fn connect(
-        scheduler: usize, address: SocketAddr, connections: u64, bytes: &Rc<Bytes>,
+        scheduler: usize,
+        address: SocketAddr,
+        connections: u64,
+        bytes: &Rc<Bytes>,
     ) -> Result<Owners> {
-        let mut owners = Owners { scheduler, out: Vec::new(), heard: Rc::default() };
+        let mut owners = Owners {
+            scheduler,
+            out: Vec::new(),
+            heard: Rc::default(),
+        };
         for _ in 0..connections.max(1) {
             let stream = TcpStream::connect(address).await?;
             let (out, said) = unbounded_channel();
-            let _ = out.send(Message::new(Kind::Test, 1).with(code::CAUSE, &[0]));
+            let _ = out.send(Message::new(MessageKind::Test, 1).with(code::CAUSE, &[0]));
             owners.out.push(out);
             let (heard, bytes) = (owners.heard.clone(), bytes.clone());
             spawn_local(async move {
-                carry(stream, said, &bytes, |message| heard.borrow_mut().hear(&message)).await;
+                carry(stream, said, &bytes, |message| {
+                    heard.borrow_mut().hear(&message)
+                })
+                .await;
                 heard.borrow_mut().closed += 1;
             });
         }
@@ -206,7 +222,11 @@
     pub fn begin(&self) {
         let mut heard = self.heard.borrow_mut();
         let (tested, closed) = (heard.tested, heard.closed);
-        *heard = Heard { tested, closed, ..Heard::default() };
+        *heard = Heard {
+            tested,
+            closed,
+            ..Heard::default()
+        };
     }
 
     /// Microseconds from each set-up to its answer.
@@ -229,13 +249,13 @@
 impl Heard {
     fn hear(&mut self, message: &Message) {
         match (message.kind, self.asked.remove(&message.id)) {
-            (Kind::Tested, _) => self.tested += 1,
-            (Kind::Answer, Some(at)) => {
+            (MessageKind::Tested, _) => self.tested += 1,
+            (MessageKind::Answer, Some(at)) => {
                 self.placed += 1;
                 self.delays.push(at.elapsed().as_secs_f64() * 1e6);
             }
-            (Kind::Release, Some(_)) => self.refused += 1,
-            (Kind::Release, None) => self.ended += 1,
+            (MessageKind::Release, Some(_)) => self.refused += 1,
+            (MessageKind::Release, None) => self.ended += 1,
             _ => {}
         }
     }
--- a/crates/scale/src/page/need.rs
+++ b/crates/scale/src/page/need.rs
@@ -4,7 +4,7 @@
 use crate::row::Axis;
 use crate::target::{Assumed, Target};
 use anyhow::{Context, Result, ensure};
-use peppercove_platform::feed::longest;
+use peppercove_platform::endpoint_watch::max_line_bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -103,8 +103,14 @@
             Budget::Memory => (target.memory_bytes, "bytes"),
             Budget::Bytes => (target.bytes_a_second, "bytes/s"),
             Budget::Descriptors => (target.taken(Assumed::Descriptors), "count"),
-            Budget::Line => (longest((target.memory_bytes / 1e6) as u64) as f64, "bytes"),
-            Budget::Frame => (peppercove_protocol::codec::LIST_FRAME as f64, "bytes"),
+            Budget::Line => (
+                max_line_bytes((target.memory_bytes / 1e6) as u64) as f64,
+                "bytes",
+            ),
+            Budget::Frame => (
+                peppercove_protocol::codec::MAX_LIST_FRAME_BYTES as f64,
+                "bytes",
+            ),
             Budget::InForce => (target.in_force_s, "s"),
             Budget::UrgentStart => (target.urgent_start_s, "s"),
             Budget::None => return None,
@@ -257,12 +263,25 @@
         let needs: Needs = serde_json::from_str(text).context("the needs")?;
         let mut names = BTreeSet::new();
         for need in &needs.needs {
-            ensure!(names.insert(need.name.as_str()), "the needs: {} is there twice", need.name);
+            ensure!(
+                names.insert(need.name.as_str()),
+                "the needs: {} is there twice",
+                need.name
+            );
         }
-        let Prices { start, change_time, change_bytes, whole_time, whole_bytes } = &needs.prices;
+        let Prices {
+            start,
+            change_time,
+            change_bytes,
+            whole_time,
+            whole_bytes,
+        } = &needs.prices;
         let prices = [start, change_time, change_bytes, whole_time, whole_bytes];
         for name in needs.lines.iter().flat_map(|l| &l.needs).chain(prices) {
-            ensure!(names.contains(name.as_str()), "the needs: there is no need {name}");
+            ensure!(
+                names.contains(name.as_str()),
+                "the needs: there is no need {name}"
+            );
         }
         Ok(needs)
     }
@@ -295,14 +314,31 @@
     /// Where the measure's unit cannot be held against the budget.
     pub fn out(need: &Need, book: &Book, target: &Target) -> Result<Worked> {
         let at = target.at();
-        let of =
-            |measures: &[String]| book.subject(&need.role, measures).and_then(|s| book.estimate(&s, &at));
-        let plus = need.plus.iter().map(|measure| of(std::slice::from_ref(measure)));
+        let of = |measures: &[String]| {
+            book.subject(&need.role, measures)
+                .and_then(|s| book.estimate(&s, &at))
+        };
+        let plus = need
+            .plus
+            .iter()
+            .map(|measure| of(std::slice::from_ref(measure)));
         let estimate = plus.fold(of(&need.measures), |sum, more| sum?.plus(&more?));
-        let share = if need.carries { target.taken(Assumed::ControlShare) } else { 1.0 };
+        let share = if need.carries {
+            target.taken(Assumed::ControlShare)
+        } else {
+            1.0
+        };
         let times = need.times.figure(target, &need.role) * share;
-        let mut worked = Worked { need: need.clone(), estimate, times, figure: None, ratio: None };
-        let Some(estimate) = &worked.estimate else { return Ok(worked) };
+        let mut worked = Worked {
+            need: need.clone(),
+            estimate,
+            times,
+            figure: None,
+            ratio: None,
+        };
+        let Some(estimate) = &worked.estimate else {
+            return Ok(worked);
+        };
         let (factor, unit) = plain(&estimate.unit);
         let figure = estimate.figure * factor * times;
         worked.figure = Some(figure);
@@ -331,7 +367,11 @@
     /// # Errors
     /// As [`Worked::out`].
     pub fn all(needs: &Needs, book: &Book, target: &Target) -> Result<Vec<Worked>> {
-        needs.needs.iter().map(|need| Worked::out(need, book, target)).collect()
+        needs
+            .needs
+            .iter()
+            .map(|need| Worked::out(need, book, target))
+            .collect()
     }
 
     /// One event's figure in seconds, bytes or a count.
--- a/crates/scale/src/platform.rs
+++ b/crates/scale/src/platform.rs
@@ -1,7 +1,7 @@
 //! What the platform hands a controller: hosts, events and a configuration, in the words of its page.
 
 use crate::row::At;
-use peppercove_platform::wire::{Kind, Message, code};
+use peppercove_platform::wire::{Message, MessageKind, code};
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -54,8 +54,8 @@
         json!({"name": class(i), "deadline": 4_000_000, "group": "cell", "objective": 900_000, "repeat": repeat,
             "window": 3_000_000, "worth": 1.0})
     });
-    let tenants =
-        (0..at.tenants).map(|i| json!({"name": format!("tenant-{i}"), "quota-per-s": 2.0, "share": 1.0}));
+    let tenants = (0..at.tenants)
+        .map(|i| json!({"name": format!("tenant-{i}"), "quota-per-s": 2.0, "share": 1.0}));
     json!({
         "areas": ZONES, "flavors": ["std"], "fleet-size": at.schedulers, "registry-mode": "pushed", "tick": 2000,
         "classes": classes.collect::<Vec<_>>(), "tenants": tenants.collect::<Vec<_>>(),
@@ -79,11 +79,14 @@
 
 /// A task's set-up as its owner sends it, with a description of `description` bytes.
 pub fn set_up(at: &At, id: u64, description: usize) -> Message {
-    Message::new(Kind::SetUp, id)
+    Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, class(id % at.classes.max(1)).as_bytes())
         .with(code::WAIT, b"4000")
         .with(code::TASK, format!("{id:016x}").as_bytes())
         .with(code::KEY, format!("{id:032x}").as_bytes())
-        .with(code::FIGURES, format!("cores:1;memory:2;service:{:016x}", id % 40).as_bytes())
+        .with(
+            code::FIGURES,
+            format!("cores:1;memory:2;service:{:016x}", id % 40).as_bytes(),
+        )
         .with(code::DESCRIPTION, &vec![b'd'; description])
 }
--- a/crates/scale/src/roles/serve/rig.rs
+++ b/crates/scale/src/roles/serve/rig.rs
@@ -6,11 +6,11 @@
 use anyhow::{Context, Result};
 use bytes::{Bytes, BytesMut};
 use peppercove::{Micros, Scheduler, ServiceId};
-use peppercove_core::Alarms;
-use peppercove_fleet::{Decider, View};
-use peppercove_platform::feed::{Entry, Line, Lines, longest};
-use peppercove_platform::wire::{Kind, Message, cause, code, decode};
-use peppercove_platform::{Bounds, Desk, Input, LinkId, Output, OwnerId};
+use peppercove_core::Timers;
+use peppercove_fleet::{NodeSubset, SubsetScheduler};
+use peppercove_platform::endpoint_watch::{EndpointEvent, LineDecoder, WatchLine, max_line_bytes};
+use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
+use peppercove_platform::{Bounds, ClientId, Input, NodeConnectionId, Output, PlatformEngine};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
@@ -26,8 +26,8 @@
 enum Happens {
     Start,
     Change,
-    Up(LinkId),
-    Word(LinkId, Message),
+    Up(NodeConnectionId),
+    Word(NodeConnectionId, Message),
     Told,
 }
 
@@ -40,13 +40,13 @@
 
 /// A desk, and the owners, hosts and journal service that it talks to.
 pub struct Rig {
-    desk: Desk<Decider>,
+    desk: PlatformEngine<SubsetScheduler>,
     /// Longest line of the feed, bytes.
     longest: usize,
     cluster: Cluster,
     /// What was noted.
     pub timings: Timings,
-    agenda: Alarms<Happens>,
+    agenda: Timers<Happens>,
     now: Micros,
     pos: u64,
     next: u64,
@@ -55,8 +55,8 @@
     services: BTreeMap<u64, ServiceId>,
     /// Tasks that stand, oldest first: the id they go by, and the host.
     standing: VecDeque<(u64, u64)>,
-    links: BTreeMap<u64, LinkId>,
-    hosts: BTreeMap<LinkId, u64>,
+    links: BTreeMap<u64, NodeConnectionId>,
+    hosts: BTreeMap<NodeConnectionId, u64>,
     traffic: BTreeMap<&'static str, Traffic>,
     turned_away: u64,
 }
@@ -69,15 +69,15 @@
     pub fn new(at: &At) -> Result<Rig> {
         let cluster = Cluster::new(at);
         let config = words::config(&cluster);
-        let bounds = Bounds::of(&config);
+        let bounds = Bounds::for_config(&config);
         let module = Scheduler::new(config.settings.clone(), config.seed);
-        let module = View::new(module, &config.settings);
+        let module = NodeSubset::new(module, &config.settings);
         Ok(Rig {
-            longest: longest(config.limits.memory_mb),
-            desk: Desk::new(module, config.settings, config.shape, bounds, config.seed),
+            longest: max_line_bytes(config.limits.memory_mb),
+            desk: PlatformEngine::new(module, config.settings, config.shape, bounds, config.seed),
             cluster,
             timings: Timings::new()?,
-            agenda: Alarms::default(),
+            agenda: Timers::default(),
             now: BEGIN,
             pos: 0,
             next: 0,
@@ -100,83 +100,124 @@
 
     /// Hands the desk what `read` makes of bytes, both within the time of this kind.
     fn input(&mut self, kind: &'static str, read: impl FnOnce() -> Result<Input>) -> Result<()> {
-        let (outputs, nanos) = self.timings.take(|| Ok(self.desk.handle(self.now, read()?)));
+        let (outputs, nanos) = self
+            .timings
+            .take(|| Ok(self.desk.handle(self.now, read()?)));
         self.timings.note(kind, nanos);
-        outputs.map(|outputs: Vec<Output>| outputs.into_iter().for_each(|output| self.carry_out(output)))
+        outputs.map(|outputs: Vec<Output>| {
+            outputs
+                .into_iter()
+                .for_each(|output| self.carry_out(output))
+        })
     }
 
     fn message(
-        &mut self, kind: &'static str, message: &Message, to: impl FnOnce(Message) -> Input,
+        &mut self,
+        kind: &'static str,
+        message: &Message,
+        to: impl FnOnce(Message) -> Input,
     ) -> Result<()> {
         let mut frame = BytesMut::from(&message.encode()[..]);
-        self.input(kind, || Ok(to(decode(&mut frame)?.context("a whole message")?)))
+        self.input(kind, || {
+            Ok(to(decode(&mut frame)?.context("a whole message")?))
+        })
     }
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Reply(_, frame) => {
+            Output::SendToClient(_, frame) => {
                 self.count("owner_out", frame.len());
                 // Type and cause of the platform's page; a refusal or failure is a final answer without a task.
-                if frame.get(2) == Some(&(Kind::Release as u8)) && frame.last() != Some(&cause::ORDINARY) {
+                if frame.get(2) == Some(&(MessageKind::Release as u8))
+                    && frame.last() != Some(&cause::ORDINARY)
+                {
                     self.turned_away += 1;
                 }
             }
-            Output::Send(link, frame) | Output::TakeBack(link, frame) => self.at_host(link, &frame),
-            Output::Dial(link, address) => {
+            Output::SendToNode(link, frame) | Output::Cancel(link, frame) => {
+                self.at_host(link, &frame)
+            }
+            Output::Connect(link, address) => {
                 self.hosts.insert(link, words::host_of(address));
-                self.agenda.set(self.now + AWAY * 3, Happens::Up(link));
+                self.agenda.schedule(self.now + AWAY * 3, Happens::Up(link));
             }
-            Output::Watch => self.agenda.set(self.now + AWAY * 4, Happens::Told),
+            Output::WatchEndpoints => self.agenda.schedule(self.now + AWAY * 4, Happens::Told),
             // No connection breaks here, and none is one too many.
-            Output::Hang(_) | Output::Log(_) => {}
+            Output::Close(_) | Output::Log(_) => {}
         }
     }
 
-    fn at_host(&mut self, link: LinkId, frame: &Bytes) {
+    fn at_host(&mut self, link: NodeConnectionId, frame: &Bytes) {
         let message = decode(&mut BytesMut::from(&frame[..])).ok().flatten();
-        let (Some(message), Some(&host)) = (message, self.hosts.get(&link)) else { return };
-        self.count(if message.kind == Kind::Test { "test_out" } else { "host_out" }, frame.len());
+        let (Some(message), Some(&host)) = (message, self.hosts.get(&link)) else {
+            return;
+        };
+        self.count(
+            if message.kind == MessageKind::Test {
+                "test_out"
+            } else {
+                "host_out"
+            },
+            frame.len(),
+        );
         let (after, word) = match message.kind {
-            Kind::Test => (AWAY, Message::new(Kind::Tested, message.id).with(code::CAUSE, &[1])),
-            Kind::SetUp => {
+            MessageKind::Test => (
+                AWAY,
+                Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
+            ),
+            MessageKind::SetUp => {
                 let service = self.services.get(&message.id).copied().unwrap_or_default();
-                let (took, word) = self.cluster.answer(peppercove::MachineId(host), service);
+                let (took, word) = self.cluster.answer(peppercove::NodeId(host), service);
                 (took, self.word(host, message.id, word))
             }
             _ => return,
         };
-        self.agenda.set(self.now + AWAY + after, Happens::Word(link, word));
+        self.agenda
+            .schedule(self.now + AWAY + after, Happens::Word(link, word));
     }
 
     fn word(&mut self, host: u64, id: u64, word: Word) -> Message {
         match word {
-            Word::Runs => Message::new(Kind::Answer, id).with(code::DESCRIPTION, &words::DESCRIPTION),
-            Word::Refused => {
-                self.reported(host, Message::release(id, cause::FULL).with(code::NOTE, b"no_cores"))
+            Word::Runs => {
+                Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, &words::DESCRIPTION)
             }
+            Word::Refused => self.reported(
+                host,
+                Message::release(id, cause::FULL).with(code::NOTE, b"no_cores"),
+            ),
             Word::Error => self.reported(host, Message::release(id, cause::ERROR)),
         }
     }
 
     fn reported(&mut self, host: u64, message: Message) -> Message {
         let [cores, memory] = self.cluster.free(host);
-        message.with(code::REPORT, format!("x0:{cores:.2};x1:{memory:.2};cpu:0.5;waiting:0").as_bytes())
+        message.with(
+            code::REPORT,
+            format!("x0:{cores:.2};x1:{memory:.2};cpu:0.5;waiting:0").as_bytes(),
+        )
     }
 
-    fn heard(&mut self, link: LinkId, message: &Message) -> Result<()> {
+    fn heard(&mut self, link: NodeConnectionId, message: &Message) -> Result<()> {
         let kind = match (message.kind, message.cause()) {
-            (Kind::Tested, _) => "tested",
-            (Kind::Answer, _) => "answer",
+            (MessageKind::Tested, _) => "tested",
+            (MessageKind::Answer, _) => "answer",
             (_, Some(cause::ORDINARY)) => "end",
             _ => "refused",
         };
-        self.count(if kind == "tested" { "test_in" } else { "host_in" }, message.encode().len());
+        self.count(
+            if kind == "tested" {
+                "test_in"
+            } else {
+                "host_in"
+            },
+            message.encode().len(),
+        );
         if kind == "answer" {
             self.services.remove(&message.id);
             let host = self.hosts.get(&link).copied().unwrap_or(0);
             self.standing.push_back((message.id, host));
         }
-        self.message(kind, message, |message| Input::Host(link, message))
+        self.message(kind, message, |message| Input::NodeMessage(link, message))
     }
 
     // ---- The list ----
@@ -198,12 +239,12 @@
     /// The feed can't read it.
     pub fn list(&mut self, kind: &'static str, text: &str) -> Result<()> {
         self.count(kind, text.len());
-        let mut lines = Lines::new(self.longest);
-        let mut read = || -> Result<Vec<Entry>> {
+        let mut lines = LineDecoder::new(self.longest);
+        let mut read = || -> Result<Vec<EndpointEvent>> {
             let (mut buffer, mut entries) = (BytesMut::new(), Vec::new());
             for part in text.as_bytes().chunks(AT_ONCE) {
                 buffer.extend_from_slice(part);
-                if let Some(Line::Event(entry)) = lines.next(&mut buffer)? {
+                if let Some(WatchLine::Event(entry)) = lines.next(&mut buffer)? {
                     entries.push(entry);
                 }
             }
@@ -211,7 +252,11 @@
         };
         self.input(kind, || {
             let entries = read()?;
-            Ok(if kind == "first_list" { Input::Begin(entries) } else { Input::List(entries) })
+            Ok(if kind == "first_list" {
+                Input::Start(entries)
+            } else {
+                Input::EndpointEvents(entries)
+            })
         })
     }
 
@@ -232,8 +277,8 @@
         words::wire_id(self.next)
     }
 
-    fn owner(&self, n: u64) -> OwnerId {
-        OwnerId(1 + n % self.cluster.at.connections.max(1))
+    fn owner(&self, n: u64) -> ClientId {
+        ClientId(1 + n % self.cluster.at.connections.max(1))
     }
 
     /// Tasks that stand already are handed over, all on one connection.
@@ -245,7 +290,9 @@
             let (id, host) = (self.new_id(), self.cluster.machine_of(n));
             let message = words::set_up(id, &self.cluster.standing(n), Some(host));
             self.standing.push_back((id, host));
-            self.message("standing", &message, |message| Input::Owner(OwnerId(1), message))?;
+            self.message("standing", &message, |message| {
+                Input::ClientMessage(ClientId(1), message)
+            })?;
         }
         Ok(())
     }
@@ -256,14 +303,18 @@
     /// A message can't be read.
     pub fn connect(&mut self) -> Result<()> {
         let open = self.cluster.at.connections as usize;
-        self.input("owners", || Ok(Input::Owners(open)))?;
+        self.input("owners", || Ok(Input::ClientCount(open)))?;
         for n in 1..self.cluster.at.connections {
             let index = n % self.cluster.at.standing.max(1);
             let id = self.new_id();
-            let Some(task) = self.standing.get_mut(index as usize) else { return Ok(()) };
+            let Some(task) = self.standing.get_mut(index as usize) else {
+                return Ok(());
+            };
             task.0 = id;
             let message = words::set_up(id, &self.cluster.standing(index), Some(task.1));
-            self.message("renamed", &message, |message| Input::Owner(OwnerId(1 + n), message))?;
+            self.message("renamed", &message, |message| {
+                Input::ClientMessage(ClientId(1 + n), message)
+            })?;
         }
         Ok(())
     }
@@ -275,14 +326,20 @@
         self.services.insert(id, ask.service);
         self.started += 1;
         self.count("owner_in", message.encode().len());
-        self.message("set_up", &message, |message| Input::Owner(owner, message))?;
-        while self.desk.has_waiting() {
-            self.input("turn", || Ok(Input::Turn))?;
+        self.message("set_up", &message, |message| {
+            Input::ClientMessage(owner, message)
+        })?;
+        while self.desk.has_queued_requests() {
+            self.input("turn", || Ok(Input::AdmitNext))?;
         }
         // One comes and one ends: as many stand as before.
         while self.standing.len() as u64 > self.cluster.at.standing {
-            let Some((id, host)) = self.standing.pop_front() else { break };
-            let Some(&link) = self.links.get(&host) else { continue };
+            let Some((id, host)) = self.standing.pop_front() else {
+                break;
+            };
+            let Some(&link) = self.links.get(&host) else {
+                continue;
+            };
             let end = self.reported(host, Message::release(id, cause::ORDINARY));
             self.heard(link, &end)?;
         }
@@ -295,21 +352,23 @@
         match happens {
             Happens::Start => {
                 let wait = self.cluster.next_start();
-                self.agenda.set(self.now + wait, Happens::Start);
+                self.agenda.schedule(self.now + wait, Happens::Start);
                 self.start()
             }
             Happens::Change => {
-                self.agenda
-                    .set(self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2), Happens::Change);
+                self.agenda.schedule(
+                    self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
+                    Happens::Change,
+                );
                 self.change()
             }
             Happens::Up(link) => {
                 let host = self.hosts.get(&link).copied().unwrap_or(0);
                 self.links.insert(host, link);
-                self.input("link_up", || Ok(Input::LinkUp(link)))
+                self.input("link_up", || Ok(Input::NodeConnected(link)))
             }
             Happens::Word(link, message) => self.heard(link, &message),
-            Happens::Told => self.input("told", || Ok(Input::List(Vec::new()))),
+            Happens::Told => self.input("told", || Ok(Input::EndpointEvents(Vec::new()))),
         }
     }
 
@@ -318,15 +377,23 @@
     /// # Errors
     /// A message can't be read.
     pub fn play(&mut self, span: Micros, starts: u64, until: Option<Instant>) -> Result<()> {
-        let (end, last) = (self.now.saturating_add(span), self.started.saturating_add(starts));
+        let (end, last) = (
+            self.now.saturating_add(span),
+            self.started.saturating_add(starts),
+        );
         while self.started < last && until.is_none_or(|until| Instant::now() < until) {
-            let next = self.agenda.next().into_iter().chain(self.desk.next_wake()).min();
+            let next = self
+                .agenda
+                .next_deadline()
+                .into_iter()
+                .chain(self.desk.next_wake())
+                .min();
             let Some(at) = next.filter(|at| *at <= end) else {
                 self.now = end;
                 return Ok(());
             };
             self.now = self.now.max(at);
-            match self.agenda.due(self.now) {
+            match self.agenda.pop_due(self.now) {
                 Some(happens) => self.happen(happens)?,
                 None => self.input("tick", || Ok(Input::Tick(at)))?,
             }
@@ -339,10 +406,17 @@
     /// # Errors
     /// A message can't be read.
     pub fn warm_up(&mut self, play: &Play) -> Result<()> {
-        self.agenda.set(self.now + 1, Happens::Start);
-        self.agenda.set(self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2), Happens::Change);
+        self.agenda.schedule(self.now + 1, Happens::Start);
+        self.agenda.schedule(
+            self.now + self.cluster.next_change().unwrap_or(Micros::MAX / 2),
+            Happens::Change,
+        );
         self.fresh = true;
-        self.play(Micros::MAX / 4, play.warm, Some(Instant::now() + play.bound * 4))?;
+        self.play(
+            Micros::MAX / 4,
+            play.warm,
+            Some(Instant::now() + play.bound * 4),
+        )?;
         self.fresh = false;
         self.traffic.clear();
         self.turned_away = 0;
@@ -353,9 +427,9 @@
     pub fn held(&self) -> Vec<Measure> {
         let open = self.cluster.at.connections + self.links.len() as u64;
         vec![
-            Measure::counted("held_hosts", "count", self.desk.hosts() as f64),
-            Measure::counted("held_standing", "count", self.desk.standing() as f64),
-            Measure::counted("held_open", "count", self.desk.open() as f64),
+            Measure::counted("held_hosts", "count", self.desk.known_nodes() as f64),
+            Measure::counted("held_standing", "count", self.desk.running_tasks() as f64),
+            Measure::counted("held_open", "count", self.desk.open_requests() as f64),
             Measure::counted("held_links", "count", self.links.len() as f64),
             Measure::counted("descriptors", "count", open as f64),
         ]
@@ -375,17 +449,29 @@
         self.play(REST, u64::MAX, None)?;
         let seconds = REST as f64 / SECOND as f64;
         let [out, back] = ["test_out", "test_in"].map(|kind| self.traffic(kind));
-        let (messages, bytes) = ((out.messages + back.messages) as f64, (out.bytes + back.bytes) as f64);
+        let (messages, bytes) = (
+            (out.messages + back.messages) as f64,
+            (out.bytes + back.bytes) as f64,
+        );
         let links = self.links.len().max(1) as f64;
         let mut measures = vec![
             Measure::counted("rest_messages", "messages/s", messages / seconds),
             Measure::counted("rest_bytes", "bytes/s", bytes / seconds),
-            Measure::counted("rest_messages_link", "messages/s", messages / seconds / links),
+            Measure::counted(
+                "rest_messages_link",
+                "messages/s",
+                messages / seconds / links,
+            ),
             Measure::counted("rest_bytes_link", "bytes/s", bytes / seconds / links),
         ];
         let spent = self.timings.total_micros() / seconds;
         measures.extend(Measure::of("rest_time", "us/s", Basis::Timed, vec![spent]));
-        measures.extend(Measure::of("rest_time_link", "us/s", Basis::Timed, vec![spent / links]));
+        measures.extend(Measure::of(
+            "rest_time_link",
+            "us/s",
+            Basis::Timed,
+            vec![spent / links],
+        ));
         Ok(measures)
     }
 
@@ -397,9 +483,16 @@
             let Traffic { messages, bytes } = self.traffic(way);
             let each = |measure: &str, unit, figure| Measure {
                 samples: starts,
-                ..Measure::counted(&format!("{way}_{measure}"), unit, figure as f64 / starts as f64)
+                ..Measure::counted(
+                    &format!("{way}_{measure}"),
+                    unit,
+                    figure as f64 / starts as f64,
+                )
             };
-            measures.extend([each("messages", "messages", messages), each("bytes", "bytes", bytes)]);
+            measures.extend([
+                each("messages", "messages", messages),
+                each("bytes", "bytes", bytes),
+            ]);
         }
         let change = self.traffic("list_change");
         let bytes = change.bytes as f64 / change.messages.max(1) as f64;
@@ -408,7 +501,10 @@
             ..Measure::counted("list_change_bytes", "bytes", bytes)
         });
         let part = self.turned_away as f64 / starts as f64;
-        measures.push(Measure { samples: starts, ..Measure::counted("turned_away", "share", part) });
+        measures.push(Measure {
+            samples: starts,
+            ..Measure::counted("turned_away", "share", part)
+        });
         measures
     }
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -7,7 +7,8 @@
 
 use crate::interface::*;
 use crate::state::{
-    Attempt, Counts, Homes, Machine, Mean, Part, Stage, Task, first, home_rank, narrow, release, scatter,
+    Attempt, Counts, Homes, Machine, Mean, Part, Stage, Task, first, narrow, preferred_node_rank,
+    release, scatter,
 };
 use std::{cell::Cell, collections::BTreeSet};
 
@@ -45,7 +46,7 @@
     rng: fastrand::Rng,
     now: Micros,
     born: Option<Micros>,
-    machines: Table<MachineId, Machine>,
+    machines: Table<NodeId, Machine>,
     version: u64,
     watch_at: Option<Micros>,
     watch_failures: u32,
@@ -53,9 +54,9 @@
     /// Tasks without an offer, by when each has to be answered.
     held: BTreeSet<(Micros, RequestId)>,
     others: Mean,
-    services: Table<ServiceId, Table<MachineId, u32>>,
+    services: Table<ServiceId, Table<NodeId, u32>>,
     /// Machines that owe a word on an offer, and some that did.
-    awaited: BTreeSet<MachineId>,
+    awaited: BTreeSet<NodeId>,
     use_ratio: [f64; 2],
     start_times: Vec<[f64; 2]>,
     homes: Vec<f64>,
@@ -71,10 +72,18 @@
     /// A scheduler that has just started and knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Scheduler {
         // Before any start is seen: one without the program misses the aim, one with it takes a part of it.
-        let start_times = settings.classes.iter().map(|c| [c.aim as f64 * 0.25, c.aim as f64 * 2.0]);
+        let start_times = settings.classes.iter().map(|c| {
+            [
+                c.latency_objective as f64 * 0.25,
+                c.latency_objective as f64 * 2.0,
+            ]
+        });
         Scheduler {
             // Before any use is seen: a machine full by asks is taken to be full by use.
-            use_ratio: [1.0 / settings.accepts_cores.max(1.0), 1.0 / settings.accepts_memory.max(1.0)],
+            use_ratio: [
+                1.0 / settings.cores_overcommit.max(1.0),
+                1.0 / settings.memory_overcommit.max(1.0),
+            ],
             start_times: start_times.collect(),
             homes: vec![HOMES; settings.classes.len()],
             headroom: vec![0.0; settings.classes.len()],
@@ -104,7 +113,7 @@
         self.now = self.now.max(now.min(Micros::MAX / 4));
         if self.born.is_none() {
             self.born = Some(self.now);
-            self.watch_at = self.settings.list_on_request.then_some(self.now);
+            self.watch_at = self.settings.is_list_polled.then_some(self.now);
         }
         for event in events {
             self.take_in(event);
@@ -117,28 +126,56 @@
     }
 
     /// Machines that binds have looked at, and held against each other: for tests of what a bind costs.
-    pub fn compared(&self) -> u64 {
+    pub fn comparisons(&self) -> u64 {
         self.compared.get()
     }
 
     fn take_in(&mut self, event: &Event) {
         match event {
-            Event::MachineList { scope, version, lines } => self.on_list(*scope, *version, lines),
+            Event::NodeList {
+                kind: scope,
+                version,
+                entries: lines,
+            } => self.on_list(*scope, *version, lines),
             Event::Place(ask) => self.on_place(ask),
-            Event::Standing { request, machine } => self.on_standing(request, *machine),
-            Event::Placed { request, attempt, machine } => self.on_placed(*request, *attempt, *machine),
-            Event::Noted { request, attempt, machine, note } => {
+            Event::RunningTask {
+                request,
+                node: machine,
+            } => self.on_standing(request, *machine),
+            Event::Placed {
+                request,
+                attempt,
+                node: machine,
+            } => self.on_placed(*request, *attempt, *machine),
+            Event::TaskUpdated {
+                request,
+                attempt,
+                node: machine,
+                update: note,
+            } => {
                 self.on_note(*request, *attempt, *machine, *note);
             }
-            Event::Ended { request, attempt, machine, outcome, why, over, load } => {
+            Event::AttemptEnded {
+                request,
+                attempt,
+                node: machine,
+                outcome,
+                reason: why,
+                is_final: over,
+                load,
+            } => {
                 self.on_ended(*request, *attempt, *machine, *outcome, *why, *over);
                 if let Some(load) = load {
                     self.on_load(*machine, load);
                 }
             }
-            Event::Unwanted(request) => self.close(*request),
+            Event::RequestCancelled(request) => self.close(*request),
             Event::Timer(_) => (self.wake, self.room_news) = (Micros::MAX, true),
-            Event::Probed { machine, answered, load } => {
+            Event::Probed {
+                node: machine,
+                answered,
+                load,
+            } => {
                 if *answered {
                     self.on_heard(*machine);
                 }
@@ -152,29 +189,32 @@
 
     // ---- The machine list ----
 
-    fn on_list(&mut self, scope: ListScope, version: u64, lines: &[MachineLine]) {
-        if scope == ListScope::Failed {
+    fn on_list(&mut self, scope: ListUpdateKind, version: u64, lines: &[NodeEntry]) {
+        if scope == ListUpdateKind::Failed {
             // Danger: all schedulers lose the list at once and ask again in step; waits grow and scatter.
-            let [first, most] = self.settings.ask_again;
+            let [first, most] = self.settings.poll_backoff;
             let wait = (first << self.watch_failures).min(most);
             self.watch_failures = (self.watch_failures + 1).min(4);
             self.watch_at = Some(self.now + wait / 2 + self.rng.u64(0..=wait / 2));
             return;
         }
-        if !matches!(scope, ListScope::Cached | ListScope::View) {
+        if !matches!(scope, ListUpdateKind::Cached | ListUpdateKind::SubsetChange) {
             (self.watch_failures, self.watch_at) = (0, None);
         }
         // Danger: a list older than the one held would bring drained machines back.
-        if version < self.version && scope != ListScope::Cached {
+        if version < self.version && scope != ListUpdateKind::Cached {
             return;
         }
         self.version = version;
         self.room_news = true;
-        if !matches!(scope, ListScope::Delta | ListScope::View) {
-            let named: BTreeSet<MachineId> = lines.iter().map(|line| line.machine).collect();
+        if !matches!(
+            scope,
+            ListUpdateKind::Incremental | ListUpdateKind::SubsetChange
+        ) {
+            let named: BTreeSet<NodeId> = lines.iter().map(|line| line.node).collect();
             for machine in self.machines.values_mut() {
-                if !named.contains(&machine.line.machine) {
-                    machine.line.state = MachineState::Gone;
+                if !named.contains(&machine.line.node) {
+                    machine.line.state = NodeStatus::Gone;
                 }
             }
         }
@@ -186,17 +226,23 @@
         let since = self.now.saturating_sub(self.cold_window());
         self.machines.retain(|_, m| {
             let offered = m.offers.back().is_some_and(|at| *at > since);
-            m.line.state != MachineState::Gone || offered || m.programs.values().any(|p| p.0 > 0)
+            m.line.state != NodeStatus::Gone || offered || m.programs.values().any(|p| p.0 > 0)
         });
         self.others = Mean::of(self.machines.values().filter_map(|m| m.others));
     }
 
-    fn on_line(&mut self, line: &MachineLine) {
+    fn on_line(&mut self, line: &NodeEntry) {
         // Times near the end of their type would overflow in sums.
-        let line = &MachineLine { started_at: line.started_at.min(self.now), ..line.clone() };
-        let kind = self.settings.kinds.get(usize::from(line.kind));
-        let then = self.now.saturating_sub(self.settings.ask_every / 4); // A guess of the list's lateness.
-        let machine = self.machines.entry(line.machine).or_insert_with(|| Machine::new(line.machine));
+        let line = &NodeEntry {
+            started_at: line.started_at.min(self.now),
+            ..line.clone()
+        };
+        let kind = self.settings.node_kinds.get(usize::from(line.kind));
+        let then = self.now.saturating_sub(self.settings.poll_interval / 4); // A guess of the list's lateness.
+        let machine = self
+            .machines
+            .entry(line.node)
+            .or_insert_with(|| Machine::new(line.node));
         let (cores, memory) = kind.map_or((0.0, 0.0), |k| (k.cores, k.memory));
         (machine.cores, machine.memory, machine.listed) = (cores, memory, true);
         if line.started_at != machine.line.started_at {
@@ -208,7 +254,9 @@
         machine.line = line.clone();
         // Danger: a list that runs behind would erase what the machine itself told since.
         let news = then >= machine.told_at;
-        if let (Some(free_cores), Some(free_memory), true) = (line.free_cores, line.free_memory, news) {
+        if let (Some(free_cores), Some(free_memory), true) =
+            (line.free_cores, line.free_memory, news)
+        {
             let asked = [cores - free_cores, memory - free_memory];
             Scheduler::learn_others(&self.settings, machine, asked, then);
         }
@@ -223,39 +271,50 @@
         let alone = settings.schedulers <= 1;
         let weight = (1.0 - 1.0 / f64::from(settings.schedulers.max(1))).powi(2);
         for i in 0..2 {
-            let seen = if alone || !asked[i].is_finite() { 0.0 } else { (asked[i] - own[i]).max(0.0) };
+            let seen = if alone || !asked[i].is_finite() {
+                0.0
+            } else {
+                (asked[i] - own[i]).max(0.0)
+            };
             let others = machine.others.get_or_insert([f64::NAN; 2]);
-            others[i] = if others[i].is_nan() { seen } else { others[i] + weight * (seen - others[i]) };
+            others[i] = if others[i].is_nan() {
+                seen
+            } else {
+                others[i] + weight * (seen - others[i])
+            };
         }
     }
 
     fn ask_for_list(&mut self) {
         if self.watch_at.is_some_and(|at| at <= self.now) {
             self.watch_at = None;
-            self.out.push(Action::Watch);
+            self.out.push(Action::WatchNodes);
         }
     }
 
     // ---- A task comes ----
 
-    fn on_place(&mut self, ask: &Request) {
+    fn on_place(&mut self, ask: &PlacementRequest) {
         if !ask.makes_sense(&self.settings) {
-            self.out.push(Action::Refuse { request: ask.request, retry_after: None });
+            self.out.push(Action::Reject {
+                request: ask.id,
+                retry_after: None,
+            });
             return;
         }
-        if self.tasks.contains_key(&ask.request) {
+        if self.tasks.contains_key(&ask.id) {
             return;
         }
         let deadline = self.now.saturating_add(ask.deadline_in);
         let task = Task::new(ask, self.now, deadline, Stage::Held);
-        self.tasks.insert(ask.request, task);
-        if !self.try_place(ask.request, None) {
-            self.hold(ask.request);
+        self.tasks.insert(ask.id, task);
+        if !self.try_place(ask.id, None) {
+            self.hold(ask.id);
         }
     }
 
-    fn on_standing(&mut self, ask: &Request, machine: MachineId) {
-        if !ask.makes_sense(&self.settings) || self.tasks.contains_key(&ask.request) {
+    fn on_standing(&mut self, ask: &PlacementRequest, machine: NodeId) {
+        if !ask.makes_sense(&self.settings) || self.tasks.contains_key(&ask.id) {
             return;
         }
         let mut task = Task::new(ask, self.now, self.now, Stage::Placed);
@@ -268,7 +327,7 @@
             self.others.change(before, m.others);
         }
         task.attempts.push(attempt);
-        self.tasks.insert(ask.request, task);
+        self.tasks.insert(ask.id, task);
     }
 
     fn hold(&mut self, request: RequestId) {
@@ -278,15 +337,17 @@
     }
 
     fn is_held(&self, request: RequestId) -> bool {
-        self.tasks.get(&request).is_some_and(|t| t.stage == Stage::Held)
+        self.tasks
+            .get(&request)
+            .is_some_and(|t| t.stage == Stage::Held)
     }
 
     /// Until then a held task can still be placed. Held past the window of its key, it can be placed no more.
     fn ends_at(&self, task: &Task) -> Micros {
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let first = task.attempts.iter().find(|a| a.may_have_run);
-        let window = match (class.repeat, first) {
-            (Repeat::Keyed { window, .. }, Some(first)) => {
+        let window = match (class.idempotency, first) {
+            (Idempotency::Keyed { window, .. }, Some(first)) => {
                 (first.sent_at + window).saturating_sub(self.settings.tick)
             }
             _ => Micros::MAX,
@@ -297,7 +358,8 @@
     /// Danger: many tasks are held where room is short. Looked at with each batch, they take all the time
     /// that there is, and answers come too late. They are looked at when something can come of it.
     fn place_held(&mut self) {
-        while let Some((_, request)) = self.held.first().copied().filter(|(at, _)| *at <= self.now) {
+        while let Some((_, request)) = self.held.first().copied().filter(|(at, _)| *at <= self.now)
+        {
             self.held.pop_first();
             if self.is_held(request) {
                 // It can be placed no more: its owner is told at once.
@@ -308,7 +370,9 @@
             return;
         }
         // Danger: when room is short the first in line takes it; the most worth for its room goes first.
-        let waiting = std::mem::take(&mut self.held).into_iter().filter(|(_, r)| self.is_held(*r));
+        let waiting = std::mem::take(&mut self.held)
+            .into_iter()
+            .filter(|(_, r)| self.is_held(*r));
         let mut ranked: Vec<(f64, RequestId)> = waiting.map(|(_, r)| (self.value(r), r)).collect();
         ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         (self.room_news, self.next_try) = (false, self.now + self.shortest_aim() / 32);
@@ -321,27 +385,47 @@
     }
 
     /// Machines that could take the least of these tasks. Nothing opens while they are gone through.
-    fn open_to(&self, waiting: &[(f64, RequestId)]) -> Vec<MachineId> {
-        let asks = || waiting.iter().filter_map(|(_, r)| self.tasks.get(r)).map(|t| &t.ask);
-        let least = |of: fn(&Request) -> f64| asks().map(of).fold(f64::INFINITY, f64::min);
+    fn open_to(&self, waiting: &[(f64, RequestId)]) -> Vec<NodeId> {
+        let asks = || {
+            waiting
+                .iter()
+                .filter_map(|(_, r)| self.tasks.get(r))
+                .map(|t| &t.ask)
+        };
+        let least = |of: fn(&PlacementRequest) -> f64| asks().map(of).fold(f64::INFINITY, f64::min);
         let least = [least(|a| a.cores), least(|a| a.memory)];
         let mean = self.others.get();
         let open = |m: &&Machine| {
-            m.line.state == MachineState::Ready && self.has_room(m, least, 1.0, mean) && self.cold_allows(m)
+            m.line.state == NodeStatus::Ready
+                && self.has_room(m, least, 1.0, mean)
+                && self.cold_allows(m)
         };
-        self.machines.values().filter(open).map(|m| m.line.machine).collect()
+        self.machines
+            .values()
+            .filter(open)
+            .map(|m| m.line.node)
+            .collect()
     }
 
     /// Worth for its room: worth goes with size, so only class and timeliness tell.
     fn value(&self, request: RequestId) -> f64 {
-        let Some(task) = self.tasks.get(&request) else { return 0.0 };
+        let Some(task) = self.tasks.get(&request) else {
+            return 0.0;
+        };
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let timely = self.is_timely(task);
-        class.worth * class.start_seconds.max(1.0) * (2.0 + if timely { 1.0 } else { class.late_worth })
+        class.weight
+            * class.start_seconds.max(1.0)
+            * (2.0 + if timely { 1.0 } else { class.late_weight })
     }
 
     fn shortest_aim(&self) -> Micros {
-        self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(self.settings.ask_every)
+        self.settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .min()
+            .unwrap_or(self.settings.poll_interval)
     }
 
     /// Time to spare before a deadline: answers count for a little longer, batches come a tick apart.
@@ -352,8 +436,10 @@
     // ---- The filter and the draw ----
 
     /// Draws a machine and offers the task; false leaves it held.
-    fn try_place(&mut self, request: RequestId, among: Option<&[MachineId]>) -> bool {
-        let Some(task) = self.tasks.get(&request) else { return true };
+    fn try_place(&mut self, request: RequestId, among: Option<&[NodeId]>) -> bool {
+        let Some(task) = self.tasks.get(&request) else {
+            return true;
+        };
         if task.deadline <= self.now + self.margin() || self.now < task.rests_until {
             return false;
         }
@@ -362,25 +448,36 @@
         let counts = self.counts(task);
         let may = |m: &&Machine| self.may_take(m, task, mean_others, &counts);
         let mut set: Vec<&Machine> = match among {
-            Some(ids) => ids.iter().filter_map(|id| self.machines.get(id)).filter(may).collect(),
+            Some(ids) => ids
+                .iter()
+                .filter_map(|id| self.machines.get(id))
+                .filter(may)
+                .collect(),
             None => self.machines.values().filter(may).collect(),
         };
-        self.compared.set(self.compared.get() + among.map_or(self.machines.len(), <[_]>::len) as u64);
+        self.compared
+            .set(self.compared.get() + among.map_or(self.machines.len(), <[_]>::len) as u64);
         self.keep_opened(&mut set, mean_others);
         self.keep_home(&mut set, &task.ask, mean_others);
-        narrow(&mut set, |m| self.keeps_memory_free(m, &task.ask, mean_others));
+        narrow(&mut set, |m| {
+            self.keeps_memory_free(m, &task.ask, mean_others)
+        });
         self.keep_timely(&mut set, task);
-        let set: Vec<(MachineId, f64, f64)> =
-            set.iter().map(|m| (m.line.machine, m.cores, self.entry(m, mean_others))).collect();
-        let Some(machine) = self.draw(set) else { return false };
+        let set: Vec<(NodeId, f64, f64)> = set
+            .iter()
+            .map(|m| (m.line.node, m.cores, self.entry(m, mean_others)))
+            .collect();
+        let Some(machine) = self.draw(set) else {
+            return false;
+        };
         self.offer(request, machine);
         true
     }
 
     fn may_take(&self, m: &Machine, task: &Task, mean_others: [f64; 2], counts: &Counts) -> bool {
         let class = &self.settings.classes[usize::from(task.ask.class)];
-        m.line.state == MachineState::Ready
-            && class.kind.is_none_or(|k| k == m.line.kind)
+        m.line.state == NodeStatus::Ready
+            && class.node_kind.is_none_or(|k| k == m.line.kind)
             && self.fits(m, &task.ask, mean_others)
             && self.is_rested(m, &task.ask, class)
             && self.group_allows(m, task, class)
@@ -388,7 +485,7 @@
             && self.cold_allows(m)
     }
 
-    fn fits(&self, m: &Machine, ask: &Request, mean_others: [f64; 2]) -> bool {
+    fn fits(&self, m: &Machine, ask: &PlacementRequest, mean_others: [f64; 2]) -> bool {
         let open = 1.0 - self.headroom[usize::from(ask.class)];
         let refused = m.refused.filter(|_| self.now < m.refused_until);
         let refused = refused.is_some_and(|r| ask.cores >= r[0] && ask.memory >= r[1]);
@@ -397,42 +494,63 @@
 
     fn has_room(&self, m: &Machine, asks: [f64; 2], open: f64, mean_others: [f64; 2]) -> bool {
         let asked = m.asked(mean_others);
-        asked[0] + asks[0] <= open * self.settings.accepts_cores * m.cores
-            && asked[1] + asks[1] <= open * self.settings.accepts_memory * m.memory
+        asked[0] + asks[0] <= open * self.settings.cores_overcommit * m.cores
+            && asked[1] + asks[1] <= open * self.settings.memory_overcommit * m.memory
     }
 
     /// Danger: a machine that answers nothing, or fails one tenant's tasks of one class, keeps an inviting
     /// entry and swallows task after task. What failed rests; a silent machine is tried with a task that may
     /// run twice.
-    fn is_rested(&self, m: &Machine, ask: &Request, class: &Class) -> bool {
-        let allows = |part: Part, may: bool| m.rests.get(&part).is_none_or(|r| may && self.now >= r.until);
-        allows(Part::Silent, class.repeat == Repeat::Safe)
-            && [Part::Line, Part::of(ask)].into_iter().all(|part| allows(part, true))
+    fn is_rested(&self, m: &Machine, ask: &PlacementRequest, class: &TaskClass) -> bool {
+        let allows = |part: Part, may: bool| {
+            m.rests
+                .get(&part)
+                .is_none_or(|r| may && self.now >= r.until)
+        };
+        allows(Part::Silent, class.idempotency == Idempotency::Idempotent)
+            && [Part::Line, Part::of(ask)]
+                .into_iter()
+                .all(|part| allows(part, true))
     }
 
     /// Danger: a keyed task that may have run starts a second time on machines that do not know its key.
-    fn group_allows(&self, m: &Machine, task: &Task, class: &Class) -> bool {
-        let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else { return true };
+    fn group_allows(&self, m: &Machine, task: &Task, class: &TaskClass) -> bool {
+        let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else {
+            return true;
+        };
         let same_zone = m.line.zone == first.zone;
         self.may_send_again(task)
-            && match class.repeat {
-                Repeat::Keyed { group: Group::Zone, .. } => same_zone,
-                Repeat::Keyed { group: Group::Rack, .. } => same_zone && m.line.rack == first.rack,
+            && match class.idempotency {
+                Idempotency::Keyed {
+                    scope: DedupScope::Zone,
+                    ..
+                } => same_zone,
+                Idempotency::Keyed {
+                    scope: DedupScope::Rack,
+                    ..
+                } => same_zone && m.line.rack == first.rack,
                 _ => true,
             }
     }
 
     /// Danger: a bind that crowds a service into one place; everything without an end counts.
-    fn spread_allows(&self, m: &Machine, class: &Class, counts: &Counts) -> bool {
-        class.spread == Spread::Off || counts.at(m.place(class.spread)) < class.most
+    fn spread_allows(&self, m: &Machine, class: &TaskClass, counts: &Counts) -> bool {
+        class.topology_spread == TopologySpread::Off
+            || counts.at(m.place(class.topology_spread)) < class.max_per_domain
     }
 
     /// The tasks of a task's service by place. One handed over on a machine that no list names may stand
     /// anywhere, so it counts everywhere.
     fn counts(&self, task: &Task) -> Counts {
-        let spread = self.settings.classes[usize::from(task.ask.class)].spread;
-        let held = self.services.get(&task.ask.service).filter(|_| spread != Spread::Off);
-        let held = held.into_iter().flatten().filter_map(|(id, n)| Some((self.machines.get(id)?, *n)));
+        let spread = self.settings.classes[usize::from(task.ask.class)].topology_spread;
+        let held = self
+            .services
+            .get(&task.ask.service)
+            .filter(|_| spread != TopologySpread::Off);
+        let held = held
+            .into_iter()
+            .flatten()
+            .filter_map(|(id, n)| Some((self.machines.get(id)?, *n)));
         Counts::of(held.map(|(m, n)| (m.listed.then(|| m.place(spread)), n)))
     }
 
@@ -449,28 +567,40 @@
             return false;
         }
         let all = u64::from(self.settings.schedulers.max(1));
-        let bears = self.settings.cold_bears.max(0.0) as u64;
-        let first = scatter(m.line.machine.0 ^ scatter(m.line.life)) % all;
-        let place = (u64::from(self.settings.own_number) + all - first) % all;
+        let bears = self.settings.slow_start_budget.max(0.0) as u64;
+        let first = scatter(m.line.node.0 ^ scatter(m.line.incarnation)) % all;
+        let place = (u64::from(self.settings.own_index) + all - first) % all;
         let share = bears / all + u64::from(place < bears % all);
-        let share = m.line.cold_share.map_or(share, u64::from);
-        let recent = m.offers.iter().filter(|at| **at + window > self.now).count();
+        let share = m.line.slow_start_share.map_or(share, u64::from);
+        let recent = m
+            .offers
+            .iter()
+            .filter(|at| **at + window > self.now)
+            .count();
         (recent as u64) < share
     }
 
     fn cold_window(&self) -> Micros {
-        self.settings.fall_window + self.settings.fall_window / 4
+        self.settings.overload_window + self.settings.overload_window / 4
     }
 
     fn is_cold(&self, m: &Machine) -> bool {
-        let warm_at = m.line.started_at + self.settings.warm_within + self.settings.warm_within / 8;
+        let warm_at = m.line.started_at
+            + self.settings.slow_start_window
+            + self.settings.slow_start_window / 8;
         m.line.started_at > 0 && self.now < warm_at
     }
 
     /// Danger: memory in use at its end evicts tasks, and the asks do not show it. Machines that would keep
     /// a part of their memory free are preferred.
-    fn keeps_memory_free(&self, m: &Machine, ask: &Request, mean_others: [f64; 2]) -> bool {
-        let memory = m.expected_use(mean_others, self.use_ratio)[1] + ask.memory * self.use_ratio[1];
+    fn keeps_memory_free(
+        &self,
+        m: &Machine,
+        ask: &PlacementRequest,
+        mean_others: [f64; 2],
+    ) -> bool {
+        let memory =
+            m.expected_use(mean_others, self.use_ratio)[1] + ask.memory * self.use_ratio[1];
         memory <= MEMORY_FILL * m.memory
     }
 
@@ -479,10 +609,17 @@
     /// drains: the tasks that it sends away need all the room there is.
     fn keep_opened(&self, set: &mut Vec<&Machine>, mean_others: [f64; 2]) {
         let opened = |m: &Machine| m.asked(mean_others)[0] >= self.settings.mean_cores / 2.0;
-        let entries: Vec<f64> =
-            set.iter().filter(|m| opened(m)).map(|m| self.entry(m, mean_others)).collect();
+        let entries: Vec<f64> = set
+            .iter()
+            .filter(|m| opened(m))
+            .map(|m| self.entry(m, mean_others))
+            .collect();
         let spare = entries.iter().sum::<f64>() <= OPENED_FILL * entries.len() as f64;
-        let draining = || self.machines.values().any(|m| m.line.state == MachineState::Draining);
+        let draining = || {
+            self.machines
+                .values()
+                .any(|m| m.line.state == NodeStatus::Draining)
+        };
         if self.settings.fleet_price > 0.0 && spare && !draining() {
             narrow(set, opened);
         }
@@ -492,8 +629,12 @@
     /// seconds of service; so does a start behind many others. Machines expected to make it are preferred.
     fn keep_timely(&self, set: &mut Vec<&Machine>, task: &Task) {
         let class = &self.settings.classes[usize::from(task.ask.class)];
-        let left = (task.arrived + class.aim).saturating_sub(self.now) as f64 * AIM_SHARE;
-        let soonest = set.iter().map(|m| self.start_estimate(m, &task.ask)).fold(f64::INFINITY, f64::min);
+        let left =
+            (task.arrived + class.latency_objective).saturating_sub(self.now) as f64 * AIM_SHARE;
+        let soonest = set
+            .iter()
+            .map(|m| self.start_estimate(m, &task.ask))
+            .fold(f64::INFINITY, f64::min);
         let limit = left.max(soonest * NEAR_SOONEST);
         narrow(set, |m| self.start_estimate(m, &task.ask) <= limit);
     }
@@ -501,31 +642,40 @@
     /// Danger: with many schedulers nobody sees where the others left a program, and its tasks start
     /// on ever new machines. The draw keeps to known holders and a few homes, ranked by service and id,
     /// larger machines ahead in proportion: all schedulers come to the same ones without a word.
-    fn keep_home(&self, set: &mut Vec<&Machine>, ask: &Request, mean_others: [f64; 2]) {
-        let rank = |m: &Machine| home_rank(ask.service, m.line.machine, m.cores);
+    fn keep_home(&self, set: &mut Vec<&Machine>, ask: &PlacementRequest, mean_others: [f64; 2]) {
+        let rank = |m: &Machine| preferred_node_rank(ask.service, m.line.node, m.cores);
         let mut ranked: Vec<(f64, &Machine)> = set.iter().map(|m| (rank(m), *m)).collect();
         // As many again stand in for homes that run short of memory.
         let homes = self.homes[usize::from(ask.class)].round() as usize;
         first(&mut ranked, homes * 2, |a, b| {
-            b.0.total_cmp(&a.0).then(a.1.line.machine.cmp(&b.1.line.machine))
+            b.0.total_cmp(&a.0).then(a.1.line.node.cmp(&b.1.line.node))
         });
         let mut ranked: Vec<&Machine> = ranked.into_iter().map(|(_, m)| m).collect();
         narrow(&mut ranked, |m| self.keeps_memory_free(m, ask, mean_others));
         // Danger: homes may be learned to grow with the machines; each held against each is their square.
-        let homes = Homes::of(ranked.into_iter().take(homes).map(|m| m.line.machine), &self.compared);
-        set.retain(|m| m.holds_program(ask.service) || homes.hold(m.line.machine));
+        let homes = Homes::of(
+            ranked.into_iter().take(homes).map(|m| m.line.node),
+            &self.compared,
+        );
+        set.retain(|m| m.holds_program(ask.service) || homes.hold(m.line.node));
     }
 
-    fn start_estimate(&self, m: &Machine, ask: &Request) -> f64 {
+    fn start_estimate(&self, m: &Machine, ask: &PlacementRequest) -> f64 {
         let cold = usize::from(!m.holds_program(ask.service));
         let own = self.start_times[usize::from(ask.class)][cold];
-        let left = |(sent, estimate): &(Micros, f64)| (estimate - (self.now - sent) as f64).max(0.0);
+        let left =
+            |(sent, estimate): &(Micros, f64)| (estimate - (self.now - sent) as f64).max(0.0);
         // Machines start a few tasks at a time: about a quarter of what is before this one delays it.
         let before: f64 = m.starting.values().map(left).sum::<f64>() * 0.25;
         // A fresh machine warms up from the least share it promises.
         let up = self.now.saturating_sub(m.line.started_at) as f64;
-        let part = if self.is_cold(m) { up / self.settings.warm_within.max(1) as f64 } else { 1.0 };
-        let warmth = self.settings.cold_from + (1.0 - self.settings.cold_from) * part.min(1.0);
+        let part = if self.is_cold(m) {
+            up / self.settings.slow_start_window.max(1) as f64
+        } else {
+            1.0
+        };
+        let warmth = self.settings.slow_start_min_share
+            + (1.0 - self.settings.slow_start_min_share) * part.min(1.0);
         (own + before) / warmth.max(f64::MIN_POSITIVE)
     }
 
@@ -533,13 +683,13 @@
     fn entry(&self, m: &Machine, mean_others: [f64; 2]) -> f64 {
         let asked = m.asked(mean_others);
         let used = m.expected_use(mean_others, self.use_ratio);
-        let cores = (asked[0] / self.settings.accepts_cores).max(used[0]) / m.cores.max(1e-9);
-        let memory = (asked[1] / self.settings.accepts_memory).max(used[1]) / m.memory.max(1e-9);
+        let cores = (asked[0] / self.settings.cores_overcommit).max(used[0]) / m.cores.max(1e-9);
+        let memory = (asked[1] / self.settings.memory_overcommit).max(used[1]) / m.memory.max(1e-9);
         cores.max(memory)
     }
 
     /// L-JBA: among those at or below the mean entry, with chance by cores.
-    fn draw(&mut self, mut set: Vec<(MachineId, f64, f64)>) -> Option<MachineId> {
+    fn draw(&mut self, mut set: Vec<(NodeId, f64, f64)>) -> Option<NodeId> {
         let mean = set.iter().map(|(_, _, entry)| entry).sum::<f64>() / set.len().max(1) as f64;
         set.retain(|(_, _, entry)| *entry <= mean + 1e-9);
         let total: f64 = set.iter().map(|(_, cores, _)| cores).sum();
@@ -553,47 +703,81 @@
 
     // ---- The offer ----
 
-    fn offer(&mut self, request: RequestId, machine: MachineId) {
-        let Some(mut task) = self.tasks.remove(&request) else { return };
+    fn offer(&mut self, request: RequestId, machine: NodeId) {
+        let Some(mut task) = self.tasks.remove(&request) else {
+            return;
+        };
         let m = &self.machines[&machine];
-        let (estimate, warm) = (self.start_estimate(m, &task.ask), m.holds_program(task.ask.service));
+        let (estimate, warm) = (
+            self.start_estimate(m, &task.ask),
+            m.holds_program(task.ask.service),
+        );
         let (timeout, part) = (self.patience(&task, estimate), Part::of(&task.ask));
         let attempt = self.open_attempt(&task.ask, machine, estimate, warm, true);
         task.attempts.push(attempt);
         task.stage = Stage::Offered;
         self.tasks.insert(request, task);
         if let Some(m) = self.machines.get_mut(&machine) {
-            let window = self.settings.fall_window * 2;
+            let window = self.settings.overload_window * 2;
             m.offers.retain(|at| at + window > self.now);
             m.offers.push_back(self.now);
-            let tried = [Part::Silent, Part::Line, part].into_iter().filter(|p| m.rests.contains_key(p));
+            let tried = [Part::Silent, Part::Line, part]
+                .into_iter()
+                .filter(|p| m.rests.contains_key(p));
             for part in tried.collect::<Vec<Part>>() {
                 self.rest(machine, part);
             }
         }
-        self.out.push(Action::Bind { request, machine, timeout });
+        self.out.push(Action::Dispatch {
+            request,
+            node: machine,
+            timeout,
+        });
         self.probe_some();
     }
 
     /// Adds the task to its entry at once.
     fn open_attempt(
-        &mut self, ask: &Request, machine: MachineId, estimate: f64, warm: bool, starting: bool,
+        &mut self,
+        ask: &PlacementRequest,
+        machine: NodeId,
+        estimate: f64,
+        warm: bool,
+        starting: bool,
     ) -> Attempt {
         let now = self.now;
         // A task handed over on a machine that no list has named yet: it is counted, not sent to.
-        let m = self.machines.entry(machine).or_insert_with(|| Machine::new(machine));
-        m.add_own(now, ask, 1.0, self.settings.ask_every);
+        let m = self
+            .machines
+            .entry(machine)
+            .or_insert_with(|| Machine::new(machine));
+        m.add_own(now, ask, 1.0, self.settings.poll_interval);
         let program = m.programs.entry(ask.service).or_insert((0, now));
         *program = (program.0 + 1, now);
         if starting {
-            m.starting.insert(ask.request, (now, estimate));
-            m.unanswered.insert(ask.request, now);
+            m.starting.insert(ask.id, (now, estimate));
+            m.unanswered.insert(ask.id, now);
             self.awaited.insert(machine);
         }
-        *self.services.entry(ask.service).or_default().entry(machine).or_insert(0) += 1;
+        *self
+            .services
+            .entry(ask.service)
+            .or_default()
+            .entry(machine)
+            .or_insert(0) += 1;
         let (rack, zone) = (m.line.rack, m.line.zone);
         let (open, may_have_run, erred) = (true, false, false);
-        Attempt { machine, rack, zone, sent_at: now, warm, open, starting, may_have_run, erred }
+        Attempt {
+            machine,
+            rack,
+            zone,
+            sent_at: now,
+            warm,
+            open,
+            starting,
+            may_have_run,
+            erred,
+        }
     }
 
     /// Danger: a silent machine holds a task until its deadline. An attempt is given up while another could
@@ -602,60 +786,87 @@
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let left = task.deadline.saturating_sub(self.now) as f64;
         // A further try of a task confined to a rack or zone seldom finds the program there.
-        let confined = matches!(class.repeat, Repeat::Keyed { group: Group::Rack | Group::Zone, .. });
-        let wait = match self.settings.confirms {
-            Confirms::Accepted => class.aim as f64,
+        let confined = matches!(
+            class.idempotency,
+            Idempotency::Keyed {
+                scope: DedupScope::Rack | DedupScope::Zone,
+                ..
+            }
+        );
+        let wait = match self.settings.placement_ack {
+            PlacementAck::Accepted => class.latency_objective as f64,
             // A start that is cut off is lost work, so half of what is left is waited at least.
-            Confirms::Running => (estimate * OVERDUE).max(left * if confined { 0.75 } else { 0.5 }),
+            PlacementAck::Running => {
+                (estimate * OVERDUE).max(left * if confined { 0.75 } else { 0.5 })
+            }
         };
-        let retry = self.start_times[usize::from(task.ask.class)][0].max(class.aim as f64 * 0.5);
+        let retry = self.start_times[usize::from(task.ask.class)][0]
+            .max(class.latency_objective as f64 * 0.5);
         let last = task.attempts.len() + 1 >= self.settings.max_attempts as usize;
-        let keeps = match class.repeat {
-            Repeat::Safe | Repeat::Keyed { .. } => last || wait + retry > left,
-            Repeat::Unsafe => self.settings.confirms == Confirms::Running || wait * OVERDUE > left,
+        let keeps = match class.idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { .. } => last || wait + retry > left,
+            Idempotency::NonIdempotent => {
+                self.settings.placement_ack == PlacementAck::Running || wait * OVERDUE > left
+            }
         };
         (!keeps).then_some(wait as Micros)
     }
 
     fn probe_some(&mut self) {
-        if self.settings.probes && self.rng.f64() < PROBE_CHANCE {
+        if self.settings.can_probe && self.rng.f64() < PROBE_CHANCE {
             let ready = self.ready(|_| true);
             if !ready.is_empty() {
-                self.out.push(Action::Probe(ready[self.rng.usize(0..ready.len())]));
+                self.out
+                    .push(Action::Probe(ready[self.rng.usize(0..ready.len())]));
             }
         }
     }
 
-    fn ready(&self, passes: impl Fn(&Machine) -> bool) -> Vec<MachineId> {
-        let ready = |m: &&Machine| m.line.state == MachineState::Ready && passes(m);
-        self.machines.values().filter(ready).map(|m| m.line.machine).collect()
+    fn ready(&self, passes: impl Fn(&Machine) -> bool) -> Vec<NodeId> {
+        let ready = |m: &&Machine| m.line.state == NodeStatus::Ready && passes(m);
+        self.machines
+            .values()
+            .filter(ready)
+            .map(|m| m.line.node)
+            .collect()
     }
 
     // ---- What machines answer ----
 
-    fn on_heard(&mut self, machine: MachineId) {
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+    fn on_heard(&mut self, machine: NodeId) {
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         m.heard_at = self.now;
         if m.rests.remove(&Part::Silent).is_some() {
             self.room_news = true;
-            self.out.push(Action::Log(format!("machine {:x} answers again", machine.0)));
+            self.out.push(Action::Log(format!(
+                "machine {:x} answers again",
+                machine.0
+            )));
         }
     }
 
-    fn on_placed(&mut self, request: RequestId, attempt: u16, machine: MachineId) {
+    fn on_placed(&mut self, request: RequestId, attempt: u16, machine: NodeId) {
         self.on_heard(machine);
         if let Some(m) = self.machines.get_mut(&machine) {
             m.unanswered.remove(&request);
         }
-        if self.settings.confirms == Confirms::Running {
+        if self.settings.placement_ack == PlacementAck::Running {
             self.on_runs(request, attempt);
         }
-        let Some(task) = self.tasks.get_mut(&request).filter(|t| t.stage == Stage::Offered) else {
+        let Some(task) = self
+            .tasks
+            .get_mut(&request)
+            .filter(|t| t.stage == Stage::Offered)
+        else {
             return;
         };
         task.stage = Stage::Placed;
         let (parts, first) = ([Part::Line, Part::of(&task.ask)], self.first_rest());
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         m.errors.remove(&parts[1]);
         for part in parts {
             if let Some(rest) = m.rests.get_mut(&part) {
@@ -663,19 +874,26 @@
                 (rest.until, rest.wait) = (self.now, rest.wait / 4);
             }
         }
-        m.rests.retain(|part, rest| !parts.contains(part) || rest.wait >= first);
+        m.rests
+            .retain(|part, rest| !parts.contains(part) || rest.wait >= first);
     }
 
     /// A start is over: what it took teaches the estimates of its class.
     fn on_runs(&mut self, request: RequestId, attempt: u16) {
-        let Some(task) = self.tasks.get_mut(&request) else { return };
-        let Some(a) = task.attempts.get_mut(usize::from(attempt)).filter(|a| a.starting) else {
+        let Some(task) = self.tasks.get_mut(&request) else {
+            return;
+        };
+        let Some(a) = task
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|a| a.starting)
+        else {
             return;
         };
         a.starting = false;
         let took = (self.now - a.sent_at) as f64;
         let class = usize::from(task.ask.class);
-        let aim = self.settings.classes[class].aim as f64;
+        let aim = self.settings.classes[class].latency_objective as f64;
         if !a.warm && self.start_times[class][0] < aim {
             // How many tasks a service has is not told: homes that are often late are too many for it.
             let timely = if took <= aim { 1.0 } else { 0.0 };
@@ -689,15 +907,17 @@
         }
     }
 
-    fn on_note(&mut self, request: RequestId, attempt: u16, machine: MachineId, note: Note) {
+    fn on_note(&mut self, request: RequestId, attempt: u16, machine: NodeId, note: TaskUpdate) {
         self.on_heard(machine);
-        let Some(task) = self.tasks.get(&request) else { return };
+        let Some(task) = self.tasks.get(&request) else {
+            return;
+        };
         let ask = [task.ask.cores, task.ask.memory];
         match note {
-            Note::Runs => self.on_runs(request, attempt),
-            Note::CoresUsed(x) => self.learn_use(0, x, ask[0]),
-            Note::MemoryUsed(x) => self.learn_use(1, x, ask[1]),
-            Note::Served(_) | Note::MachineMemory(_) => {}
+            TaskUpdate::Running => self.on_runs(request, attempt),
+            TaskUpdate::CoresUsed(x) => self.learn_use(0, x, ask[0]),
+            TaskUpdate::MemoryUsed(x) => self.learn_use(1, x, ask[1]),
+            TaskUpdate::ServedShare(_) | TaskUpdate::NodeMemoryShare(_) => {}
         }
     }
 
@@ -709,9 +929,11 @@
     }
 
     /// What a machine uses beyond what its asks explain: neighbours, hungry services.
-    fn learn_excess(&mut self, machine: MachineId, busy: [Option<f64>; 2]) {
+    fn learn_excess(&mut self, machine: NodeId, busy: [Option<f64>; 2]) {
         let (mean, ratio) = (self.others.get(), self.use_ratio);
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         let (asked, size) = (m.asked(mean), [m.cores, m.memory]);
         for i in 0..2 {
             if let Some(share) = busy[i].filter(|b| b.is_finite()) {
@@ -720,16 +942,18 @@
         }
     }
 
-    fn on_load(&mut self, machine: MachineId, load: &Load) {
+    fn on_load(&mut self, machine: NodeId, load: &LoadReport) {
         self.room_news = true;
         let mean = self.others.get();
         let then = self.now.saturating_sub(self.shortest_aim() / 2);
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         let (size, asked) = ([m.cores, m.memory], m.asked(mean));
         let free = [load.free_cores, load.free_memory];
-        let mut busy = [load.busy, None];
-        match self.settings.report_counts {
-            ReportCounts::Asked => {
+        let mut busy = [load.cpu_utilization, None];
+        match self.settings.load_basis {
+            LoadBasis::Requested => {
                 if let [Some(cores), Some(memory)] = free {
                     let asked = [size[0] - cores, size[1] - memory];
                     let before = m.others;
@@ -738,7 +962,7 @@
                     m.told_at = then;
                 }
             }
-            ReportCounts::Used => {
+            LoadBasis::Used => {
                 for i in 0..2 {
                     busy[i] = free[i].map(|f| 1.0 - f / size[i].max(1e-9)).or(busy[i]);
                 }
@@ -756,38 +980,55 @@
     // ---- The end of an attempt ----
 
     fn on_ended(
-        &mut self, request: RequestId, attempt: u16, machine: MachineId, outcome: Outcome, why: Why,
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        machine: NodeId,
+        outcome: AttemptOutcome,
+        why: EndReason,
         over: bool,
     ) {
-        let silent = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::NotSent);
-        if !silent && outcome != Outcome::Withdrawn {
+        let silent = matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
+        );
+        if !silent && outcome != AttemptOutcome::Cancelled {
             self.on_heard(machine);
         }
-        let Some(mut task) = self.tasks.remove(&request) else { return };
-        let Some(a) = task.attempts.get_mut(usize::from(attempt)).filter(|a| a.open) else {
+        let Some(mut task) = self.tasks.remove(&request) else {
+            return;
+        };
+        let Some(a) = task
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|a| a.open)
+        else {
             self.tasks.insert(request, task);
             return;
         };
         let sent_at = a.sent_at;
-        (a.open, a.starting, a.erred) = (false, false, outcome == Outcome::Error);
-        a.may_have_run = !matches!(outcome, Outcome::Refused | Outcome::Unreachable | Outcome::NotSent);
+        (a.open, a.starting, a.erred) = (false, false, outcome == AttemptOutcome::Error);
+        a.may_have_run = !matches!(
+            outcome,
+            AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
+        );
         let at = a.machine;
         self.close_attempt(&task.ask, at);
         let unheard = self.machines.get(&at).is_none_or(|m| m.heard_at <= sent_at);
-        if outcome == Outcome::Done || why == Why::PushedOut {
-            self.learn_headroom(task.ask.class, why == Why::PushedOut);
+        if outcome == AttemptOutcome::Completed || why == EndReason::Preempted {
+            self.learn_headroom(task.ask.class, why == EndReason::Preempted);
         }
         match outcome {
-            Outcome::Refused => self.on_refused(at, &task.ask, why),
-            Outcome::TimedOut | Outcome::Unreachable if unheard => self.on_silent(at),
-            Outcome::Error if task.stage == Stage::Offered => self.on_error(at, &task),
+            AttemptOutcome::Rejected => self.on_refused(at, &task.ask, why),
+            AttemptOutcome::TimedOut | AttemptOutcome::Unreachable if unheard => self.on_silent(at),
+            AttemptOutcome::Error if task.stage == Stage::Offered => self.on_error(at, &task),
             // It answers others: the danger lies in what was asked.
-            Outcome::TimedOut | Outcome::Lost if task.stage == Stage::Offered => {
+            AttemptOutcome::TimedOut | AttemptOutcome::Lost if task.stage == Stage::Offered => {
                 self.rest(at, Part::of(&task.ask));
             }
             _ => {}
         }
-        if outcome == Outcome::Refused {
+        if outcome == AttemptOutcome::Rejected {
             task.rests_until = self.rest_after_refusal(&task);
         }
         let goes_on = !over && task.stage == Stage::Offered;
@@ -800,7 +1041,7 @@
             return;
         }
         let spent = task.attempts.len() >= self.settings.max_attempts as usize;
-        let hopeless = spent || outcome == Outcome::NotSent || !self.may_send_again(&task);
+        let hopeless = spent || outcome == AttemptOutcome::NotSent || !self.may_send_again(&task);
         self.tasks.insert(request, task);
         if goes_on && hopeless {
             self.answer_no(request);
@@ -819,29 +1060,34 @@
     }
 
     /// Own tasks that end or are lost leave the entry; the program stays a while.
-    fn close_attempt(&mut self, ask: &Request, machine: MachineId) {
+    fn close_attempt(&mut self, ask: &PlacementRequest, machine: NodeId) {
         self.room_news = true;
         let now = self.now;
         release(&mut self.services, ask.service, machine);
-        let Some(m) = self.machines.get_mut(&machine) else { return };
-        m.add_own(now, ask, -1.0, self.settings.ask_every);
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
+        m.add_own(now, ask, -1.0, self.settings.poll_interval);
         m.refused = None;
-        m.starting.remove(&ask.request);
-        m.unanswered.remove(&ask.request);
+        m.starting.remove(&ask.id);
+        m.unanswered.remove(&ask.id);
         m.end_program(ask.service, now, PROGRAMS);
     }
 
     /// An error rests the like of it on its machine. Danger: a task that no machine can use errs wherever it
     /// is offered, and a few of them would close a whole cluster to their class. What errs on a second
     /// machine speaks against itself: neither rests unless another error came there before a placing.
-    fn on_error(&mut self, machine: MachineId, task: &Task) {
+    fn on_error(&mut self, machine: NodeId, task: &Task) {
         let part = Part::of(&task.ask);
         if let Some(m) = self.machines.get_mut(&machine) {
             *m.errors.entry(part).or_insert(0) += 1;
         }
         let alone = |m: &Machine| m.errors.get(&part).is_none_or(|n| *n <= 1);
-        let elsewhere = task.attempts.iter().filter(|a| a.erred && a.machine != machine);
-        let elsewhere: Vec<MachineId> = elsewhere.map(|a| a.machine).collect();
+        let elsewhere = task
+            .attempts
+            .iter()
+            .filter(|a| a.erred && a.machine != machine);
+        let elsewhere: Vec<NodeId> = elsewhere.map(|a| a.machine).collect();
         for other in &elsewhere {
             if let Some(m) = self.machines.get_mut(other).filter(|m| alone(m)) {
                 m.rests.remove(&part);
@@ -854,23 +1100,29 @@
 
     /// A refusal marks the entry full. Danger: a table that is wrong about one machine sends it everything
     /// that is held, and each offer is turned away at once.
-    fn on_refused(&mut self, machine: MachineId, ask: &Request, why: Why) {
+    fn on_refused(&mut self, machine: NodeId, ask: &PlacementRequest, why: EndReason) {
         let pause = self.shortest_aim();
-        let accepts = [self.settings.accepts_cores, self.settings.accepts_memory];
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+        let accepts = [
+            self.settings.cores_overcommit,
+            self.settings.memory_overcommit,
+        ];
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         let (size, asks) = ([m.cores, m.memory], [ask.cores, ask.memory]);
         let short = match why {
-            Why::NoCores => 0,
-            Why::NoMemory => 1,
+            EndReason::InsufficientCores => 0,
+            EndReason::InsufficientMemory => 1,
             // It looks at offers too slowly, or drains before the list says so.
-            Why::Busy | Why::NotHere => return self.rest(machine, Part::Line),
+            EndReason::QueueFull | EndReason::Ineligible => return self.rest(machine, Part::Line),
             // Turned away for no reason that the table could show: only the like of it rests.
             _ => return self.rest(machine, Part::of(ask)),
         };
         // Less than this task's ask was free, half of it in the mean: the rest others asked.
         let before = m.others;
         let others = m.others.get_or_insert([0.0; 2]);
-        others[short] = others[short].max(accepts[short] * size[short] - asks[short] / 2.0 - m.own[short]);
+        others[short] =
+            others[short].max(accepts[short] * size[short] - asks[short] / 2.0 - m.own[short]);
         self.others.change(before, m.others);
         let mut refused = [0.0; 2];
         refused[short] = asks[short];
@@ -882,7 +1134,8 @@
     /// task are turned away within moments, each at its price. Past the aim no hurry pays for them: those
     /// left are spread over the time left, so that each meets other news.
     fn rest_after_refusal(&self, task: &Task) -> Micros {
-        let attempts = u64::from(self.settings.max_attempts).saturating_sub(task.attempts.len() as u64);
+        let attempts =
+            u64::from(self.settings.max_attempts).saturating_sub(task.attempts.len() as u64);
         if self.is_timely(task) {
             return 0;
         }
@@ -892,36 +1145,55 @@
     /// A start now would still earn its full worth; a task that came again has lost it.
     fn is_timely(&self, task: &Task) -> bool {
         let class = &self.settings.classes[usize::from(task.ask.class)];
-        !task.ask.again && self.now < task.arrived + class.aim
+        !task.ask.is_retry && self.now < task.arrived + class.latency_objective
     }
 
     fn may_send_again(&self, task: &Task) -> bool {
         let class = &self.settings.classes[usize::from(task.ask.class)];
-        let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else { return true };
-        match class.repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => false,
-            Repeat::Keyed { window, .. } => self.now + self.settings.tick < first.sent_at + window,
+        let Some(first) = task.attempts.iter().find(|a| a.may_have_run) else {
+            return true;
+        };
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { window, .. } => {
+                self.now + self.settings.tick < first.sent_at + window
+            }
         }
     }
 
     /// The last answer to a task that is not placed: a refusal only where a retry is known to be harmless.
     fn answer_no(&mut self, request: RequestId) {
-        let Some(task) = self.tasks.get(&request) else { return };
+        let Some(task) = self.tasks.get(&request) else {
+            return;
+        };
         let class = &self.settings.classes[usize::from(task.ask.class)];
         let may_have_run = task.attempts.iter().any(|a| a.open || a.may_have_run);
-        let harmless = match class.repeat {
-            Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
-            Repeat::Keyed { .. } | Repeat::Unsafe => !may_have_run,
+        let harmless = match class.idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: DedupScope::All,
+                ..
+            } => true,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !may_have_run,
+        };
+        let refusal = Action::Reject {
+            request,
+            retry_after: None,
         };
-        let refusal = Action::Refuse { request, retry_after: None };
-        self.out.push(if harmless { refusal } else { Action::Fail(request) });
+        self.out.push(if harmless {
+            refusal
+        } else {
+            Action::Fail(request)
+        });
         self.close(request);
     }
 
     /// The request is over; attempts still out are counted until their end is told.
     fn close(&mut self, request: RequestId) {
-        let Some(task) = self.tasks.get_mut(&request) else { return };
+        let Some(task) = self.tasks.get_mut(&request) else {
+            return;
+        };
         task.stage = Stage::Over;
         if !task.attempts.iter().any(|a| a.open) {
             self.tasks.remove(&request);
@@ -930,10 +1202,17 @@
 
     // ---- Silence ----
 
-    fn on_silent(&mut self, machine: MachineId) {
-        if self.machines.get(&machine).is_some_and(|m| !m.rests.contains_key(&Part::Silent)) {
+    fn on_silent(&mut self, machine: NodeId) {
+        if self
+            .machines
+            .get(&machine)
+            .is_some_and(|m| !m.rests.contains_key(&Part::Silent))
+        {
             self.rest(machine, Part::Silent);
-            self.out.push(Action::Log(format!("machine {:x} answers nothing", machine.0)));
+            self.out.push(Action::Log(format!(
+                "machine {:x} answers nothing",
+                machine.0
+            )));
         }
     }
 
@@ -944,11 +1223,14 @@
     /// What failed rests, and only that: a machine may fail, leave unanswered or turn away a part of what
     /// it is sent and serve the rest. After it one trial at a time tells whether the trouble is over; each
     /// doubles the rest, up to half of the time that a list is good for.
-    fn rest(&mut self, machine: MachineId, part: Part) {
-        let (first, most, now) = (self.first_rest(), self.settings.ask_every / 2, self.now);
-        let Some(m) = self.machines.get_mut(&machine) else { return };
+    fn rest(&mut self, machine: NodeId, part: Part) {
+        let (first, most, now) = (self.first_rest(), self.settings.poll_interval / 2, self.now);
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
         // Bounded state: what was not tried for long is forgotten.
-        m.rests.retain(|p, r| *p == Part::Silent || *p == part || r.until.saturating_add(most) > now);
+        m.rests
+            .retain(|p, r| *p == Part::Silent || *p == part || r.until.saturating_add(most) > now);
         let rest = m.rests.entry(part).or_default();
         if rest.until <= now {
             rest.wait = rest.wait.saturating_mul(2).clamp(first, most.max(first));
@@ -961,21 +1243,33 @@
         let least = self.shortest_aim() as f64;
         let overdue = |m: &Machine| {
             let first = m.unanswered.values().copied().min()?;
-            let longest = m.starting.values().map(|(_, estimate)| *estimate).fold(0.0, f64::max);
-            let wait = match self.settings.confirms {
-                Confirms::Accepted => least,
-                Confirms::Running => (longest * OVERDUE).max(least),
+            let longest = m
+                .starting
+                .values()
+                .map(|(_, estimate)| *estimate)
+                .fold(0.0, f64::max);
+            let wait = match self.settings.placement_ack {
+                PlacementAck::Accepted => least,
+                PlacementAck::Running => (longest * OVERDUE).max(least),
             };
-            (m.heard_at.max(first) as f64 + wait < self.now as f64).then_some(m.line.machine)
+            (m.heard_at.max(first) as f64 + wait < self.now as f64).then_some(m.line.node)
         };
         let machines = &self.machines;
-        self.awaited.retain(|id| machines.get(id).is_some_and(|m| !m.unanswered.is_empty()));
-        let silent = self.awaited.iter().filter_map(|id| overdue(machines.get(id)?));
-        for machine in silent.collect::<Vec<MachineId>>() {
+        self.awaited
+            .retain(|id| machines.get(id).is_some_and(|m| !m.unanswered.is_empty()));
+        let silent = self
+            .awaited
+            .iter()
+            .filter_map(|id| overdue(machines.get(id)?));
+        for machine in silent.collect::<Vec<NodeId>>() {
             self.on_silent(machine);
         }
-        if self.settings.probes {
-            let lapsed = |m: &Machine| m.rests.get(&Part::Silent).is_some_and(|r| r.until <= self.now);
+        if self.settings.can_probe {
+            let lapsed = |m: &Machine| {
+                m.rests
+                    .get(&Part::Silent)
+                    .is_some_and(|r| r.until <= self.now)
+            };
             let due = self.ready(lapsed);
             for machine in due {
                 self.rest(machine, Part::Silent);
@@ -987,9 +1281,15 @@
     // ---- Timers ----
 
     fn set_wake(&mut self) {
-        let ends = self.held.first().map(|(at, _)| (*at).min(self.now + self.shortest_aim() / 8));
+        let ends = self
+            .held
+            .first()
+            .map(|(at, _)| (*at).min(self.now + self.shortest_aim() / 8));
         let wake = ends.into_iter().chain(self.watch_at).min();
-        if let Some(at) = wake.map(|at| at.max(self.now + 1)).filter(|at| *at < self.wake) {
+        if let Some(at) = wake
+            .map(|at| at.max(self.now + 1))
+            .filter(|at| *at < self.wake)
+        {
             self.wake = at;
             self.out.push(Action::SetTimer { label: 0, at });
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,20 +7,44 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Place { class: u16, service: u64, cores: f64 },
-    Standing { class: u16, service: u64, machine: u64 },
-    Answer { pick: usize, outcome: Outcome, why: Why },
-    Seat { pick: usize },
-    Unwanted { pick: usize },
-    Line { machine: u64, state: MachineState, restarted: bool },
-    FullList { missing: u64 },
+    Place {
+        class: u16,
+        service: u64,
+        cores: f64,
+    },
+    Standing {
+        class: u16,
+        service: u64,
+        machine: u64,
+    },
+    Answer {
+        pick: usize,
+        outcome: AttemptOutcome,
+        why: EndReason,
+    },
+    Seat {
+        pick: usize,
+    },
+    Unwanted {
+        pick: usize,
+    },
+    Line {
+        machine: u64,
+        state: NodeStatus,
+        restarted: bool,
+    },
+    FullList {
+        missing: u64,
+    },
     ListFails,
     Repeat,
-    Wait { span: Micros },
+    Wait {
+        span: Micros,
+    },
 }
 
 struct Try {
-    machine: MachineId,
+    machine: NodeId,
     rack: u16,
     sent_at: Micros,
     ends_at: Micros,
@@ -29,7 +53,7 @@
 }
 
 struct Case {
-    ask: Request,
+    ask: PlacementRequest,
     deadline: Micros,
     answered: bool,
     over: bool,
@@ -41,25 +65,25 @@
     settings: Settings,
     scheduler: Scheduler,
     now: Micros,
-    lines: BTreeMap<MachineId, MachineLine>,
+    lines: BTreeMap<NodeId, NodeEntry>,
     cases: BTreeMap<RequestId, Case>,
-    offers: BTreeMap<MachineId, Vec<Micros>>,
+    offers: BTreeMap<NodeId, Vec<Micros>>,
     timers: Vec<(Micros, u64)>,
     last: Option<Event>,
     next: u64,
     binds: usize,
 }
 
-fn line(machine: u64, started_at: Micros) -> MachineLine {
-    MachineLine {
-        cold_share: None,
-        machine: MachineId(machine),
-        state: MachineState::Ready,
+fn line(machine: u64, started_at: Micros) -> NodeEntry {
+    NodeEntry {
+        slow_start_share: None,
+        node: NodeId(machine),
+        state: NodeStatus::Ready,
         kind: 0,
         rack: (machine % 2) as u16,
         zone: 0,
         started_at,
-        life: started_at,
+        incarnation: started_at,
         free_cores: Some(16.0),
         free_memory: Some(32.0),
     }
@@ -81,8 +105,12 @@
             binds: 0,
         };
         let lines: Vec<_> = (0..5).map(|m| line(m, 0)).collect();
-        referee.lines = lines.iter().map(|l| (l.machine, l.clone())).collect();
-        referee.tell(Event::MachineList { scope: ListScope::Cached, version: 1, lines });
+        referee.lines = lines.iter().map(|l| (l.node, l.clone())).collect();
+        referee.tell(Event::NodeList {
+            kind: ListUpdateKind::Cached,
+            version: 1,
+            entries: lines,
+        });
         referee
     }
 
@@ -96,17 +124,28 @@
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Bind { request, machine, timeout } => self.check_bind(request, machine, timeout),
-            Action::Refuse { request, .. } => {
+            Action::Dispatch {
+                request,
+                node: machine,
+                timeout,
+            } => self.check_bind(request, machine, timeout),
+            Action::Reject { request, .. } => {
                 let case = self.cases.get_mut(&request).expect("a known request");
                 let group_all = matches!(
-                    self.settings.classes[case.ask.class as usize].repeat,
-                    Repeat::Safe | Repeat::Keyed { group: Group::All, .. }
+                    self.settings.classes[case.ask.class as usize].idempotency,
+                    Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: DedupScope::All,
+                            ..
+                        }
                 );
                 let proven = case.tries.iter().all(|t| !t.open && !t.may_have_run);
                 assert!(group_all || proven, "refused though it may have run");
                 assert!(!case.answered && !case.over, "a second answer");
-                assert!(self.now <= case.deadline + self.settings.answer_slack, "an answer too late");
+                assert!(
+                    self.now <= case.deadline + self.settings.answer_slack,
+                    "an answer too late"
+                );
                 (case.answered, case.over) = (true, true);
             }
             Action::Fail(request) => {
@@ -118,18 +157,22 @@
                 assert!(at > self.now);
                 self.timers.push((at, label));
             }
-            Action::Withdraw { .. } => assert!(self.settings.may_withdraw),
-            Action::Probe(_) => assert!(self.settings.probes),
-            Action::Tell(_) => assert!(self.settings.peer_messages),
-            Action::Move(_) | Action::Watch | Action::Log(_) => {}
+            Action::CancelAttempt { .. } => assert!(self.settings.can_cancel_attempts),
+            Action::Probe(_) => assert!(self.settings.can_probe),
+            Action::Broadcast(_) => assert!(self.settings.peer_messages),
+            Action::Migrate(_) | Action::WatchNodes | Action::Log(_) => {}
         }
     }
 
-    fn check_bind(&mut self, request: RequestId, machine: MachineId, timeout: Option<Micros>) {
+    fn check_bind(&mut self, request: RequestId, machine: NodeId, timeout: Option<Micros>) {
         self.binds += 1;
         let now = self.now;
         let told = self.lines.get(&machine).expect("a listed machine");
-        assert_eq!(told.state, MachineState::Ready, "sent to a machine that drains or is gone");
+        assert_eq!(
+            told.state,
+            NodeStatus::Ready,
+            "sent to a machine that drains or is gone"
+        );
         let (rack, started_at) = (told.rack, told.started_at);
         let case = &self.cases[&request];
         let class = &self.settings.classes[case.ask.class as usize];
@@ -137,39 +180,58 @@
         assert!(case.tries.iter().all(|t| !t.open), "two attempts out");
         assert!((case.tries.len() as u32) < self.settings.max_attempts);
         if let Some(first) = case.tries.iter().find(|t| t.may_have_run) {
-            match class.repeat {
-                Repeat::Safe => {}
-                Repeat::Unsafe => panic!("an unsafe task sent again"),
-                Repeat::Keyed { window, .. } => {
-                    assert!(first.rack == rack && now < first.sent_at + window, "outside its group");
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("an unsafe task sent again"),
+                Idempotency::Keyed { window, .. } => {
+                    assert!(
+                        first.rack == rack && now < first.sent_at + window,
+                        "outside its group"
+                    );
                 }
             }
         }
-        if class.spread == Spread::Rack {
-            let same = self.cases.values().filter(|c| c.ask.service == case.ask.service);
-            let held = same.flat_map(|c| &c.tries).filter(|t| t.open && t.rack == rack).count();
-            assert!(held < class.most as usize, "a service crowds a rack");
+        if class.topology_spread == TopologySpread::Rack {
+            let same = self
+                .cases
+                .values()
+                .filter(|c| c.ask.service == case.ask.service);
+            let held = same
+                .flat_map(|c| &c.tries)
+                .filter(|t| t.open && t.rack == rack)
+                .count();
+            assert!(
+                held < class.max_per_domain as usize,
+                "a service crowds a rack"
+            );
         }
         let offers = self.offers.entry(machine).or_default();
         offers.push(now);
-        if started_at > 0 && now < started_at + self.settings.warm_within {
-            let window = now.saturating_sub(self.settings.fall_window);
+        if started_at > 0 && now < started_at + self.settings.slow_start_window {
+            let window = now.saturating_sub(self.settings.overload_window);
             let recent = offers.iter().filter(|at| **at > window).count() as f64;
-            let share = self.settings.cold_bears / f64::from(self.settings.schedulers);
+            let share = self.settings.slow_start_budget / f64::from(self.settings.schedulers);
             assert!(recent <= share, "a cold machine pushed over");
         }
         let case = self.cases.get_mut(&request).unwrap();
         let ends_at = case.deadline.min(timeout.map_or(Micros::MAX, |t| now + t));
         let (open, may_have_run) = (true, false);
-        case.tries.push(Try { machine, rack, sent_at: now, ends_at, open, may_have_run });
+        case.tries.push(Try {
+            machine,
+            rack,
+            sent_at: now,
+            ends_at,
+            open,
+            may_have_run,
+        });
     }
 
     fn place(&mut self, class: u16, service: u64, cores: f64, standing: Option<u64>) {
         let request = RequestId(self.next);
         self.next += 1;
         let deadline_in = self.settings.classes[class as usize].deadline;
-        let ask = Request {
-            request,
+        let ask = PlacementRequest {
+            id: request,
             task: TaskKey(request.0),
             service: ServiceId(u64::from(class) * 100 + service),
             class,
@@ -177,8 +239,8 @@
             cores,
             memory: cores * 2.0,
             deadline_in,
-            life_hint: None,
-            again: false,
+            expected_duration: None,
+            is_retry: false,
         };
         let mut case = Case {
             ask: ask.clone(),
@@ -188,13 +250,25 @@
             tries: vec![],
         };
         if let Some(machine) = standing {
-            let machine = MachineId(machine);
-            let Some(rack) = self.lines.get(&machine).map(|l| l.rack) else { return };
+            let machine = NodeId(machine);
+            let Some(rack) = self.lines.get(&machine).map(|l| l.rack) else {
+                return;
+            };
             case.answered = true;
             let (sent_at, ends_at) = (self.now, Micros::MAX);
-            case.tries.push(Try { machine, rack, sent_at, ends_at, open: true, may_have_run: false });
+            case.tries.push(Try {
+                machine,
+                rack,
+                sent_at,
+                ends_at,
+                open: true,
+                may_have_run: false,
+            });
             self.cases.insert(request, case);
-            self.tell(Event::Standing { request: ask, machine });
+            self.tell(Event::RunningTask {
+                request: ask,
+                node: machine,
+            });
         } else {
             self.cases.insert(request, case);
             self.tell(Event::Place(ask));
@@ -208,28 +282,52 @@
             .cases
             .iter()
             .filter(|(_, c)| wanted(c))
-            .flat_map(|(r, c)| c.tries.iter().enumerate().map(move |(i, t)| (*r, i as u16, t.open)))
+            .flat_map(|(r, c)| {
+                c.tries
+                    .iter()
+                    .enumerate()
+                    .map(move |(i, t)| (*r, i as u16, t.open))
+            })
             .filter(|(_, _, open)| *open)
             .map(|(r, i, _)| (r, i))
             .collect();
         (!all.is_empty()).then(|| all[pick % all.len()])
     }
 
-    fn end(&mut self, request: RequestId, attempt: u16, outcome: Outcome, why: Why) {
+    fn end(&mut self, request: RequestId, attempt: u16, outcome: AttemptOutcome, why: EndReason) {
         let case = self.cases.get_mut(&request).unwrap();
         let t = &mut case.tries[attempt as usize];
         t.open = false;
-        t.may_have_run = !matches!(outcome, Outcome::Refused | Outcome::Unreachable | Outcome::NotSent);
+        t.may_have_run = !matches!(
+            outcome,
+            AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
+        );
         let machine = t.machine;
         case.over |= case.answered;
         let over = case.over;
-        self.tell(Event::Ended { request, attempt, machine, outcome, why, over, load: None });
+        self.tell(Event::AttemptEnded {
+            request,
+            attempt,
+            node: machine,
+            outcome,
+            reason: why,
+            is_final: over,
+            load: None,
+        });
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Place { class, service, cores } => self.place(class, service, cores, None),
-            Step::Standing { class, service, machine } => self.place(class, service, 1.0, Some(machine)),
+            Step::Place {
+                class,
+                service,
+                cores,
+            } => self.place(class, service, cores, None),
+            Step::Standing {
+                class,
+                service,
+                machine,
+            } => self.place(class, service, 1.0, Some(machine)),
             Step::Answer { pick, outcome, why } => {
                 if let Some((request, attempt)) = self.open(pick, true) {
                     self.end(request, attempt, outcome, why);
@@ -241,47 +339,78 @@
                     case.answered = true;
                     case.tries[attempt as usize].ends_at = Micros::MAX;
                     let machine = case.tries[attempt as usize].machine;
-                    self.tell(Event::Placed { request, attempt, machine });
+                    self.tell(Event::Placed {
+                        request,
+                        attempt,
+                        node: machine,
+                    });
                 }
             }
             Step::Unwanted { pick } => {
-                let live: Vec<RequestId> =
-                    self.cases.iter().filter(|(_, c)| !c.over).map(|(r, _)| *r).collect();
+                let live: Vec<RequestId> = self
+                    .cases
+                    .iter()
+                    .filter(|(_, c)| !c.over)
+                    .map(|(r, _)| *r)
+                    .collect();
                 if !live.is_empty() {
                     let request = live[pick % live.len()];
                     let case = self.cases.get_mut(&request).unwrap();
                     (case.answered, case.over) = (true, true);
-                    self.tell(Event::Unwanted(request));
+                    self.tell(Event::RequestCancelled(request));
                 }
             }
-            Step::Line { machine, state, restarted } => {
-                let id = MachineId(machine);
+            Step::Line {
+                machine,
+                state,
+                restarted,
+            } => {
+                let id = NodeId(machine);
                 let started_at = self.lines.get(&id).map_or(0, |l| l.started_at);
                 let started_at = if restarted { self.now } else { started_at };
-                let new = MachineLine { state, ..line(machine, started_at) };
+                let new = NodeEntry {
+                    state,
+                    ..line(machine, started_at)
+                };
                 self.lines.insert(id, new.clone());
                 self.next += 1;
                 let version = self.next;
-                self.tell(Event::MachineList { scope: ListScope::Delta, version, lines: vec![new] });
+                self.tell(Event::NodeList {
+                    kind: ListUpdateKind::Incremental,
+                    version,
+                    entries: vec![new],
+                });
             }
             Step::FullList { missing } => {
                 for (id, line) in &mut self.lines {
                     if id.0 == missing {
-                        line.state = MachineState::Gone;
+                        line.state = NodeStatus::Gone;
                     }
                 }
-                let gone = |l: &&MachineLine| l.state != MachineState::Gone;
+                let gone = |l: &&NodeEntry| l.state != NodeStatus::Gone;
                 let lines = self.lines.values().filter(gone).cloned().collect();
                 self.next += 1;
                 let version = self.next;
-                self.tell(Event::MachineList { scope: ListScope::Full, version, lines });
+                self.tell(Event::NodeList {
+                    kind: ListUpdateKind::Full,
+                    version,
+                    entries: lines,
+                });
             }
             Step::ListFails => {
-                self.tell(Event::MachineList { scope: ListScope::Failed, version: 0, lines: vec![] });
+                self.tell(Event::NodeList {
+                    kind: ListUpdateKind::Failed,
+                    version: 0,
+                    entries: vec![],
+                });
             }
             Step::Repeat => {
                 // An end that comes twice, a stale timer or an old list must change nothing that is checked.
-                if let Some(event) = self.last.clone().filter(|e| !matches!(e, Event::Standing { .. })) {
+                if let Some(event) = self
+                    .last
+                    .clone()
+                    .filter(|e| !matches!(e, Event::RunningTask { .. }))
+                {
                     self.tell(event);
                 }
             }
@@ -291,8 +420,17 @@
 
     fn wait(&mut self, until: Micros) {
         loop {
-            let timer = self.timers.iter().map(|(at, _)| *at).min().unwrap_or(Micros::MAX);
-            let tries = self.cases.values().flat_map(|c| &c.tries).filter(|t| t.open);
+            let timer = self
+                .timers
+                .iter()
+                .map(|(at, _)| *at)
+                .min()
+                .unwrap_or(Micros::MAX);
+            let tries = self
+                .cases
+                .values()
+                .flat_map(|c| &c.tries)
+                .filter(|t| t.open);
             let end = tries.map(|t| t.ends_at).min().unwrap_or(Micros::MAX);
             let next = timer.min(end);
             if next > until {
@@ -301,9 +439,17 @@
             self.now = self.now.max(next);
             if end == next {
                 let is_due = |c: &Case| c.tries.iter().position(|t| t.open && t.ends_at == end);
-                let due = self.cases.iter().find_map(|(r, c)| is_due(c).map(|i| (*r, i as u16)));
+                let due = self
+                    .cases
+                    .iter()
+                    .find_map(|(r, c)| is_due(c).map(|i| (*r, i as u16)));
                 let (request, attempt) = due.expect("the attempt that is due");
-                self.end(request, attempt, Outcome::TimedOut, Why::Unknown);
+                self.end(
+                    request,
+                    attempt,
+                    AttemptOutcome::TimedOut,
+                    EndReason::Unknown,
+                );
             } else {
                 let at = self.timers.iter().position(|(at, _)| *at == next).unwrap();
                 let (_, label) = self.timers.remove(at);
@@ -318,27 +464,36 @@
     fn check_deadlines(&self) {
         for case in self.cases.values() {
             let late = self.now > case.deadline + self.settings.answer_slack;
-            assert!(case.answered || case.over || !late, "no answer by the deadline: {:?}", case.ask.request);
+            assert!(
+                case.answered || case.over || !late,
+                "no answer by the deadline: {:?}",
+                case.ask.id
+            );
         }
     }
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let outcome = prop_oneof![
-        Just(Outcome::Done),
-        Just(Outcome::Error),
-        Just(Outcome::Refused),
-        Just(Outcome::Refused),
-        Just(Outcome::TimedOut),
-        Just(Outcome::Unreachable),
-        Just(Outcome::Lost),
+        Just(AttemptOutcome::Completed),
+        Just(AttemptOutcome::Error),
+        Just(AttemptOutcome::Rejected),
+        Just(AttemptOutcome::Rejected),
+        Just(AttemptOutcome::TimedOut),
+        Just(AttemptOutcome::Unreachable),
+        Just(AttemptOutcome::Lost),
+    ];
+    let why = prop_oneof![
+        Just(EndReason::InsufficientCores),
+        Just(EndReason::InsufficientMemory),
+        Just(EndReason::QueueFull),
+        Just(EndReason::Ineligible)
     ];
-    let why = prop_oneof![Just(Why::NoCores), Just(Why::NoMemory), Just(Why::Busy), Just(Why::NotHere)];
     let state = prop_oneof![
-        Just(MachineState::Ready),
-        Just(MachineState::Ready),
-        Just(MachineState::Draining),
-        Just(MachineState::Gone)
+        Just(NodeStatus::Ready),
+        Just(NodeStatus::Ready),
+        Just(NodeStatus::Draining),
+        Just(NodeStatus::Gone)
     ];
     let cores = prop_oneof![Just(0.5), Just(1.0), Just(4.0), Just(40.0)];
     let step = prop_oneof![
@@ -360,8 +515,12 @@
     prop::collection::vec(step, 1..120)
 }
 
-fn settings(confirms: Confirms, probes: bool) -> Settings {
-    let mut settings = Settings { confirms, probes, ..Settings::sample() };
+fn settings(confirms: PlacementAck, probes: bool) -> Settings {
+    let mut settings = Settings {
+        placement_ack: confirms,
+        can_probe: probes,
+        ..Settings::sample()
+    };
     // A keyed class whose group is a rack gets its deadline past its window.
     settings.classes[1].deadline = 6_000_000;
     settings
@@ -383,17 +542,25 @@
 
     #[test]
     fn the_five_rules_hold_where_running_confirms(seed in any::<u64>(), steps in steps()) {
-        play(settings(Confirms::Running, false), seed, &steps);
+        play(settings(PlacementAck::Running, false), seed, &steps);
     }
 
     #[test]
     fn the_five_rules_hold_where_acceptance_confirms(seed in any::<u64>(), steps in steps()) {
-        play(settings(Confirms::Accepted, true), seed, &steps);
+        play(settings(PlacementAck::Accepted, true), seed, &steps);
     }
 }
 
 #[test]
 fn the_referee_sees_binds() {
-    let place = Step::Place { class: 0, service: 0, cores: 1.0 };
-    assert_eq!(play(settings(Confirms::Running, false), 1, &[place]), 2, "a first try and one after silence");
+    let place = Step::Place {
+        class: 0,
+        service: 0,
+        cores: 1.0,
+    };
+    assert_eq!(
+        play(settings(PlacementAck::Running, false), 1, &[place]),
+        2,
+        "a first try and one after silence"
+    );
 }
