--- a/crates/cli/tests/compat/main.rs
+++ b/crates/cli/tests/compat/main.rs
@@ -3,6 +3,7 @@
 //! `README.md` beside this tells how each file was made. Everything goes through the program, so that no name of the
 //! code stands here but those of [`terms`], which tells how the `Debug` output of `replay` has been renamed since.
 
+mod bench_rows;
 mod capacity;
 mod day;
 mod generated;
