--- a/tests/wire.rs
+++ b/tests/adapter_protocol.rs
@@ -1,4 +1,4 @@
-//! The codec alone: the note's examples, each kind of record, and what is malformed.
+//! The codec alone: known frames, each kind of record, and malformed input.
 
 use peppercove::adapter_protocol::{Batch, Decoder, Incoming, ProtocolError, Reply};
 use peppercove::*;
@@ -37,7 +37,7 @@
     }
 }
 
-const MACHINE: NodeId = NodeId((0x0a204c09 << 16) | 0x1be8);
+const NODE: NodeId = NodeId((0x0a204c09 << 16) | 0x1be8);
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn two_instances_and_their_reply() {
+fn a_batch_for_two_instances_and_its_reply_have_the_documented_bytes() {
     let frame = "48000000 05000000 40420f0000000000 0e0300
         03 7c1b55d0a3210400 0000 00000000 31c2b4a59687f00d 80a90300 e02e0000 aabbccddeeff1122 00000040 0000c03f 01
         07 4d00000000000000 0e0500 06 0df0adba5e5e0500";
@@ -82,7 +82,7 @@
     let mut reply = Reply::default();
     let bind = Action::Dispatch {
         request: ask.id,
-        node: MACHINE,
+        node: NODE,
         timeout: Some(80_000),
     };
     reply.push(
@@ -104,7 +104,62 @@
 }
 
 #[test]
-fn a_list_is_resolved_through_its_number_and_a_later_one_supersedes_it() {
+fn each_kind_of_action_has_its_bytes() {
+    let request = RequestId(0x0102);
+    let reject = |retry_after| Action::Reject {
+        request,
+        retry_after,
+    };
+    let cases = [
+        (Action::WatchNodes, "01 01"),
+        (Action::Probe(NODE), "02 0a204c09 e81b"),
+        (Action::Migrate(request), "05 0201000000000000"),
+        (
+            Action::CancelAttempt {
+                request,
+                attempt: 3,
+            },
+            "06 0201000000000000 0300",
+        ),
+        (
+            Action::Broadcast(b"abc".to_vec()),
+            "07 ffffffff 0300 616263",
+        ),
+        (Action::Fail(request), "08 0201000000000000"),
+        (Action::Log("abc".into()), "09 0300 616263"),
+        (
+            Action::SetTimer { label: 1, at: 2 },
+            "0a 0100000000000000 0200000000000000",
+        ),
+        (
+            Action::Dispatch {
+                request,
+                node: NODE,
+                timeout: None,
+            },
+            "0b 0201000000000000 00000000 0a204c09 e81b",
+        ),
+        (
+            Action::Dispatch {
+                request,
+                node: NODE,
+                timeout: Some(u64::MAX),
+            },
+            "0b 0201000000000000 ffffffff 0a204c09 e81b",
+        ),
+        (reject(None), "0e 0201000000000000 00000000"),
+        (reject(Some(7)), "0e 0201000000000000 07000000"),
+    ];
+    for (action, expected) in cases {
+        let mut reply = Reply::default();
+        reply.push(5, std::slice::from_ref(&action));
+        let expected = hex(&format!("03 0500 {expected}"));
+        assert_eq!(reply.finish()[4..], expected, "{action:?}");
+    }
+}
+
+#[test]
+fn a_node_list_refers_to_the_latest_definition_of_its_number() {
     let body = "0d 00 02000000
         00006040 0a204c09 e81b 0000803f 0000 00 0000000000000000 01 00 00004041
         00009040 0a804d03 e91b 0000c03f 0700 00 20145d0000000000 02 01 00004041
@@ -122,10 +177,7 @@
         (*scope, *version, lines.len()),
         (ListUpdateKind::Cached, 0x29, 2)
     );
-    assert_eq!(
-        (lines[0].node, lines[0].state),
-        (MACHINE, NodeStatus::Ready)
-    );
+    assert_eq!((lines[0].node, lines[0].state), (NODE, NodeStatus::Ready));
     let second = (
         lines[1].state,
         lines[1].rack,
@@ -133,7 +185,7 @@
         lines[1].started_at,
     );
     assert_eq!(second, (NodeStatus::Draining, 7, 1, 0x5d1420));
-    // Without settings that promise a view, the free room of a line means nothing.
+    // Unless the settings say so, the free resources of an entry mean nothing.
     assert_eq!(lines[0].free_cores, None);
     let empty = Event::NodeList {
         kind: ListUpdateKind::Full,
@@ -144,7 +196,7 @@
 }
 
 #[test]
-fn standing_update_placed_and_reply_records() {
+fn each_kind_of_record_is_decoded() {
     let body =
         "0b 0df0adba5e5e0500 00000040 e02e0000 00000000 0000c03f 80a90300 01 aabbccddeeff1122
         31c2b4a59687f00d 0a804d03 e91b 0000
@@ -156,7 +208,7 @@
         0a";
     let got = records(&mut Decoder::default(), 7, body).unwrap();
     let Event::RunningTask { request, .. } = event(&got[0]) else {
-        panic!("a standing task")
+        panic!("a running task")
     };
     assert_eq!(
         (request.cores, request.memory, request.deadline_in),
@@ -166,7 +218,7 @@
     let note = Event::TaskUpdated {
         request,
         attempt: 0,
-        node: MACHINE,
+        node: NODE,
         update: TaskUpdate::CoresUsed(0.5),
     };
     assert_eq!(event(&got[1]), &note);
@@ -175,13 +227,13 @@
         &Event::Placed {
             request,
             attempt: 1,
-            node: MACHINE
+            node: NODE
         }
     );
     let ended = Event::AttemptEnded {
         request,
         attempt: 0,
-        node: MACHINE,
+        node: NODE,
         outcome: AttemptOutcome::Rejected,
         reason: EndReason::InsufficientCores,
         is_final: false,
@@ -191,7 +243,7 @@
     assert_eq!(
         event(&got[4]),
         &Event::Probed {
-            node: MACHINE,
+            node: NODE,
             answered: true,
             load: None
         }
@@ -237,7 +289,7 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_skipped() {
+fn settings_are_read_and_unknown_keys_are_skipped() {
     let got = start(&settings_json()).unwrap();
     let Incoming::Start { seed, settings } = &got[0] else {
         panic!("a start")
@@ -280,7 +332,7 @@
 }
 
 #[test]
-fn bad_settings_say_what_is_wrong() {
+fn wrong_settings_are_reported_with_key_and_cause() {
     let cases = [
         ("{", "settings: "),
         (
@@ -307,7 +359,7 @@
 }
 
 #[test]
-fn malformed_frames_say_what_and_where() {
+fn malformed_frames_are_reported_with_place_and_cause() {
     let cases = [
         (
             1,
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What a bind costs, counted: machines looked at and held against each other, not times.
+//! What a placement costs, counted: nodes looked at and compared, not times.
 
 use peppercove::*;
 
@@ -19,9 +19,10 @@
     }
 }
 
-/// Machines that a bind looks at, among so many, once starts that were in time have taught the scheduler many homes.
-fn looked_at(machines: u64) -> f64 {
-    let lines = (0..machines).map(|i| NodeEntry {
+/// Comparisons of a placement among so many nodes, once timely starts have taught the scheduler
+/// many preferred nodes.
+fn comparisons_per_placement(nodes: u64) -> f64 {
+    let entries = (0..nodes).map(|i| NodeEntry {
         node: NodeId(i + 1),
         state: NodeStatus::Ready,
         rack: (i % 40) as u16,
@@ -30,11 +31,11 @@
     let list = Event::NodeList {
         kind: ListUpdateKind::Full,
         version: 1,
-        entries: lines.collect(),
+        entries: entries.collect(),
     };
     let mut scheduler = Scheduler::new(Settings::sample(), 3);
     scheduler.handle(SECOND, &[list]);
-    let (mut now, mut binds) = (SECOND, 0);
+    let (mut now, mut dispatches) = (SECOND, 0);
     let mut before = 0;
     for n in 0..200 {
         now += 1_000;
@@ -42,33 +43,31 @@
             before = scheduler.comparisons();
         }
         for action in scheduler.handle(now, &[Event::Place(request(n))]) {
-            let Action::Dispatch {
-                request,
-                node: machine,
-                ..
-            } = action
-            else {
+            let Action::Dispatch { request, node, .. } = action else {
                 continue;
             };
-            binds += u64::from(n >= 150);
+            dispatches += u64::from(n >= 150);
             scheduler.handle(
                 now + 500,
                 &[Event::Placed {
                     request,
                     attempt: 0,
-                    node: machine,
+                    node,
                 }],
             );
         }
     }
-    (scheduler.comparisons() - before) as f64 / binds as f64
+    (scheduler.comparisons() - before) as f64 / dispatches as f64
 }
 
-/// Danger: homes are learned to grow with the machines, and each machine held against each home makes a bind cost the
-/// square of the fleet. Held against sorted homes it grows by the machines and the logarithm of the homes: 11 times for
-/// eight times the machines.
+/// Preferred nodes are learned to grow with the nodes, and each node compared with each of them
+/// would cost the square of the fleet. Searched among sorted ones the cost grows with the nodes and
+/// the logarithm of the preferred ones: 11 times for eight times the nodes.
 #[test]
-fn a_bind_does_not_look_at_the_square_of_the_machines() {
-    let (few, many) = (looked_at(250), looked_at(2_000));
-    assert!(many <= few * 12.0, "{few} at 250 machines, {many} at 2,000");
+fn comparisons_of_a_placement_do_not_grow_with_the_square_of_the_nodes() {
+    let (few, many) = (
+        comparisons_per_placement(250),
+        comparisons_per_placement(2_000),
+    );
+    assert!(many <= few * 12.0, "{few} at 250 nodes, {many} at 2,000");
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of this package's sources: lengths of files, widths of lines, and where decisions are made.
+//! Limits of this package's sources: lengths of files, widths of lines, and where decisions are
+//! made.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The five rules, checked from outside: random legal days are played against the module through its interface.
+//! The five rules, checked from outside: random legal days are played against the module through
+//! its interface.
 
 use peppercove::*;
 use proptest::prelude::*;
@@ -12,24 +13,24 @@
         service: u64,
         cores: f64,
     },
-    Standing {
+    RunningTask {
         class: u16,
         service: u64,
-        machine: u64,
+        node: u64,
     },
-    Answer {
+    EndAttempt {
         pick: usize,
         outcome: AttemptOutcome,
-        why: EndReason,
+        reason: EndReason,
     },
-    Seat {
+    Acknowledge {
         pick: usize,
     },
-    Unwanted {
+    Cancel {
         pick: usize,
     },
-    Line {
-        machine: u64,
+    ListEntry {
+        node: u64,
         state: NodeStatus,
         restarted: bool,
     },
@@ -37,14 +38,14 @@
         missing: u64,
     },
     ListFails,
-    Repeat,
+    RepeatLastEvent,
     Wait {
         span: Micros,
     },
 }
 
-struct Try {
-    machine: NodeId,
+struct SentAttempt {
+    node: NodeId,
     rack: u16,
     sent_at: Micros,
     ends_at: Micros,
@@ -52,35 +53,35 @@
     may_have_run: bool,
 }
 
-struct Case {
-    ask: PlacementRequest,
+struct TrackedRequest {
+    spec: PlacementRequest,
     deadline: Micros,
-    answered: bool,
-    over: bool,
-    tries: Vec<Try>,
+    is_answered: bool,
+    is_completed: bool,
+    attempts: Vec<SentAttempt>,
 }
 
-/// A referee that knows only what the scheduler was told and what it did.
+/// A referee that knows only the events that the scheduler got and the actions that it returned.
 struct Referee {
     settings: Settings,
     scheduler: Scheduler,
     now: Micros,
-    lines: BTreeMap<NodeId, NodeEntry>,
-    cases: BTreeMap<RequestId, Case>,
-    offers: BTreeMap<NodeId, Vec<Micros>>,
+    entries: BTreeMap<NodeId, NodeEntry>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    sent: BTreeMap<NodeId, Vec<Micros>>,
     timers: Vec<(Micros, u64)>,
     last: Option<Event>,
     next: u64,
-    binds: usize,
+    dispatches: usize,
 }
 
-fn line(machine: u64, started_at: Micros) -> NodeEntry {
+fn node_entry(node: u64, started_at: Micros) -> NodeEntry {
     NodeEntry {
         slow_start_share: None,
-        node: NodeId(machine),
+        node: NodeId(node),
         state: NodeStatus::Ready,
         kind: 0,
-        rack: (machine % 2) as u16,
+        rack: (node % 2) as u16,
         zone: 0,
         started_at,
         incarnation: started_at,
@@ -96,25 +97,25 @@
             settings,
             scheduler,
             now: 1_000_000,
-            lines: BTreeMap::new(),
-            cases: BTreeMap::new(),
-            offers: BTreeMap::new(),
+            entries: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            sent: BTreeMap::new(),
             timers: Vec::new(),
             last: None,
             next: 1,
-            binds: 0,
+            dispatches: 0,
         };
-        let lines: Vec<_> = (0..5).map(|m| line(m, 0)).collect();
-        referee.lines = lines.iter().map(|l| (l.node, l.clone())).collect();
-        referee.tell(Event::NodeList {
+        let entries: Vec<_> = (0..5).map(|m| node_entry(m, 0)).collect();
+        referee.entries = entries.iter().map(|l| (l.node, l.clone())).collect();
+        referee.send(Event::NodeList {
             kind: ListUpdateKind::Cached,
             version: 1,
-            entries: lines,
+            entries,
         });
         referee
     }
 
-    fn tell(&mut self, event: Event) {
+    fn send(&mut self, event: Event) {
         self.last = Some(event.clone());
         let actions = self.scheduler.handle(self.now, &[event]);
         for action in actions {
@@ -126,32 +127,41 @@
         match action {
             Action::Dispatch {
                 request,
-                node: machine,
+                node,
                 timeout,
-            } => self.check_bind(request, machine, timeout),
+            } => self.check_dispatch(request, node, timeout),
             Action::Reject { request, .. } => {
-                let case = self.cases.get_mut(&request).expect("a known request");
-                let group_all = matches!(
-                    self.settings.classes[case.ask.class as usize].idempotency,
+                let tracked = self.requests.get_mut(&request).expect("a known request");
+                let is_retry_harmless = matches!(
+                    self.settings.classes[tracked.spec.class as usize].idempotency,
                     Idempotency::Idempotent
                         | Idempotency::Keyed {
                             scope: DedupScope::All,
                             ..
                         }
                 );
-                let proven = case.tries.iter().all(|t| !t.open && !t.may_have_run);
-                assert!(group_all || proven, "refused though it may have run");
-                assert!(!case.answered && !case.over, "a second answer");
+                let cannot_have_run = tracked.attempts.iter().all(|t| !t.open && !t.may_have_run);
                 assert!(
-                    self.now <= case.deadline + self.settings.answer_slack,
+                    is_retry_harmless || cannot_have_run,
+                    "rejected though it may have run"
+                );
+                assert!(
+                    !tracked.is_answered && !tracked.is_completed,
+                    "a second answer"
+                );
+                assert!(
+                    self.now <= tracked.deadline + self.settings.answer_slack,
                     "an answer too late"
                 );
-                (case.answered, case.over) = (true, true);
+                (tracked.is_answered, tracked.is_completed) = (true, true);
             }
             Action::Fail(request) => {
-                let case = self.cases.get_mut(&request).expect("a known request");
-                assert!(!case.answered && !case.over, "a second answer");
-                (case.answered, case.over) = (true, true);
+                let tracked = self.requests.get_mut(&request).expect("a known request");
+                assert!(
+                    !tracked.is_answered && !tracked.is_completed,
+                    "a second answer"
+                );
+                (tracked.is_answered, tracked.is_completed) = (true, true);
             }
             Action::SetTimer { label, at } => {
                 assert!(at > self.now);
@@ -164,60 +174,71 @@
         }
     }
 
-    fn check_bind(&mut self, request: RequestId, machine: NodeId, timeout: Option<Micros>) {
-        self.binds += 1;
+    fn check_dispatch(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
+        self.dispatches += 1;
         let now = self.now;
-        let told = self.lines.get(&machine).expect("a listed machine");
+        let entry = self.entries.get(&node).expect("a listed node");
         assert_eq!(
-            told.state,
+            entry.state,
             NodeStatus::Ready,
-            "sent to a machine that drains or is gone"
+            "sent to a node that drains or is gone"
         );
-        let (rack, started_at) = (told.rack, told.started_at);
-        let case = &self.cases[&request];
-        let class = &self.settings.classes[case.ask.class as usize];
-        assert!(!case.answered && !case.over, "sent after its end");
-        assert!(case.tries.iter().all(|t| !t.open), "two attempts out");
-        assert!((case.tries.len() as u32) < self.settings.max_attempts);
-        if let Some(first) = case.tries.iter().find(|t| t.may_have_run) {
+        let (rack, started_at) = (entry.rack, entry.started_at);
+        let tracked = &self.requests[&request];
+        let class = &self.settings.classes[tracked.spec.class as usize];
+        assert!(
+            !tracked.is_answered && !tracked.is_completed,
+            "sent after its end"
+        );
+        assert!(
+            tracked.attempts.iter().all(|t| !t.open),
+            "two attempts in flight"
+        );
+        assert!((tracked.attempts.len() as u32) < self.settings.max_attempts);
+        if let Some(first) = tracked.attempts.iter().find(|t| t.may_have_run) {
             match class.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("an unsafe task sent again"),
+                Idempotency::NonIdempotent => panic!("a non-idempotent task sent again"),
                 Idempotency::Keyed { window, .. } => {
                     assert!(
                         first.rack == rack && now < first.sent_at + window,
-                        "outside its group"
+                        "outside its deduplication scope"
                     );
                 }
             }
         }
         if class.topology_spread == TopologySpread::Rack {
             let same = self
-                .cases
+                .requests
                 .values()
-                .filter(|c| c.ask.service == case.ask.service);
+                .filter(|c| c.spec.service == tracked.spec.service);
             let held = same
-                .flat_map(|c| &c.tries)
+                .flat_map(|c| &c.attempts)
                 .filter(|t| t.open && t.rack == rack)
                 .count();
             assert!(
                 held < class.max_per_domain as usize,
-                "a service crowds a rack"
+                "too many tasks of a service in a rack"
             );
         }
-        let offers = self.offers.entry(machine).or_default();
-        offers.push(now);
+        let sent = self.sent.entry(node).or_default();
+        sent.push(now);
         if started_at > 0 && now < started_at + self.settings.slow_start_window {
             let window = now.saturating_sub(self.settings.overload_window);
-            let recent = offers.iter().filter(|at| **at > window).count() as f64;
+            let recent = sent.iter().filter(|at| **at > window).count() as f64;
             let share = self.settings.slow_start_budget / f64::from(self.settings.schedulers);
-            assert!(recent <= share, "a cold machine pushed over");
+            assert!(
+                recent <= share,
+                "a node that warms up got more than its budget"
+            );
         }
-        let case = self.cases.get_mut(&request).unwrap();
-        let ends_at = case.deadline.min(timeout.map_or(Micros::MAX, |t| now + t));
+        let tracked = self.requests.get_mut(&request).unwrap();
+        let ends_at = tracked
+            .deadline
+            .min(timeout.map_or(Micros::MAX, |t| now + t));
         let (open, may_have_run) = (true, false);
-        case.tries.push(Try {
-            machine,
+        tracked.attempts.push(SentAttempt {
+            node,
             rack,
             sent_at: now,
             ends_at,
@@ -226,11 +247,11 @@
         });
     }
 
-    fn place(&mut self, class: u16, service: u64, cores: f64, standing: Option<u64>) {
+    fn place(&mut self, class: u16, service: u64, cores: f64, running_on: Option<u64>) {
         let request = RequestId(self.next);
         self.next += 1;
         let deadline_in = self.settings.classes[class as usize].deadline;
-        let ask = PlacementRequest {
+        let spec = PlacementRequest {
             id: request,
             task: TaskKey(request.0),
             service: ServiceId(u64::from(class) * 100 + service),
@@ -242,48 +263,48 @@
             expected_duration: None,
             is_retry: false,
         };
-        let mut case = Case {
-            ask: ask.clone(),
+        let mut tracked = TrackedRequest {
+            spec: spec.clone(),
             deadline: self.now + deadline_in,
-            answered: false,
-            over: false,
-            tries: vec![],
+            is_answered: false,
+            is_completed: false,
+            attempts: vec![],
         };
-        if let Some(machine) = standing {
-            let machine = NodeId(machine);
-            let Some(rack) = self.lines.get(&machine).map(|l| l.rack) else {
+        if let Some(node) = running_on {
+            let node = NodeId(node);
+            let Some(rack) = self.entries.get(&node).map(|l| l.rack) else {
                 return;
             };
-            case.answered = true;
+            tracked.is_answered = true;
             let (sent_at, ends_at) = (self.now, Micros::MAX);
-            case.tries.push(Try {
-                machine,
+            tracked.attempts.push(SentAttempt {
+                node,
                 rack,
                 sent_at,
                 ends_at,
                 open: true,
                 may_have_run: false,
             });
-            self.cases.insert(request, case);
-            self.tell(Event::RunningTask {
-                request: ask,
-                node: machine,
+            self.requests.insert(request, tracked);
+            self.send(Event::RunningTask {
+                request: spec,
+                node,
             });
         } else {
-            self.cases.insert(request, case);
-            self.tell(Event::Place(ask));
+            self.requests.insert(request, tracked);
+            self.send(Event::Place(spec));
         }
     }
 
     /// The open attempts that `pick` may choose from, as request and attempt.
-    fn open(&self, pick: usize, seated: bool) -> Option<(RequestId, u16)> {
-        let wanted = |c: &Case| c.answered == seated || seated;
+    fn open(&self, pick: usize, include_placed: bool) -> Option<(RequestId, u16)> {
+        let wanted = |c: &TrackedRequest| c.is_answered == include_placed || include_placed;
         let all: Vec<(RequestId, u16)> = self
-            .cases
+            .requests
             .iter()
             .filter(|(_, c)| wanted(c))
             .flat_map(|(r, c)| {
-                c.tries
+                c.attempts
                     .iter()
                     .enumerate()
                     .map(move |(i, t)| (*r, i as u16, t.open))
@@ -294,24 +315,30 @@
         (!all.is_empty()).then(|| all[pick % all.len()])
     }
 
-    fn end(&mut self, request: RequestId, attempt: u16, outcome: AttemptOutcome, why: EndReason) {
-        let case = self.cases.get_mut(&request).unwrap();
-        let t = &mut case.tries[attempt as usize];
+    fn end(
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        outcome: AttemptOutcome,
+        reason: EndReason,
+    ) {
+        let tracked = self.requests.get_mut(&request).unwrap();
+        let t = &mut tracked.attempts[attempt as usize];
         t.open = false;
         t.may_have_run = !matches!(
             outcome,
             AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
         );
-        let machine = t.machine;
-        case.over |= case.answered;
-        let over = case.over;
-        self.tell(Event::AttemptEnded {
+        let node = t.node;
+        tracked.is_completed |= tracked.is_answered;
+        let is_completed = tracked.is_completed;
+        self.send(Event::AttemptEnded {
             request,
             attempt,
-            node: machine,
+            node,
             outcome,
-            reason: why,
-            is_final: over,
+            reason,
+            is_final: is_completed,
             load: None,
         });
     }
@@ -323,95 +350,100 @@
                 service,
                 cores,
             } => self.place(class, service, cores, None),
-            Step::Standing {
+            Step::RunningTask {
                 class,
                 service,
-                machine,
-            } => self.place(class, service, 1.0, Some(machine)),
-            Step::Answer { pick, outcome, why } => {
+                node,
+            } => self.place(class, service, 1.0, Some(node)),
+            Step::EndAttempt {
+                pick,
+                outcome,
+                reason,
+            } => {
                 if let Some((request, attempt)) = self.open(pick, true) {
-                    self.end(request, attempt, outcome, why);
+                    self.end(request, attempt, outcome, reason);
                 }
             }
-            Step::Seat { pick } => {
+            Step::Acknowledge { pick } => {
                 if let Some((request, attempt)) = self.open(pick, false) {
-                    let case = self.cases.get_mut(&request).unwrap();
-                    case.answered = true;
-                    case.tries[attempt as usize].ends_at = Micros::MAX;
-                    let machine = case.tries[attempt as usize].machine;
-                    self.tell(Event::Placed {
+                    let tracked = self.requests.get_mut(&request).unwrap();
+                    tracked.is_answered = true;
+                    tracked.attempts[attempt as usize].ends_at = Micros::MAX;
+                    let node = tracked.attempts[attempt as usize].node;
+                    self.send(Event::Placed {
                         request,
                         attempt,
-                        node: machine,
+                        node,
                     });
                 }
             }
-            Step::Unwanted { pick } => {
+            Step::Cancel { pick } => {
                 let live: Vec<RequestId> = self
-                    .cases
+                    .requests
                     .iter()
-                    .filter(|(_, c)| !c.over)
+                    .filter(|(_, c)| !c.is_completed)
                     .map(|(r, _)| *r)
                     .collect();
                 if !live.is_empty() {
                     let request = live[pick % live.len()];
-                    let case = self.cases.get_mut(&request).unwrap();
-                    (case.answered, case.over) = (true, true);
-                    self.tell(Event::RequestCancelled(request));
+                    let tracked = self.requests.get_mut(&request).unwrap();
+                    (tracked.is_answered, tracked.is_completed) = (true, true);
+                    self.send(Event::RequestCancelled(request));
                 }
             }
-            Step::Line {
-                machine,
+            Step::ListEntry {
+                node,
                 state,
                 restarted,
             } => {
-                let id = NodeId(machine);
-                let started_at = self.lines.get(&id).map_or(0, |l| l.started_at);
+                let id = NodeId(node);
+                let started_at = self.entries.get(&id).map_or(0, |l| l.started_at);
                 let started_at = if restarted { self.now } else { started_at };
                 let new = NodeEntry {
                     state,
-                    ..line(machine, started_at)
+                    ..node_entry(node, started_at)
                 };
-                self.lines.insert(id, new.clone());
+                self.entries.insert(id, new.clone());
                 self.next += 1;
                 let version = self.next;
-                self.tell(Event::NodeList {
+                self.send(Event::NodeList {
                     kind: ListUpdateKind::Incremental,
                     version,
                     entries: vec![new],
                 });
             }
             Step::FullList { missing } => {
-                for (id, line) in &mut self.lines {
+                for (id, node_entry) in &mut self.entries {
                     if id.0 == missing {
-                        line.state = NodeStatus::Gone;
+                        node_entry.state = NodeStatus::Gone;
                     }
                 }
                 let gone = |l: &&NodeEntry| l.state != NodeStatus::Gone;
-                let lines = self.lines.values().filter(gone).cloned().collect();
+                let entries = self.entries.values().filter(gone).cloned().collect();
                 self.next += 1;
                 let version = self.next;
-                self.tell(Event::NodeList {
+                self.send(Event::NodeList {
                     kind: ListUpdateKind::Full,
                     version,
-                    entries: lines,
+                    entries,
                 });
             }
             Step::ListFails => {
-                self.tell(Event::NodeList {
+                self.send(Event::NodeList {
                     kind: ListUpdateKind::Failed,
                     version: 0,
                     entries: vec![],
                 });
             }
-            Step::Repeat => {
-                // An end that comes twice, a stale timer or an old list must change nothing that is checked.
+            Step::RepeatLastEvent => {
+                // An end that comes twice, a stale timer or an old list must change nothing that is
+                // checked.
                 if let Some(event) = self
                     .last
                     .clone()
                     .filter(|e| !matches!(e, Event::RunningTask { .. }))
                 {
-                    self.tell(event);
+                    self.send(event);
                 }
             }
             Step::Wait { span } => self.wait(self.now + span),
@@ -426,21 +458,22 @@
                 .map(|(at, _)| *at)
                 .min()
                 .unwrap_or(Micros::MAX);
-            let tries = self
-                .cases
+            let attempts = self
+                .requests
                 .values()
-                .flat_map(|c| &c.tries)
+                .flat_map(|c| &c.attempts)
                 .filter(|t| t.open);
-            let end = tries.map(|t| t.ends_at).min().unwrap_or(Micros::MAX);
+            let end = attempts.map(|t| t.ends_at).min().unwrap_or(Micros::MAX);
             let next = timer.min(end);
             if next > until {
                 break;
             }
             self.now = self.now.max(next);
             if end == next {
-                let is_due = |c: &Case| c.tries.iter().position(|t| t.open && t.ends_at == end);
+                let is_due =
+                    |c: &TrackedRequest| c.attempts.iter().position(|t| t.open && t.ends_at == end);
                 let due = self
-                    .cases
+                    .requests
                     .iter()
                     .find_map(|(r, c)| is_due(c).map(|i| (*r, i as u16)));
                 let (request, attempt) = due.expect("the attempt that is due");
@@ -453,7 +486,7 @@
             } else {
                 let at = self.timers.iter().position(|(at, _)| *at == next).unwrap();
                 let (_, label) = self.timers.remove(at);
-                self.tell(Event::Timer(label));
+                self.send(Event::Timer(label));
             }
             self.check_deadlines();
         }
@@ -462,12 +495,12 @@
     }
 
     fn check_deadlines(&self) {
-        for case in self.cases.values() {
-            let late = self.now > case.deadline + self.settings.answer_slack;
+        for tracked in self.requests.values() {
+            let late = self.now > tracked.deadline + self.settings.answer_slack;
             assert!(
-                case.answered || case.over || !late,
+                tracked.is_answered || tracked.is_completed || !late,
                 "no answer by the deadline: {:?}",
-                case.ask.id
+                tracked.spec.id
             );
         }
     }
@@ -483,7 +516,7 @@
         Just(AttemptOutcome::Unreachable),
         Just(AttemptOutcome::Lost),
     ];
-    let why = prop_oneof![
+    let reason = prop_oneof![
         Just(EndReason::InsufficientCores),
         Just(EndReason::InsufficientMemory),
         Just(EndReason::QueueFull),
@@ -498,30 +531,30 @@
     let cores = prop_oneof![Just(0.5), Just(1.0), Just(4.0), Just(40.0)];
     let step = prop_oneof![
         8 => (0..3u16, 0..3u64, cores).prop_map(|(class, service, cores)| Step::Place { class, service, cores }),
-        1 => (0..3u16, 0..3u64, 0..6u64).prop_map(|(class, service, machine)| {
-            Step::Standing { class, service, machine }
+        1 => (0..3u16, 0..3u64, 0..6u64).prop_map(|(class, service, node)| {
+            Step::RunningTask { class, service, node }
         }),
-        5 => (0..99usize, outcome, why).prop_map(|(pick, outcome, why)| Step::Answer { pick, outcome, why }),
-        5 => (0..99usize).prop_map(|pick| Step::Seat { pick }),
-        1 => (0..99usize).prop_map(|pick| Step::Unwanted { pick }),
-        2 => (0..6u64, state, any::<bool>()).prop_map(|(machine, state, restarted)| {
-            Step::Line { machine, state, restarted }
+        5 => (0..99usize, outcome, reason).prop_map(|(pick, outcome, reason)| Step::EndAttempt { pick, outcome, reason }),
+        5 => (0..99usize).prop_map(|pick| Step::Acknowledge { pick }),
+        1 => (0..99usize).prop_map(|pick| Step::Cancel { pick }),
+        2 => (0..6u64, state, any::<bool>()).prop_map(|(node, state, restarted)| {
+            Step::ListEntry { node, state, restarted }
         }),
         1 => (0..9u64).prop_map(|missing| Step::FullList { missing }),
         1 => Just(Step::ListFails),
-        2 => Just(Step::Repeat),
+        2 => Just(Step::RepeatLastEvent),
         6 => (1_000..2_000_000u64).prop_map(|span| Step::Wait { span }),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-fn settings(confirms: PlacementAck, probes: bool) -> Settings {
+fn settings(placement_ack: PlacementAck, can_probe: bool) -> Settings {
     let mut settings = Settings {
-        placement_ack: confirms,
-        can_probe: probes,
+        placement_ack,
+        can_probe,
         ..Settings::sample()
     };
-    // A keyed class whose group is a rack gets its deadline past its window.
+    // A keyed class whose scope is a rack gets its deadline past its window.
     settings.classes[1].deadline = 6_000_000;
     settings
 }
@@ -532,7 +565,7 @@
         referee.step(step);
     }
     referee.wait(referee.now + 20_000_000);
-    referee.binds
+    referee.dispatches
 }
 
 proptest! {
@@ -541,18 +574,18 @@
     })]
 
     #[test]
-    fn the_five_rules_hold_where_running_confirms(seed in any::<u64>(), steps in steps()) {
+    fn the_five_rules_hold_if_nodes_acknowledge_running_tasks(seed in any::<u64>(), steps in steps()) {
         play(settings(PlacementAck::Running, false), seed, &steps);
     }
 
     #[test]
-    fn the_five_rules_hold_where_acceptance_confirms(seed in any::<u64>(), steps in steps()) {
+    fn the_five_rules_hold_if_nodes_acknowledge_accepted_tasks(seed in any::<u64>(), steps in steps()) {
         play(settings(PlacementAck::Accepted, true), seed, &steps);
     }
 }
 
 #[test]
-fn the_referee_sees_binds() {
+fn the_referee_sees_dispatches() {
     let place = Step::Place {
         class: 0,
         service: 0,
@@ -561,6 +594,6 @@
     assert_eq!(
         play(settings(PlacementAck::Running, false), 1, &[place]),
         2,
-        "a first try and one after silence"
+        "a first attempt and one after its timeout"
     );
 }
--- /dev/null
+++ b/tests/scheduler/load_estimate.rs
@@ -0,0 +1,116 @@
+//! What lists, reports and rejections change in the load of a node.
+
+use super::support::*;
+use peppercove::*;
+
+#[test]
+fn after_a_rejection_for_cores_the_node_counts_as_full() {
+    // Found on santander-main: one node that the table took for idle rejected thousands of
+    // attempts.
+    let mut scheduler = scheduler_with_nodes(Settings::sample(), 1);
+    scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]);
+    let after = scheduler.handle(
+        SECOND + 1_000,
+        &[attempt_ended(
+            1,
+            0,
+            0,
+            AttemptOutcome::Rejected,
+            EndReason::InsufficientCores,
+        )],
+    );
+    assert!(
+        dispatches(&after).is_empty(),
+        "the same task again: {after:?}"
+    );
+    let more: Vec<Event> = (2..50).map(|i| Event::Place(task(i, 0, i))).collect();
+    assert!(dispatches(&scheduler.handle(SECOND + 2_000, &more)).is_empty());
+}
+
+#[test]
+fn a_stale_list_does_not_overwrite_what_a_node_reported() {
+    // Found by random scenarios (h587993, stale list): nodes that had just rejected were tried
+    // again.
+    let mut scheduler = scheduler_with_nodes(
+        Settings {
+            schedulers: 100,
+            ..Settings::sample()
+        },
+        1,
+    );
+    scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]);
+    let rejected = attempt_ended(
+        1,
+        0,
+        0,
+        AttemptOutcome::Rejected,
+        EndReason::InsufficientMemory,
+    );
+    scheduler.handle(SECOND + 1_000, &[rejected]);
+    let dispatched = |scheduler: &mut Scheduler, version: u64, now: Micros| {
+        let events = [
+            node_list(ListUpdateKind::Incremental, version, vec![node_entry(0, 0)]),
+            Event::Place(task(version, 0, 1)),
+        ];
+        dispatches(&scheduler.handle(now, &events))
+            .iter()
+            .any(|b| b.0 == version)
+    };
+    assert!(
+        !dispatched(&mut scheduler, 20, 3 * SECOND),
+        "the list may be older than the rejection"
+    );
+    assert!(
+        dispatched(&mut scheduler, 21, 9 * SECOND),
+        "a later list is taken in"
+    );
+}
+
+#[test]
+fn with_a_hundred_schedulers_the_list_replaces_the_foreign_load() {
+    // Found at full size on all later deployments: the estimates followed the list by a fifth only.
+    let settings = Settings {
+        schedulers: 100,
+        ..Settings::sample()
+    };
+    let mut scheduler = scheduler_with_nodes(settings, 2);
+    let full = NodeEntry {
+        free_cores: Some(0.0),
+        free_memory: Some(0.0),
+        ..node_entry(0, 0)
+    };
+    scheduler.handle(
+        2 * SECOND,
+        &[node_list(ListUpdateKind::Incremental, 2, vec![full])],
+    );
+    let events: Vec<Event> = (0..6).map(|i| Event::Place(task(i, 0, i))).collect();
+    let dispatched = dispatches(&scheduler.handle(2 * SECOND, &events));
+    assert!(
+        dispatched.len() == 6 && dispatched.iter().all(|(_, node)| *node == 1),
+        "{dispatched:?}"
+    );
+}
+
+#[test]
+fn running_tasks_taken_over_at_start_count_once() {
+    // Found on ahmedabad-main: the list counted them already, and nodes looked full.
+    let mut scheduler = Scheduler::new(Settings::sample(), 3);
+    let used = NodeEntry {
+        free_cores: Some(4.0),
+        free_memory: Some(8.0),
+        ..node_entry(1, 1)
+    };
+    let running_task = |i| Event::RunningTask {
+        request: task(i, 0, 1),
+        node: NodeId(1),
+    };
+    let mut events = vec![node_list(ListUpdateKind::Cached, 1, vec![used])];
+    events.extend((1..=12).map(running_task));
+    scheduler.handle(SECOND, &events);
+    let place: Vec<Event> = (20..24).map(|i| Event::Place(task(i, 0, 1))).collect();
+    assert_eq!(
+        dispatches(&scheduler.handle(SECOND + 1, &place)).len(),
+        4,
+        "four of sixteen cores are free"
+    );
+}
--- /dev/null
+++ b/tests/scheduler/retries.rs
@@ -0,0 +1,90 @@
+//! Timeouts, further attempts and cancelled requests.
+
+use super::support::*;
+use peppercove::*;
+
+#[test]
+fn after_a_late_rejection_the_attempts_left_are_spread_over_the_time_left() {
+    // Found in incident idb7888: full nodes rejected attempts within moments of each other.
+    let mut scheduler = scheduler_with_nodes(Settings::sample(), 6);
+    let late = PlacementRequest {
+        is_retry: true,
+        ..task(1, 0, 1)
+    };
+    let mut at = dispatches(&scheduler.handle(SECOND, &[Event::Place(late)]))[0].1;
+    let mut sent = vec![SECOND];
+    let mut events = vec![attempt_ended(
+        1,
+        0,
+        at,
+        AttemptOutcome::Rejected,
+        EndReason::InsufficientMemory,
+    )];
+    for now in (SECOND..6 * SECOND).step_by(50_000) {
+        let dispatched = dispatches(&scheduler.handle(now, &events));
+        events = vec![Event::Timer(0)];
+        if let Some((_, node)) = dispatched.first() {
+            at = *node;
+            events = vec![attempt_ended(
+                1,
+                sent.len() as u16,
+                at,
+                AttemptOutcome::Rejected,
+                EndReason::InsufficientMemory,
+            )];
+            sent.push(now);
+        }
+    }
+    assert_eq!(sent.len(), 3, "{sent:?}");
+    assert!(
+        sent.windows(2).all(|pair| pair[1] - pair[0] >= SECOND),
+        "{sent:?}"
+    );
+    // A first request within its latency objective is retried at once.
+    let at = dispatches(&scheduler.handle(10 * SECOND, &[Event::Place(task(2, 0, 2))]))[0].1;
+    let rejected = attempt_ended(
+        2,
+        0,
+        at,
+        AttemptOutcome::Rejected,
+        EndReason::InsufficientMemory,
+    );
+    assert_eq!(
+        dispatches(&scheduler.handle(10 * SECOND, &[rejected])).len(),
+        1
+    );
+}
+
+#[test]
+fn a_start_is_waited_for_at_least_half_of_the_time_left() {
+    // Found on kigali-templates: starts without the program timed out at twice the objective and
+    // began anew.
+    let mut scheduler = scheduler_with_nodes(Settings::sample(), 2);
+    let actions = scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]);
+    let timeout = actions.iter().find_map(|a| match a {
+        Action::Dispatch { timeout, .. } => *timeout,
+        _ => None,
+    });
+    assert!(
+        timeout.is_some_and(|t| (5 * SECOND / 2..5 * SECOND).contains(&t)),
+        "{timeout:?}"
+    );
+}
+
+#[test]
+fn a_cancelled_request_gets_no_further_attempt() {
+    let mut scheduler = scheduler_with_nodes(Settings::sample(), 2);
+    let at = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].1;
+    scheduler.handle(SECOND, &[Event::RequestCancelled(RequestId(1))]);
+    let after = scheduler.handle(
+        2 * SECOND,
+        &[attempt_ended(
+            1,
+            0,
+            at,
+            AttemptOutcome::Rejected,
+            EndReason::QueueFull,
+        )],
+    );
+    assert!(after.is_empty(), "{after:?}");
+}
