--- /dev/null
+++ b/crates/core/src/attempt_log/completions.rs
@@ -0,0 +1,125 @@
+//! Tasks that have run, or may have: remembered in full up to a bound, then by name alone, then not at all.
+
+use super::types::Completion;
+use peppercove::{Micros, TaskKey};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Tasks may be remembered by name alone up to this many times the number remembered in full.
+const NAMES_PER_DETAILED: usize = 20;
+
+/// A task and when it was first known to have run.
+#[derive(Clone, Copy, Debug)]
+struct Remembered {
+    since: Micros,
+    task: TaskKey,
+}
+
+/// What is known of one task that ran.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Recall {
+    /// How it ended, or that nobody can tell.
+    Detailed(Completion),
+    /// Only that it ran, or may have.
+    NameOnly,
+}
+
+/// The tasks that have run, or may have.
+#[derive(Debug, Default)]
+pub(super) struct Completions {
+    /// How long a task is remembered, in microseconds.
+    retention: Micros,
+    /// Tasks remembered in full.
+    capacity: usize,
+    detailed: BTreeMap<TaskKey, Completion>,
+    /// Keys of `detailed`, the oldest first.
+    detailed_order: VecDeque<TaskKey>,
+    names_only: BTreeSet<TaskKey>,
+    /// All remembered tasks, the oldest first.
+    order: VecDeque<Remembered>,
+}
+
+impl Completions {
+    pub(super) fn new(retention: Micros, capacity: usize) -> Completions {
+        Completions {
+            retention,
+            capacity,
+            ..Completions::default()
+        }
+    }
+
+    pub(super) fn get(&self, task: TaskKey) -> Option<Recall> {
+        let detailed = self.detailed.get(&task).copied().map(Recall::Detailed);
+        detailed.or_else(|| self.names_only.contains(&task).then_some(Recall::NameOnly))
+    }
+
+    /// No further task can be remembered by name.
+    pub(super) fn is_full(&self) -> bool {
+        self.names_only.len() >= self.capacity.saturating_mul(NAMES_PER_DETAILED)
+    }
+
+    /// Remembers that the task has run.
+    pub(super) fn insert(&mut self, now: Micros, task: TaskKey, completion: Completion) {
+        let known = self.detailed.get(&task).copied();
+        // How a task ended is reported once; a later doubt about another copy does not erase it.
+        if matches!(
+            (known, completion),
+            (Some(Completion::Ended(..)), Completion::MayHaveRun)
+        ) {
+            return;
+        }
+        let was_name_only = self.names_only.remove(&task);
+        self.detailed.insert(task, completion);
+        if known.is_none() {
+            self.detailed_order.push_back(task);
+            if !was_name_only {
+                self.order.push_back(Remembered { since: now, task });
+            }
+        }
+        self.reduce_to_names();
+    }
+
+    /// The oldest beyond the bound are remembered by name alone.
+    fn reduce_to_names(&mut self) {
+        while self.detailed_order.len() > self.capacity.max(1) {
+            let Some(oldest) = self.detailed_order.pop_front() else {
+                break;
+            };
+            if self.detailed.remove(&oldest).is_some() {
+                self.names_only.insert(oldest);
+            }
+        }
+    }
+
+    /// Forgets the tasks whose retention is over.
+    pub(super) fn expire(&mut self, now: Micros) {
+        while self.next_expiry().is_some_and(|at| at <= now) {
+            let Some(Remembered { task, .. }) = self.order.pop_front() else {
+                break;
+            };
+            self.names_only.remove(&task);
+            if self.detailed.remove(&task).is_some() {
+                self.detailed_order.retain(|t| *t != task);
+            }
+        }
+    }
+
+    /// When the oldest task is to be forgotten.
+    pub(super) fn next_expiry(&self) -> Option<Micros> {
+        self.order
+            .front()
+            .map(|oldest| oldest.since.saturating_add(self.retention))
+    }
+
+    /// The remembered tasks, those known by name alone first.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (TaskKey, Completion)> + '_ {
+        let names_only = self
+            .names_only
+            .iter()
+            .map(|task| (*task, Completion::MayHaveRun));
+        names_only.chain(
+            self.detailed
+                .iter()
+                .map(|(task, completion)| (*task, *completion)),
+        )
+    }
+}
--- /dev/null
+++ b/crates/core/src/attempt_log/open_copies.rs
@@ -0,0 +1,349 @@
+//! The open copies of tasks: those that run, or may still come to run.
+
+use super::types::{ClientInterest, DueActions, TaskCopy, TaskSpec};
+use peppercove::{Micros, NodeId, TaskKey};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// An orphan is kept this much longer than its client is told to wait, so that a client which obeys still finds it.
+const ORPHAN_GRACE: Micros = 1_000_000;
+
+/// Stands for a time in [`OpenCopy::orphaned_until`]: the orphan is kept until its node has reported.
+pub(super) const UNTIL_NODE_REPORTS: Micros = Micros::MAX;
+
+/// The first query follows the end of the job after this part of the retry delay.
+const QUERIES_PER_RETRY_DELAY: Micros = 8;
+
+/// The wait between two queries doubles up to this many times.
+const MAX_QUERY_DOUBLINGS: u32 = 4;
+
+/// What is known of an open copy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Knowledge {
+    /// It was sent; nothing is known.
+    Sent,
+    /// It runs, or did when its node last reported it.
+    Running,
+}
+
+/// What its node was asked about a copy.
+#[derive(Clone, Copy, Debug, Default)]
+struct Queries {
+    last_at: Micros,
+    count: u32,
+}
+
+/// One open copy.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct OpenCopy {
+    pub(super) spec: TaskSpec,
+    /// Incarnation of its node when it was sent.
+    pub(super) node_incarnation: u64,
+    pub(super) knowledge: Knowledge,
+    /// Set once no request waits for the copy: its client may ask again until then.
+    orphaned_until: Option<Micros>,
+    /// Its client ended the job: it is stopped as soon as its node reports it.
+    pub(super) is_unwanted: bool,
+    queries: Queries,
+    /// Since when the list has not named its node and no connection to it stands.
+    pub(super) node_removed_at: Option<Micros>,
+}
+
+impl OpenCopy {
+    fn new(spec: TaskSpec, node_incarnation: u64) -> OpenCopy {
+        OpenCopy {
+            spec,
+            node_incarnation,
+            knowledge: Knowledge::Sent,
+            orphaned_until: None,
+            is_unwanted: false,
+            queries: Queries::default(),
+            node_removed_at: None,
+        }
+    }
+
+    /// No request waits for it.
+    pub(super) fn is_orphan(&self) -> bool {
+        self.orphaned_until.is_some()
+    }
+
+    /// It was recovered from the journal, and its node has not reported since.
+    pub(super) fn awaits_node_report(&self) -> bool {
+        self.orphaned_until == Some(UNTIL_NODE_REPORTS)
+    }
+
+    pub(super) fn is_running(&self) -> bool {
+        self.knowledge == Knowledge::Running
+    }
+
+    /// When the orphan is to be stopped, unless its client asks again.
+    fn stop_at(&self) -> Option<Micros> {
+        let is_kept = self.is_running() && !self.is_unwanted;
+        self.orphaned_until
+            .filter(|until| is_kept && *until != UNTIL_NODE_REPORTS)
+    }
+
+    /// When its node is to be asked about it: an eighth of the retry delay after its job is over, then after waits
+    /// that double. `None` while a request waits for the copy.
+    fn query_at(&self, retry_delay: Micros) -> Option<Micros> {
+        let until = self.orphaned_until?;
+        let first_wait = (retry_delay / QUERIES_PER_RETRY_DELAY).max(1);
+        let wait = first_wait << self.queries.count.min(MAX_QUERY_DOUBLINGS);
+        let orphaned_at = until.saturating_sub(orphan_retention(retry_delay));
+        let since = if self.queries.count == 0 {
+            orphaned_at
+        } else {
+            self.queries.last_at
+        };
+        Some(since.saturating_add(wait))
+    }
+}
+
+/// How long an orphan is kept for its client, in microseconds.
+fn orphan_retention(retry_delay: Micros) -> Micros {
+    retry_delay.saturating_add(ORPHAN_GRACE)
+}
+
+/// All open copies.
+#[derive(Debug, Default)]
+pub(super) struct OpenCopies {
+    /// How long clients are told to wait before they ask again for a task whose outcome is ambiguous.
+    retry_delay: Micros,
+    /// How long the copies at a node that the list has removed stay open.
+    node_retention: Micros,
+    copies: BTreeMap<TaskCopy, OpenCopy>,
+    by_task: BTreeMap<TaskKey, BTreeSet<TaskCopy>>,
+    orphan_count: usize,
+    /// Nothing is due before this.
+    due_at: Micros,
+}
+
+impl OpenCopies {
+    pub(super) fn new(retry_delay: Micros, node_retention: Micros) -> OpenCopies {
+        OpenCopies {
+            retry_delay,
+            node_retention,
+            due_at: Micros::MAX,
+            ..OpenCopies::default()
+        }
+    }
+
+    pub(super) fn retry_delay(&self) -> Micros {
+        self.retry_delay
+    }
+
+    pub(super) fn orphan_count(&self) -> usize {
+        self.orphan_count
+    }
+
+    pub(super) fn contains(&self, copy: TaskCopy) -> bool {
+        self.copies.contains_key(&copy)
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&TaskCopy, &OpenCopy)> {
+        self.copies.iter()
+    }
+
+    /// The open copies of a task.
+    pub(super) fn of_task(&self, task: TaskKey) -> impl Iterator<Item = (TaskCopy, &OpenCopy)> {
+        let copies = self.by_task.get(&task).into_iter().flatten();
+        copies.filter_map(|copy| Some((*copy, self.copies.get(copy)?)))
+    }
+
+    /// The open copies at a node.
+    pub(super) fn at_node(&self, node: NodeId) -> impl Iterator<Item = (&TaskCopy, &OpenCopy)> {
+        self.copies
+            .iter()
+            .filter(move |(copy, _)| copy.attempt.node == node)
+    }
+
+    pub(super) fn insert(&mut self, copy: TaskCopy, node_incarnation: u64, spec: TaskSpec) {
+        let replaced = self
+            .copies
+            .insert(copy, OpenCopy::new(spec, node_incarnation));
+        if replaced.is_some_and(|old| old.is_orphan()) {
+            self.orphan_count -= 1;
+        }
+        self.by_task.entry(spec.task).or_default().insert(copy);
+    }
+
+    pub(super) fn remove(&mut self, copy: TaskCopy) -> Option<OpenCopy> {
+        let open = self.copies.remove(&copy)?;
+        self.orphan_count -= usize::from(open.is_orphan());
+        let task = open.spec.task;
+        if let Some(copies) = self.by_task.get_mut(&task) {
+            copies.remove(&copy);
+            if copies.is_empty() {
+                self.by_task.remove(&task);
+            }
+        }
+        Some(open)
+    }
+
+    /// The copy has another id from now on, and runs.
+    pub(super) fn rename(&mut self, from: TaskCopy, to: TaskCopy) {
+        let Some(open) = self.remove(from) else {
+            return;
+        };
+        self.insert(to, open.node_incarnation, open.spec);
+        self.set_running(to);
+    }
+
+    /// The copy runs; gives whether that was not known and the copy is open.
+    pub(super) fn set_running(&mut self, copy: TaskCopy) -> bool {
+        let Some(open) = self.copies.get_mut(&copy).filter(|open| !open.is_running()) else {
+            return false;
+        };
+        open.knowledge = Knowledge::Running;
+        true
+    }
+
+    /// A request waits for the copy after all.
+    pub(super) fn claim(&mut self, copy: TaskCopy) {
+        if let Some(open) = self.copies.get_mut(&copy)
+            && open.orphaned_until.take().is_some()
+        {
+            open.is_unwanted = false;
+            self.orphan_count -= 1;
+        }
+    }
+
+    /// No request waits for the copy any more.
+    pub(super) fn abandon(&mut self, now: Micros, copy: TaskCopy, interest: ClientInterest) {
+        let Some(open) = self.copies.get_mut(&copy) else {
+            return;
+        };
+        self.orphan_count += usize::from(!open.is_orphan());
+        open.orphaned_until = Some(now.saturating_add(orphan_retention(self.retry_delay)));
+        open.is_unwanted |= interest == ClientInterest::Ended;
+        let first_query = now.saturating_add(self.retry_delay / QUERIES_PER_RETRY_DELAY);
+        self.due_at = self.due_at.min(first_query);
+    }
+
+    /// No request of this incarnation waits for any copy: they were recovered from the journal. Their nodes report
+    /// them when they connect, and their clients may come only after that.
+    pub(super) fn abandon_all_until_reported(&mut self) {
+        for open in self.copies.values_mut() {
+            open.orphaned_until = Some(UNTIL_NODE_REPORTS);
+        }
+        self.orphan_count = self.copies.len();
+    }
+
+    /// A copy that no request waits for is reported as running; `is_new` if that was not known. Gives false where its
+    /// client has ended the job.
+    pub(super) fn keep_orphan(&mut self, now: Micros, copy: TaskCopy, is_new: bool) -> bool {
+        let Some(open) = self.copies.get_mut(&copy).filter(|open| !open.is_unwanted) else {
+            return false;
+        };
+        self.orphan_count += usize::from(!open.is_orphan());
+        if is_new || !open.is_orphan() || open.awaits_node_report() {
+            open.orphaned_until = Some(now.saturating_add(orphan_retention(self.retry_delay)));
+        }
+        self.due_at = now;
+        true
+    }
+
+    /// The list does not name the node any more; gives its copies.
+    pub(super) fn set_node_removed(&mut self, now: Micros, node: NodeId) -> Vec<TaskCopy> {
+        let mut copies = Vec::new();
+        for (copy, open) in self
+            .copies
+            .iter_mut()
+            .filter(|(copy, _)| copy.attempt.node == node)
+        {
+            open.node_removed_at.get_or_insert(now);
+            self.due_at = self.due_at.min(now.saturating_add(self.node_retention));
+            copies.push(*copy);
+        }
+        copies
+    }
+
+    /// The list names the node again; gives its copies.
+    pub(super) fn set_node_listed(&mut self, node: NodeId) -> Vec<(TaskCopy, TaskSpec)> {
+        let mut copies = Vec::new();
+        for (copy, open) in self
+            .copies
+            .iter_mut()
+            .filter(|(copy, _)| copy.attempt.node == node)
+        {
+            open.node_removed_at = None;
+            copies.push((*copy, open.spec));
+        }
+        copies
+    }
+
+    /// Something may be due at `now`.
+    pub(super) fn is_due(&self, now: Micros) -> bool {
+        self.orphan_count > 0 && now >= self.due_at
+    }
+
+    /// When something may be due next.
+    pub(super) fn next_due(&self) -> Option<Micros> {
+        (self.orphan_count > 0 && self.due_at < Micros::MAX).then_some(self.due_at)
+    }
+
+    /// Copies at nodes that the list has not named for the whole retention.
+    pub(super) fn given_up(&self, now: Micros) -> Vec<TaskCopy> {
+        let retention = self.node_retention;
+        let is_over = |open: &OpenCopy| {
+            open.node_removed_at
+                .is_some_and(|at| at.saturating_add(retention) <= now)
+        };
+        self.copies
+            .iter()
+            .filter(|(_, open)| is_over(open))
+            .map(|(copy, _)| *copy)
+            .collect()
+    }
+
+    /// The orphans to stop and to ask about at `now`, in order of their ids; nodes are asked only about copies of
+    /// `incarnation`, since they report others by themselves when they connect.
+    pub(super) fn take_due(&mut self, now: Micros, incarnation: u64) -> DueActions {
+        let mut due = DueActions::default();
+        let retry_delay = self.retry_delay;
+        for (copy, open) in self
+            .copies
+            .iter_mut()
+            .filter(|(_, open)| open.node_removed_at.is_none())
+        {
+            if open.stop_at().is_some_and(|at| at <= now) {
+                open.is_unwanted = true;
+                due.stop.push(*copy);
+            } else if copy.incarnation == incarnation
+                && open.query_at(retry_delay).is_some_and(|at| at <= now)
+            {
+                // The node's answer may be lost, or be late: it is asked again after growing waits.
+                open.queries = Queries {
+                    last_at: now,
+                    count: open.queries.count.saturating_add(1),
+                };
+                let list = if open.is_unwanted && open.is_running() {
+                    &mut due.stop
+                } else {
+                    &mut due.query
+                };
+                list.push(*copy);
+            }
+        }
+        self.schedule(now, incarnation);
+        due
+    }
+
+    fn schedule(&mut self, now: Micros, incarnation: u64) {
+        let next = self
+            .copies
+            .iter()
+            .filter_map(|(copy, open)| self.next_due_of(copy, open, incarnation))
+            .min();
+        self.due_at = next.unwrap_or(Micros::MAX).max(now + 1);
+    }
+
+    fn next_due_of(&self, copy: &TaskCopy, open: &OpenCopy, incarnation: u64) -> Option<Micros> {
+        if let Some(at) = open.node_removed_at {
+            return Some(at.saturating_add(self.node_retention));
+        }
+        let query = open
+            .query_at(self.retry_delay)
+            .filter(|_| copy.incarnation == incarnation);
+        [open.stop_at(), query].into_iter().flatten().min()
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/adoption.rs
@@ -0,0 +1,212 @@
+//! Running copies taken over: those of earlier incarnations, and those that were given up and found running.
+
+use super::requests::placement_request;
+use super::{Core, Output, ReportedTask};
+use crate::Decide;
+use crate::attempt_log::{AttemptId, Completion, TaskCopy, TaskSpec};
+use crate::jobs::{Answer, JobId, JobState, TaskEnd};
+use crate::request_state::{Attempt, RequestEntry, RequestState};
+use peppercove::{Event, NodeId, RequestId};
+use std::collections::BTreeMap;
+
+/// Copies that were adopted, by the id that their nodes know until they have used the present one.
+#[derive(Debug, Default)]
+pub(super) struct PreviousIds {
+    present: BTreeMap<TaskCopy, AttemptId>,
+}
+
+impl PreviousIds {
+    /// The present id of a copy that was adopted.
+    pub(super) fn present(&self, previous: TaskCopy) -> Option<AttemptId> {
+        self.present.get(&previous).copied()
+    }
+
+    /// A node used a present id: it has heard of it.
+    pub(super) fn acknowledge(&mut self, used: AttemptId) {
+        self.present.retain(|_, present| *present != used);
+    }
+
+    /// A copy goes from one present id of this incarnation to another.
+    fn update(&mut self, from: AttemptId, to: AttemptId) {
+        for present in self
+            .present
+            .values_mut()
+            .filter(|present| **present == from)
+        {
+            *present = to;
+        }
+    }
+
+    fn insert(&mut self, previous: TaskCopy, present: AttemptId) {
+        self.present.insert(previous, present);
+    }
+
+    /// Forgets the previous ids at a node of copies that matter no more.
+    fn retain_at(&mut self, node: NodeId, mut matters: impl FnMut(AttemptId) -> bool) {
+        self.present
+            .retain(|_, present| present.node != node || matters(*present));
+    }
+}
+
+impl<D: Decide> Core<D> {
+    /// A task that an earlier incarnation placed runs on; its job is found again under its key.
+    pub(super) fn adopt_reported(&mut self, copy: TaskCopy, task: ReportedTask) {
+        let submission = task.submission;
+        let is_known = self.is_known_class(submission.class);
+        let is_in_use = self.jobs.by_task(submission.task).is_some();
+        if !is_known || is_in_use || !self.jobs.has_capacity() {
+            self.counters.orphans_stopped += 1;
+            self.end_copy(copy, Completion::MayHaveRun);
+            self.flush_journal();
+            self.outputs.push(Output::discard_orphan(copy));
+            return;
+        }
+        let job = self.jobs.add_unclaimed(submission);
+        let request = self.adopt(job, copy);
+        if let Some(j) = self.jobs.get_mut(job) {
+            (j.answer, j.state) = (Some(Answer::Placed(copy.attempt.node)), JobState::Running);
+        }
+        self.flush_journal();
+        self.outputs.push(Output::adopt(copy, request));
+    }
+
+    /// A copy whose outcome was ambiguous was found running, and a job asks for its task: the copy is the job's.
+    pub(super) fn adopt_for_job(&mut self, job: JobId, copy: TaskCopy) {
+        let request = self.adopt(job, copy);
+        self.answer_job(job, Answer::Placed(copy.attempt.node));
+        self.flush_journal();
+        self.outputs.push(Output::adopt(copy, request));
+    }
+
+    /// Gives a running copy a request of this incarnation, which counts as placed by its attempt 0.
+    fn adopt(&mut self, job: JobId, copy: TaskCopy) -> RequestId {
+        let (id, node) = (self.requests.next_id(), copy.attempt.node);
+        self.counters.adopted += 1;
+        self.release_orphan(copy);
+        let Some(j) = self.jobs.get_mut(job) else {
+            return id;
+        };
+        j.request = Some(id);
+        let request = placement_request(&j.submission, id, 0);
+        let present = AttemptId {
+            node,
+            request: id,
+            number: 0,
+        };
+        self.record_previous_id(copy, present);
+        self.log_adopted(copy, present, TaskSpec::from(&request));
+        self.requests.insert(RequestEntry {
+            request: request.clone(),
+            job,
+            deadline: self.now,
+            state: RequestState::Pending,
+            attempts: vec![Attempt {
+                accepted: true,
+                ..Attempt::new(node, self.now, self.now)
+            }],
+        });
+        self.transition(id, RequestState::Placed(0));
+        self.events.push(Event::RunningTask { request, node });
+        id
+    }
+
+    fn record_previous_id(&mut self, copy: TaskCopy, present: AttemptId) {
+        if copy.incarnation == self.limits.incarnation {
+            self.previous_ids.update(copy.attempt, present);
+        }
+        self.previous_ids.insert(copy, present);
+    }
+
+    fn log_adopted(&mut self, copy: TaskCopy, present: AttemptId, spec: TaskSpec) {
+        let adopted = self.own_copy(present);
+        if self.attempt_log.is_open(copy) {
+            self.attempt_log.rename(copy, adopted);
+        } else if self.is_logged(spec.class) {
+            let node_incarnation = self.nodes.reported_incarnation(present.node);
+            self.attempt_log
+                .record_sent(adopted, node_incarnation, spec);
+            self.attempt_log.record_running(adopted);
+        }
+    }
+
+    /// A task of an earlier incarnation ran and ended: its job is known again under its key, and one that must not run
+    /// twice is not started again for a client that never heard of it.
+    pub(super) fn record_ended_task(&mut self, copy: TaskCopy, task: ReportedTask, end: TaskEnd) {
+        let submission = task.submission;
+        if self.attempt_log.is_open(copy) {
+            self.resolve_ended_copy(copy, end, task.reason);
+        } else if self.must_run_once(submission.class) && end.has_run() {
+            let completion = match end {
+                TaskEnd::Exited { .. } => Completion::Ended(copy.attempt.node, end),
+                TaskEnd::Signalled { .. } | TaskEnd::GivenUp | TaskEnd::Lost => {
+                    Completion::MayHaveRun
+                }
+            };
+            self.attempt_log
+                .record_completion(self.now, submission.task, completion);
+        }
+        self.flush_journal();
+        self.outputs.push(Output::discard_orphan(copy));
+        let is_known = self
+            .jobs
+            .by_key(&submission.session, &submission.key)
+            .is_some();
+        if is_known || self.jobs.by_task(submission.task).is_some() || !self.jobs.has_capacity() {
+            return;
+        }
+        let job = self.jobs.add(submission, JobState::Queued);
+        if let Some(j) = self.jobs.get_mut(job) {
+            (j.answer, j.end) = (Some(Answer::Placed(copy.attempt.node)), Some(end));
+        }
+        self.finish_job(job, JobState::after(end));
+    }
+
+    // ---- Ids that nodes may still use ----
+
+    /// The reported task under the id of this incarnation, if it was adopted; `None` where that settles all that the
+    /// node says of it.
+    ///
+    /// Race: the message that a copy was adopted can be lost with its connection. Its node then names it by the previous
+    /// id, and the job would be taken for lost and the copy for an orphan: stopped, and counted no more while it goes on.
+    pub(super) fn resolve_previous_id(
+        &mut self,
+        node: NodeId,
+        task: ReportedTask,
+    ) -> Option<ReportedTask> {
+        let copy = task.copy_at(node);
+        let Some(present) = self.previous_ids.present(copy) else {
+            return Some(task);
+        };
+        if let Some(end) = task.end {
+            self.outputs.push(Output::discard_orphan(copy));
+            self.on_attempt_updated(present, super::AttemptUpdate::Ended(end, task.reason), None);
+            return None;
+        }
+        self.outputs.push(Output::adopt(copy, present.request));
+        Some(ReportedTask {
+            incarnation: self.limits.incarnation,
+            request: present.request,
+            attempt: present.number,
+            ..task
+        })
+    }
+
+    /// The previous id of a copy at the node is remembered no longer than the copy matters.
+    pub(super) fn forget_previous_ids(&mut self, node: NodeId) {
+        let Core {
+            requests,
+            attempt_log,
+            previous_ids,
+            limits,
+            ..
+        } = self;
+        let incarnation = limits.incarnation;
+        previous_ids.retain_at(node, |attempt| {
+            requests.is_placed(attempt)
+                || attempt_log.is_open(TaskCopy {
+                    incarnation,
+                    attempt,
+                })
+        });
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/job_control.rs
@@ -0,0 +1,105 @@
+//! What the client of a job may do to it.
+
+use super::{Control, Core, Output, Rejection};
+use crate::Decide;
+use crate::attempt_log::AttemptId;
+use crate::jobs::{Answer, JobId, JobState};
+use crate::request_state::{RequestEntry, RequestState};
+use peppercove::RequestId;
+
+impl<D: Decide> Core<D> {
+    pub(super) fn on_control(&mut self, ticket: u64, job: JobId, control: Control) {
+        let Some(j) = self.jobs.get(job) else {
+            self.outputs.push(Output::Rejected {
+                ticket,
+                reason: Rejection::NoSuchJob,
+            });
+            return;
+        };
+        let (state, request) = (j.state, j.request);
+        let is_accepted = match control {
+            Control::Hold => state == JobState::Queued && self.hold(job, request),
+            Control::Release => state == JobState::OnHold && self.release(job),
+            Control::Suspend => {
+                state == JobState::Running && self.suspend_or_resume(job, request, control)
+            }
+            Control::Resume => {
+                state == JobState::Suspended && self.suspend_or_resume(job, request, control)
+            }
+            Control::Terminate => self.terminate(job, state, request),
+        };
+        self.outputs.push(if is_accepted {
+            Output::ControlAccepted { ticket }
+        } else {
+            Output::Rejected {
+                ticket,
+                reason: Rejection::InvalidState(state),
+            }
+        });
+    }
+
+    fn hold(&mut self, job: JobId, request: Option<RequestId>) -> bool {
+        // A task that may run cannot be held back any more.
+        let can_hold =
+            |entry: &RequestEntry| entry.state == RequestState::Pending && entry.never_ran();
+        let Some(request) = request.filter(|r| self.requests.get(*r).is_some_and(can_hold)) else {
+            return false;
+        };
+        self.cancel_pending(request);
+        if let Some(j) = self.jobs.get_mut(job) {
+            (j.state, j.request) = (JobState::OnHold, None);
+        }
+        true
+    }
+
+    fn release(&mut self, job: JobId) -> bool {
+        self.request_placement(job);
+        true
+    }
+
+    fn suspend_or_resume(
+        &mut self,
+        job: JobId,
+        request: Option<RequestId>,
+        control: Control,
+    ) -> bool {
+        let placed = self.placed_attempt_of(request);
+        let Some(attempt) = placed.filter(|attempt| self.nodes.is_up(attempt.node)) else {
+            return false;
+        };
+        self.outputs.push(Output::control_task(attempt, control));
+        if let Some(j) = self.jobs.get_mut(job) {
+            j.state = if control == Control::Suspend {
+                JobState::Suspended
+            } else {
+                JobState::Running
+            };
+        }
+        true
+    }
+
+    fn terminate(&mut self, job: JobId, state: JobState, request: Option<RequestId>) -> bool {
+        match state {
+            JobState::OnHold => self.answer_job(job, Answer::Cancelled),
+            JobState::Queued => {
+                if let Some(request) = request {
+                    self.cancel_by_client(request);
+                }
+            }
+            JobState::Running | JobState::Suspended => {
+                if let Some(attempt) = self.placed_attempt_of(request) {
+                    // A node that cannot be reached is told once it is connected again.
+                    self.outputs
+                        .push(Output::control_task(attempt, Control::Terminate));
+                    self.migrating.remove(&attempt.request);
+                }
+            }
+            JobState::Done | JobState::Failed => return false,
+        }
+        true
+    }
+
+    fn placed_attempt_of(&self, request: Option<RequestId>) -> Option<AttemptId> {
+        self.requests.placed_attempt(request?)
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/module_actions.rs
@@ -0,0 +1,60 @@
+//! Carries out what the decision module wants done.
+
+use super::{Control, Core, Output, Timer};
+use crate::Decide;
+use crate::jobs::Answer;
+use peppercove::{Action, Event, NodeId, RequestId};
+
+impl<D: Decide> Core<D> {
+    pub(super) fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::WatchNodes => self.outputs.push(Output::Watch),
+            Action::Dispatch {
+                request,
+                node,
+                timeout,
+            } => self.dispatch(request, node, timeout),
+            Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                self.on_module_answer(request, Answer::Rejected(retry_after));
+            }
+            Action::Fail(request) => self.on_module_answer(request, Answer::Failed),
+            Action::Migrate(request) => self.migrate(request),
+            Action::SetTimer { label, at } => {
+                self.timers
+                    .schedule(at.max(self.now + 1), Timer::Module(label));
+            }
+            Action::Probe(node) => self.probe(node),
+            Action::Broadcast(message) => self.outputs.push(Output::Broadcast(message)),
+            Action::Log(line) => self.outputs.push(Output::Log(line)),
+        }
+    }
+
+    /// Stops a placed task, to be placed anew once it is known to be stopped.
+    fn migrate(&mut self, request: RequestId) {
+        let placed = self.requests.placed_attempt(request);
+        match placed.filter(|attempt| self.nodes.is_up(attempt.node)) {
+            Some(attempt) => {
+                self.migrating.insert(request);
+                self.outputs
+                    .push(Output::control_task(attempt, Control::Terminate));
+            }
+            None => self.counters.ignored_actions += 1,
+        }
+    }
+
+    fn probe(&mut self, node: NodeId) {
+        if self.nodes.is_up(node) {
+            self.outputs.push(Output::Probe(node));
+        } else {
+            self.events.push(Event::Probed {
+                node,
+                answered: false,
+                load: None,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/node_list.rs
@@ -0,0 +1,76 @@
+//! Nodes that the list names, or names no more.
+
+use super::{Core, Output};
+use crate::Decide;
+use crate::nodes::ListedNode;
+use crate::request_state::RequestEntry;
+use peppercove::{Event, ListUpdateKind, NodeId};
+
+impl<D: Decide> Core<D> {
+    pub(super) fn on_node_list(
+        &mut self,
+        kind: ListUpdateKind,
+        generation: u64,
+        listed: &[ListedNode],
+    ) {
+        let (entries, changes) = self.nodes.apply_list(self.now, kind, generation, listed);
+        self.events.push(Event::NodeList {
+            kind,
+            version: generation,
+            entries,
+        });
+        for node in changes.added {
+            self.on_node_added(node);
+        }
+        if kind != ListUpdateKind::Incremental {
+            self.release_orphans_of_unknown_nodes();
+        }
+        for node in changes.removed {
+            if self.nodes.is_up(node) {
+                self.forget_node(node);
+            } else {
+                self.lose_placed_tasks(node);
+            }
+        }
+    }
+
+    fn on_node_added(&mut self, node: NodeId) {
+        for (copy, spec) in self.attempt_log.on_node_listed(node) {
+            self.track_orphan(copy, spec);
+        }
+        if let Some(n) = self.nodes.get(node) {
+            self.outputs.push(Output::Connect {
+                node,
+                address: n.address,
+                name: n.name.clone(),
+            });
+        }
+    }
+
+    /// Nodes of an earlier incarnation that no list names any more can report nothing.
+    fn release_orphans_of_unknown_nodes(&mut self) {
+        let nodes = self.attempt_log.nodes_with_open_copies();
+        for node in nodes
+            .into_iter()
+            .filter(|node| self.nodes.get(*node).is_none())
+            .collect::<Vec<_>>()
+        {
+            self.release_orphans_of(node);
+        }
+    }
+
+    /// A node that the list names no more keeps its connection while it holds an attempt: what it reports counts.
+    pub(super) fn forget_node(&mut self, node: NodeId) {
+        let holds_attempt = |entry: &RequestEntry| {
+            entry
+                .attempts
+                .iter()
+                .any(|a| a.node == node && a.ended.is_none())
+        };
+        if self.nodes.is_removed(node) && !self.requests.iter().any(holds_attempt) {
+            self.release_orphans_of(node);
+            self.nodes.forget(node);
+            self.outputs.push(Output::Disconnect(node));
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/orphans.rs
@@ -0,0 +1,149 @@
+//! Copies that may run and that no attempt in flight stands for.
+
+use super::{Control, Core, Output};
+use crate::Decide;
+use crate::attempt_log::{AttemptId, Completion, TaskCopy, TaskSpec};
+use crate::jobs::TaskEnd;
+use peppercove::{AttemptOutcome, EndReason, Event, NodeId, PlacementRequest, RequestId};
+use std::collections::BTreeMap;
+
+/// The orphans that the module counts as running tasks, by the request that it was told of.
+#[derive(Debug, Default)]
+pub(super) struct Orphans {
+    requests: BTreeMap<TaskCopy, RequestId>,
+}
+
+impl<D: Decide> Core<D> {
+    /// The module counts the copy as a running task until it is known to be over, so that neither topology spread nor
+    /// capacity is given away twice.
+    pub(super) fn track_orphan(&mut self, copy: TaskCopy, spec: TaskSpec) {
+        if !self.has_topology_spread(spec.class) || self.orphans.requests.contains_key(&copy) {
+            return;
+        }
+        let id = self.requests.next_id();
+        self.orphans.requests.insert(copy, id);
+        let request = orphan_request(id, spec);
+        self.events.push(Event::RunningTask {
+            request,
+            node: copy.attempt.node,
+        });
+    }
+
+    /// The copy is over, or a request's again.
+    pub(super) fn release_orphan(&mut self, copy: TaskCopy) {
+        let Some(request) = self.orphans.requests.remove(&copy) else {
+            return;
+        };
+        self.events.push(Event::AttemptEnded {
+            request,
+            attempt: 0,
+            node: copy.attempt.node,
+            outcome: AttemptOutcome::Cancelled,
+            reason: EndReason::Unknown,
+            is_final: true,
+            load: None,
+        });
+    }
+
+    /// It is proved that the copy never ran, or was stopped before its end.
+    pub(super) fn close_copy(&mut self, copy: TaskCopy) {
+        self.attempt_log.record_closed(copy);
+        self.release_orphan(copy);
+    }
+
+    /// The copy is over.
+    pub(super) fn end_copy(&mut self, copy: TaskCopy, completion: Completion) {
+        self.attempt_log.record_end(self.now, copy, completion);
+        self.release_orphan(copy);
+    }
+
+    /// The node reported how the task of a copy ended.
+    pub(super) fn resolve_ended_copy(&mut self, copy: TaskCopy, end: TaskEnd, reason: EndReason) {
+        match end {
+            TaskEnd::Exited { .. } => {
+                self.end_copy(copy, Completion::Ended(copy.attempt.node, end))
+            }
+            // Its node says that it gave it up before its end, and why.
+            TaskEnd::GivenUp if is_stopped_by_node(reason) => self.close_copy(copy),
+            TaskEnd::Signalled { .. } | TaskEnd::GivenUp | TaskEnd::Lost => {
+                self.end_copy(copy, Completion::MayHaveRun);
+            }
+        }
+    }
+
+    /// No list names the node and no connection to it stands: its copies are not counted until it comes back.
+    pub(super) fn release_orphans_of(&mut self, node: NodeId) {
+        for copy in self.attempt_log.on_node_removed(self.now, node) {
+            self.release_orphan(copy);
+        }
+        self.forget_previous_ids(node);
+    }
+
+    // ---- Those whose clients did not come again ----
+
+    /// Stops the orphans whose time is over, and asks nodes about those of which nothing is known.
+    pub(super) fn take_due_copies(&mut self) {
+        let due = self.attempt_log.take_due(self.now, self.limits.incarnation);
+        for copy in due.stop {
+            if copy.incarnation == self.limits.incarnation {
+                self.stop_orphan(copy.attempt);
+            }
+        }
+        for copy in due.query {
+            let AttemptId {
+                node,
+                request,
+                number,
+            } = copy.attempt;
+            if self.nodes.is_up(node) {
+                // The node answers with what it knows of the attempt, or rejects it for ever.
+                self.outputs.push(Output::CancelAttempt {
+                    node,
+                    request,
+                    attempt: number,
+                });
+            }
+        }
+    }
+
+    pub(super) fn stop_orphan(&mut self, attempt: AttemptId) {
+        self.counters.orphans_stopped += 1;
+        self.outputs
+            .push(Output::control_task(attempt, Control::Terminate));
+    }
+}
+
+/// The reason says that the node stopped the task before its end.
+fn is_stopped_by_node(reason: EndReason) -> bool {
+    match reason {
+        EndReason::Evicted | EndReason::Preempted | EndReason::Drained => true,
+        EndReason::Unknown
+        | EndReason::InsufficientCores
+        | EndReason::InsufficientMemory
+        | EndReason::QueueFull
+        | EndReason::Ineligible => false,
+    }
+}
+
+fn orphan_request(id: RequestId, spec: TaskSpec) -> PlacementRequest {
+    let TaskSpec {
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+    } = spec;
+    PlacementRequest {
+        id,
+        task,
+        service,
+        class,
+        tenant,
+        cores,
+        memory,
+        deadline_in: 0,
+        expected_duration: None,
+        is_retry: true,
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/placed_tasks.rs
@@ -0,0 +1,135 @@
+//! Placed tasks: what nodes report of them, and their end.
+
+use super::attempts::AttemptEnd;
+use super::{AttemptUpdate, Core};
+use crate::Decide;
+use crate::attempt_log::{Admission, AttemptId, ClientInterest, TaskSpec};
+use crate::jobs::{JobId, JobState, TaskEnd};
+use crate::request_state::RequestState;
+use peppercove::{AttemptOutcome, EndReason, LoadReport};
+
+/// How a placed task ended.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PlacedEnd {
+    /// For the client.
+    pub(super) task: TaskEnd,
+    /// For the module.
+    pub(super) attempt: AttemptEnd,
+}
+
+impl PlacedEnd {
+    /// Its node does not hold the task any more, or cannot be reached.
+    pub(super) fn lost() -> PlacedEnd {
+        PlacedEnd {
+            task: TaskEnd::Lost,
+            attempt: AttemptOutcome::Lost.into(),
+        }
+    }
+}
+
+impl<D: Decide> Core<D> {
+    pub(super) fn on_placed_update(
+        &mut self,
+        attempt: AttemptId,
+        update: AttemptUpdate,
+        load: Option<LoadReport>,
+    ) {
+        let end = match update {
+            AttemptUpdate::Accepted => return self.report_load(attempt.node, load),
+            AttemptUpdate::Running => return self.on_running(attempt, load),
+            AttemptUpdate::Task(update) => return self.report_task_update(attempt, update),
+            AttemptUpdate::Ended(end, reason) => {
+                self.resolve_placed_copy(attempt, end, reason);
+                PlacedEnd {
+                    task: end,
+                    attempt: AttemptEnd::new(outcome_of(end), reason, load),
+                }
+            }
+            AttemptUpdate::Rejected(reason) => {
+                // Handed back before it ran.
+                self.close_copy(self.own_copy(attempt));
+                let attempt = AttemptEnd::new(AttemptOutcome::Lost, reason, load);
+                PlacedEnd {
+                    task: TaskEnd::GivenUp,
+                    attempt,
+                }
+            }
+            AttemptUpdate::Error => {
+                let attempt = AttemptEnd::without_reason(AttemptOutcome::Error, load);
+                PlacedEnd {
+                    task: TaskEnd::Lost,
+                    attempt,
+                }
+            }
+        };
+        self.end_placed(attempt, end);
+    }
+
+    fn resolve_placed_copy(&mut self, attempt: AttemptId, end: TaskEnd, reason: EndReason) {
+        let copy = self.own_copy(attempt);
+        let is_signalled = matches!(end, TaskEnd::Signalled { .. });
+        // What was stopped to be placed anew is known to be stopped.
+        if self.migrating.contains(&attempt.request) && is_signalled {
+            self.close_copy(copy);
+        } else {
+            self.resolve_ended_copy(copy, end, reason);
+        }
+    }
+
+    /// A placed task ended, or is lost: its job is finished, or asks to be placed anew if it was to be migrated.
+    pub(super) fn end_placed(&mut self, attempt: AttemptId, end: PlacedEnd) {
+        let AttemptId {
+            node,
+            request,
+            number,
+        } = attempt;
+        let Some(entry) = self.requests.get_mut(request) else {
+            return;
+        };
+        let (job, spec) = (entry.job, TaskSpec::from(&entry.request));
+        if let Some(ended) = entry.attempts.get_mut(usize::from(number)) {
+            ended.ended = Some(end.attempt.outcome);
+        }
+        self.transition(request, RequestState::Completed);
+        let copy = self.own_copy(attempt);
+        if self.attempt_log.is_open(copy) {
+            // Out of sight, not known to be over.
+            self.track_orphan(copy, spec);
+            self.attempt_log
+                .abandon(self.now, copy, ClientInterest::MayReturn);
+        }
+        self.report_end(attempt, end.attempt, true);
+        let is_migrated = self.migrating.remove(&request) && self.may_place_anew(spec, end.task);
+        self.forget_if_done(request);
+        if is_migrated {
+            self.request_placement(job);
+        } else {
+            self.finish_ended(job, end.task);
+        }
+        self.forget_node(node);
+    }
+
+    /// A task that was to be migrated is placed anew only where it is known to be stopped before its end.
+    fn may_place_anew(&self, spec: TaskSpec, end: TaskEnd) -> bool {
+        let has_exited = matches!(end, TaskEnd::Exited { .. });
+        !has_exited
+            && (!self.must_run_once(spec.class)
+                || self.attempt_log.admit(spec.task, true) == Admission::Admit)
+    }
+
+    fn finish_ended(&mut self, job: JobId, end: TaskEnd) {
+        if let Some(j) = self.jobs.get_mut(job) {
+            j.end = Some(end);
+        }
+        self.finish_job(job, JobState::after(end));
+    }
+}
+
+/// The outcome of an attempt whose placed task ended so.
+fn outcome_of(end: TaskEnd) -> AttemptOutcome {
+    match end {
+        TaskEnd::Exited { .. } => AttemptOutcome::Completed,
+        TaskEnd::Signalled { .. } => AttemptOutcome::Cancelled,
+        TaskEnd::GivenUp | TaskEnd::Lost => AttemptOutcome::Lost,
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/requests.rs
@@ -0,0 +1,199 @@
+//! Requests for a placement: made, answered once, and forgotten.
+
+use super::{Core, Output, Timer};
+use crate::Decide;
+use crate::attempt_log::{AttemptId, ClientInterest};
+use crate::jobs::{Answer, JobId, JobState, Submission};
+use crate::request_state::{RequestEntry, RequestState};
+use peppercove::{Event, Micros, PlacementRequest, RequestId};
+
+/// The request for a submission's task, as the module is told of it.
+pub(super) fn placement_request(
+    s: &Submission,
+    id: RequestId,
+    deadline_in: Micros,
+) -> PlacementRequest {
+    PlacementRequest {
+        id,
+        task: s.task,
+        service: s.service,
+        class: s.class,
+        tenant: s.tenant,
+        cores: s.cores,
+        memory: s.memory,
+        deadline_in,
+        expected_duration: s.expected_duration,
+        is_retry: s.is_retry,
+    }
+}
+
+impl<D: Decide> Core<D> {
+    /// Asks the module to place a job's task.
+    pub(super) fn request_placement(&mut self, job: JobId) {
+        let Some(j) = self.jobs.get_mut(job) else {
+            return;
+        };
+        let id = self.requests.next_id();
+        (j.request, j.state, j.requested_at) = (Some(id), JobState::Queued, self.now);
+        let deadline_in = j.submission.deadline_in;
+        let module_deadline_in = deadline_in.saturating_sub(self.limits.deadline_margin);
+        let request = placement_request(&j.submission, id, module_deadline_in);
+        let deadline = self.now.saturating_add(deadline_in);
+        self.timers.schedule(deadline, Timer::Deadline(id));
+        self.requests.insert(RequestEntry {
+            request: request.clone(),
+            job,
+            deadline,
+            state: RequestState::Pending,
+            attempts: Vec::new(),
+        });
+        self.events.push(Event::Place(request));
+    }
+
+    /// Moves a request to another state; gives false where it may not go there, which is a fault of the program.
+    pub(super) fn transition(&mut self, request: RequestId, to: RequestState) -> bool {
+        let Some(result) = self.requests.transition(request, to) else {
+            return false;
+        };
+        if let Err(error) = &result {
+            debug_assert!(false, "{error}");
+            self.counters.invalid_transitions += 1;
+            self.outputs.push(Output::Log(format!("fault: {error}")));
+        }
+        result.is_ok()
+    }
+
+    pub(super) fn forget_if_done(&mut self, request: RequestId) {
+        if self.requests.remove_if_done(request) {
+            self.migrating.remove(&request);
+        }
+    }
+
+    // ---- Answers ----
+
+    /// The module's final answer to a request that is not placed.
+    pub(super) fn on_module_answer(&mut self, request: RequestId, answer: Answer) {
+        let Some(entry) = self.requests.get_open(request) else {
+            self.counters.ignored_actions += 1;
+            return;
+        };
+        let job = entry.job;
+        let may_do_harm = !entry.never_ran() && self.is_non_idempotent(entry.request.class);
+        let answer = match answer {
+            // Invariant: a rejection promises that a retry does no harm.
+            Answer::Rejected(_) if may_do_harm => {
+                self.counters.unsafe_rejections += 1;
+                Answer::Failed
+            }
+            Answer::Placed(_) | Answer::Rejected(_) | Answer::Failed | Answer::Cancelled => answer,
+        };
+        self.abandon_copies(request, ClientInterest::MayReturn);
+        self.transition(request, RequestState::Completed);
+        self.answer_job(job, answer);
+        self.forget_if_done(request);
+    }
+
+    /// The one place where a job's request is answered.
+    pub(super) fn answer_job(&mut self, job: JobId, answer: Answer) {
+        let Some(j) = self.jobs.get_mut(job) else {
+            return;
+        };
+        // A task that was migrated or came again was answered when it was first placed.
+        if j.answer.is_none() {
+            j.answer = Some(answer);
+            match answer {
+                Answer::Placed(_) => self.counters.placed += 1,
+                Answer::Rejected(_) => self.counters.requests_rejected += 1,
+                Answer::Failed => self.counters.failed += 1,
+                Answer::Cancelled => self.counters.cancelled += 1,
+            }
+            self.outputs.push(Output::Answered { job, answer });
+        }
+        match answer {
+            Answer::Placed(_) => j.state = JobState::Running,
+            Answer::Rejected(_) | Answer::Failed | Answer::Cancelled => {
+                self.finish_job(job, JobState::Failed)
+            }
+        }
+    }
+
+    pub(super) fn finish_job(&mut self, job: JobId, state: JobState) {
+        self.jobs.finish(job, state);
+        self.outputs.push(Output::Finished(job));
+    }
+
+    // ---- Ends without the module ----
+
+    /// Ends a pending request unanswered: its job makes another one later, or is answered by what was found.
+    pub(super) fn cancel_pending(&mut self, request: RequestId) {
+        self.events.push(Event::RequestCancelled(request));
+        self.abandon_copies(request, ClientInterest::Ended);
+        self.transition(request, RequestState::Completed);
+        self.forget_if_done(request);
+    }
+
+    /// The client ends an open request.
+    pub(super) fn cancel_by_client(&mut self, request: RequestId) {
+        self.end_open_request(request, Answer::Cancelled, ClientInterest::Ended);
+    }
+
+    /// Invariant: each request is answered by its deadline. The module had until the deadline margin before this.
+    pub(super) fn on_missed_deadline(&mut self, request: RequestId) {
+        if self.requests.get_open(request).is_none() {
+            return;
+        }
+        self.counters.missed_deadlines += 1;
+        self.outputs.push(Output::Log(format!(
+            "fault: request {} was left without an answer",
+            request.0
+        )));
+        self.end_open_request(request, Answer::Failed, ClientInterest::MayReturn);
+    }
+
+    /// Ends a request with an answer of the core's own, and cancels the attempt in flight.
+    fn end_open_request(&mut self, request: RequestId, answer: Answer, interest: ClientInterest) {
+        let Some(entry) = self.requests.get(request) else {
+            return;
+        };
+        let (state, job) = (entry.state, entry.job);
+        self.events.push(Event::RequestCancelled(request));
+        self.abandon_copies(request, interest);
+        self.transition(request, RequestState::Completed);
+        self.answer_job(job, answer);
+        if let RequestState::Dispatched(number) = state {
+            self.cancel_attempt(request, number);
+        }
+        self.forget_if_done(request);
+    }
+
+    /// The grace of the shutdown is over: all open requests are answered by what is known of them.
+    pub(super) fn on_shutdown_timeout(&mut self) {
+        self.is_shutting_down = true;
+        let open = self.requests.iter().filter(|entry| entry.state.is_open());
+        let open: Vec<RequestId> = open.map(RequestEntry::id).collect();
+        for request in open {
+            self.events.push(Event::RequestCancelled(request));
+            let never_ran = self
+                .requests
+                .get(request)
+                .is_some_and(RequestEntry::never_ran);
+            let rejected = Answer::Rejected(Some(self.limits.retry_after));
+            self.on_module_answer(request, if never_ran { rejected } else { Answer::Failed });
+        }
+    }
+
+    /// A request ends: it waits for none of its copies that may run.
+    pub(super) fn abandon_copies(&mut self, request: RequestId, interest: ClientInterest) {
+        let Some(entry) = self.requests.get(request) else {
+            return;
+        };
+        let may_run = entry
+            .numbered_attempts()
+            .filter(|(_, attempt)| !attempt.never_ran());
+        let may_run: Vec<AttemptId> = may_run.map(|(id, _)| id).collect();
+        for attempt in may_run {
+            self.attempt_log
+                .abandon(self.now, self.own_copy(attempt), interest);
+        }
+    }
+}
--- a/crates/core/src/nodes.rs
+++ b/crates/core/src/nodes.rs
@@ -1,18 +1,21 @@
-//! The nodes that the list names, and what is known of the links to them.
+//! The nodes that the list names, and what is known of the connections to them.
 
 use peppercove::{ListUpdateKind, Micros, NodeEntry, NodeId, NodeStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// One line of the node list as it arrived.
+#[cfg(test)]
+mod tests;
+
+/// One entry of the node list as it arrived.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedNode {
     /// Where the node listens.
     pub address: SocketAddrV4,
-    /// The name it must answer to.
+    /// The name that it must give in the handshake.
     pub name: String,
-    /// Its state.
+    /// Its status.
     pub state: NodeStatus,
     /// Index of its kind.
     pub kind: u8,
@@ -21,12 +24,14 @@
     /// Its zone.
     pub zone: u8,
     /// A higher number after each start of its process.
-    pub life: u64,
-    /// Time since that start when the list came; `None` is long ago.
-    pub age: Option<Micros>,
-    /// Cores nobody asked for, some time ago.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// Microseconds since that start when the list came; `None` is long ago.
+    #[serde(rename = "age")]
+    pub uptime: Option<Micros>,
+    /// Cores that were not requested some time ago.
     pub free_cores: Option<f64>,
-    /// Memory nobody asked for, some time ago.
+    /// Memory that was not requested some time ago.
     pub free_memory: Option<f64>,
 }
 
@@ -35,15 +40,22 @@
     NodeId((u64::from(u32::from(*address.ip())) << 16) | u64::from(address.port()))
 }
 
-/// What is known of the link to a node.
+/// What is known of the connection to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Not connected since then.
+    /// Not connected since this time.
     Disconnected(Micros),
-    /// Connected, and the node has told what it holds.
+    /// Connected, and the node has reported what it holds.
     Connected,
 }
 
+/// An incarnation of a node and when it began by this controller's clock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct NodeStart {
+    incarnation: u64,
+    started_at: Micros,
+}
+
 /// One node.
 #[derive(Clone, Debug)]
 pub struct Node {
@@ -51,27 +63,36 @@
     pub line: NodeEntry,
     /// Its address.
     pub address: SocketAddrV4,
-    /// The name it must answer to.
+    /// The name that it must give in the handshake.
     pub name: String,
-    /// The link to it.
+    /// The connection to it.
     pub link: ConnectionState,
-    /// Life that the list told, and when it began by this controller's clock.
-    listed_life: (u64, Micros),
-    /// Life that the node itself told last.
-    pub own_life: Option<u64>,
+    /// Its present incarnation, as the list or the node itself told.
+    start: NodeStart,
+    /// Incarnation that the node itself reported last.
+    pub reported_incarnation: Option<u64>,
 }
 
 impl Node {
-    /// The node itself tells a life that the list has not told: it has just started.
-    pub(crate) fn restarted(&mut self, now: Micros, life: u64) -> Option<NodeEntry> {
-        if self.listed_life.0 == life {
+    /// The node itself reports its incarnation; gives its new entry where the list has not told of it: the node has
+    /// just started.
+    pub(crate) fn on_restart(&mut self, now: Micros, incarnation: u64) -> Option<NodeEntry> {
+        if self.start.incarnation == incarnation {
             return None;
         }
-        self.listed_life = (life, now);
-        (self.line.started_at, self.line.incarnation) = (now, life);
+        self.start = NodeStart {
+            incarnation,
+            started_at: now,
+        };
+        (self.line.started_at, self.line.incarnation) = (now, incarnation);
         (self.line.free_cores, self.line.free_memory) = (None, None);
         Some(self.line.clone())
     }
+
+    /// The list names it no more.
+    fn is_removed(&self) -> bool {
+        self.line.state == NodeStatus::Gone
+    }
 }
 
 /// All nodes.
@@ -82,13 +103,13 @@
     pub generation: u64,
 }
 
-/// What a list changed about the links.
+/// What a list changed about the connections to keep.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct ListChanges {
     /// Nodes to connect to.
     pub added: Vec<NodeId>,
     /// Nodes that the list names no more.
-    pub gone: Vec<NodeId>,
+    pub removed: Vec<NodeId>,
 }
 
 impl Nodes {
@@ -101,7 +122,7 @@
         self.nodes.get_mut(&id)
     }
 
-    /// All of them.
+    /// All of them, in order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&NodeId, &Node)> {
         self.nodes.iter()
     }
@@ -113,150 +134,119 @@
             .is_some_and(|n| n.link == ConnectionState::Connected)
     }
 
-    /// Takes in a list and gives the lines in the decision module's terms.
-    pub(crate) fn take_in(
+    /// The node is known, and the list names it no more.
+    pub(crate) fn is_removed(&self, id: NodeId) -> bool {
+        self.nodes.get(&id).is_some_and(Node::is_removed)
+    }
+
+    /// Incarnation that the node itself reported last; 0 where it never did.
+    pub(crate) fn reported_incarnation(&self, id: NodeId) -> u64 {
+        self.nodes
+            .get(&id)
+            .and_then(|n| n.reported_incarnation)
+            .unwrap_or(0)
+    }
+
+    /// Takes in a list and gives its entries in the decision module's terms.
+    pub(crate) fn apply_list(
         &mut self,
         now: Micros,
-        scope: ListUpdateKind,
+        kind: ListUpdateKind,
         generation: u64,
-        lines: &[ListedNode],
-    ) -> (Vec<NodeEntry>, Changes) {
-        let mut changes = Changes::default();
-        // The module ignores a list older than the one held, and the links must not follow it either.
+        listed: &[ListedNode],
+    ) -> (Vec<NodeEntry>, ListChanges) {
+        let mut changes = ListChanges::default();
+        // The module ignores a list older than the one held, and the connections must not follow it either.
         if generation < self.generation {
             return (Vec::new(), changes);
         }
         self.generation = generation;
-        if scope != ListUpdateKind::Incremental {
-            let named: BTreeSet<NodeId> = lines.iter().map(|l| node_id_of(l.address)).collect();
-            for (id, node) in self.nodes.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                if node.line.state != NodeStatus::Gone {
-                    node.line.state = NodeStatus::Gone;
-                    changes.gone.push(*id);
-                }
-            }
+        if kind != ListUpdateKind::Incremental {
+            self.remove_unlisted(listed, &mut changes);
         }
-        let told = lines
+        let entries = listed
             .iter()
-            .map(|line| self.take_line(now, line, &mut changes))
+            .map(|node| self.apply_entry(now, node, &mut changes))
             .collect();
-        (told, changes)
+        (entries, changes)
     }
 
-    fn take_line(&mut self, now: Micros, line: &ListedNode, changes: &mut Changes) -> NodeEntry {
-        let id = node_id_of(line.address);
+    fn remove_unlisted(&mut self, listed: &[ListedNode], changes: &mut ListChanges) {
+        let listed: BTreeSet<NodeId> = listed.iter().map(|node| node_id_of(node.address)).collect();
+        for (id, node) in self.nodes.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+            if !node.is_removed() {
+                node.line.state = NodeStatus::Gone;
+                changes.removed.push(*id);
+            }
+        }
+    }
+
+    fn apply_entry(
+        &mut self,
+        now: Micros,
+        listed: &ListedNode,
+        changes: &mut ListChanges,
+    ) -> NodeEntry {
+        let id = node_id_of(listed.address);
         let known = self.nodes.get(&id);
-        // Ages are read against this controller's own clock once a life, so that neither another clock nor the
-        // lateness of each list makes the start seem to move, which the module takes for a restart.
-        let started = line.age.map_or(0, |age| now.saturating_sub(age).max(1));
-        // A list that runs behind the node itself still names its earlier life.
-        let (life, began) = match known {
-            Some(node) if node.listed_life.0 >= line.life => node.listed_life,
-            _ => (line.life, started),
-        };
-        let told = NodeEntry {
-            slow_start_share: None,
-            node: id,
-            state: line.state,
-            kind: line.kind,
-            rack: line.rack,
-            zone: line.zone,
-            started_at: began,
-            incarnation: life,
-            free_cores: line.free_cores,
-            free_memory: line.free_memory,
-        };
-        let was_listed = known.is_some_and(|n| n.line.state != NodeStatus::Gone);
-        match (was_listed, line.state) {
-            (true, NodeStatus::Gone) => changes.gone.push(id),
+        let start = start_of(now, listed, known);
+        let was_listed = known.is_some_and(|node| !node.is_removed());
+        match (was_listed, listed.state) {
+            (true, NodeStatus::Gone) => changes.removed.push(id),
             (false, NodeStatus::Ready | NodeStatus::Draining) => changes.added.push(id),
-            _ => {}
+            (true, NodeStatus::Ready | NodeStatus::Draining) | (false, NodeStatus::Gone) => {}
         }
-        let (link, own_life) = known.map_or((ConnectionState::Disconnected(now), None), |n| {
-            (n.link, n.own_life)
-        });
-        let listed_life = (life, began);
-        let node = Node {
-            line: told.clone(),
-            address: line.address,
-            name: line.name.clone(),
-            link,
-            listed_life,
-            own_life,
-        };
-        if line.state != NodeStatus::Gone || known.is_some() {
+        let entry = entry_of(id, listed, start);
+        if listed.state != NodeStatus::Gone || known.is_some() {
+            let node = Node {
+                line: entry.clone(),
+                address: listed.address,
+                name: listed.name.clone(),
+                link: known.map_or(ConnectionState::Disconnected(now), |n| n.link),
+                start,
+                reported_incarnation: known.and_then(|n| n.reported_incarnation),
+            };
             self.nodes.insert(id, node);
         }
-        told
+        entry
     }
 
-    /// Forgets a node that the list names no more and that holds nothing.
+    /// Forgets a node that the list names no more and that holds no attempt.
     pub(crate) fn forget(&mut self, id: NodeId) {
-        if self
-            .nodes
-            .get(&id)
-            .is_some_and(|n| n.line.state == NodeStatus::Gone)
-        {
+        if self.is_removed(id) {
             self.nodes.remove(&id);
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn line(port: u16, life: u64, age: Option<Micros>) -> ListedNode {
-        ListedNode {
-            address: SocketAddrV4::new([127, 0, 0, 1].into(), port),
-            name: format!("n{port}"),
-            state: NodeStatus::Ready,
-            kind: 0,
-            rack: 0,
-            zone: 0,
-            life,
-            age,
-            free_cores: None,
-            free_memory: None,
-        }
-    }
-
-    #[test]
-    fn the_start_of_a_node_does_not_move_with_the_lateness_of_lists() {
-        let mut nodes = Nodes::default();
-        let (first, changes) = nodes.take_in(
-            10_000_000,
-            ListUpdateKind::Full,
-            1,
-            &[line(1, 7, Some(1_000_000))],
-        );
-        assert_eq!(changes.added.len(), 1);
-        let (second, _) = nodes.take_in(
-            12_000_000,
-            ListUpdateKind::Full,
-            2,
-            &[line(1, 7, Some(2_500_000))],
-        );
-        assert_eq!(first[0].started_at, second[0].started_at);
-        let (third, _) = nodes.take_in(
-            13_000_000,
-            ListUpdateKind::Full,
-            3,
-            &[line(1, 8, Some(500_000))],
-        );
-        assert_eq!(
-            third[0].started_at, 12_500_000,
-            "another life is another start"
-        );
+/// When the present incarnation of a node began.
+fn start_of(now: Micros, listed: &ListedNode, known: Option<&Node>) -> NodeStart {
+    match known {
+        // A list that lags behind the node itself still names its earlier incarnation.
+        Some(node) if node.start.incarnation >= listed.incarnation => node.start,
+        // Uptimes are read against this controller's own clock once an incarnation, so that neither another clock nor
+        // the lateness of each list makes the start seem to move, which the module takes for a restart.
+        Some(_) | None => NodeStart {
+            incarnation: listed.incarnation,
+            started_at: listed
+                .uptime
+                .map_or(0, |uptime| now.saturating_sub(uptime).max(1)),
+        },
     }
+}
 
-    #[test]
-    fn an_older_list_changes_nothing() {
-        let mut nodes = Nodes::default();
-        nodes.take_in(0, ListUpdateKind::Full, 5, &[line(1, 7, None)]);
-        let (told, changes) = nodes.take_in(1, ListUpdateKind::Full, 4, &[]);
-        assert!(told.is_empty() && changes == Changes::default());
-        let (_, changes) = nodes.take_in(2, ListUpdateKind::Full, 6, &[]);
-        assert_eq!(changes.gone.len(), 1);
+/// The entry of a node in the decision module's terms.
+fn entry_of(id: NodeId, listed: &ListedNode, start: NodeStart) -> NodeEntry {
+    NodeEntry {
+        slow_start_share: None,
+        node: id,
+        state: listed.state,
+        kind: listed.kind,
+        rack: listed.rack,
+        zone: listed.zone,
+        started_at: start.started_at,
+        incarnation: start.incarnation,
+        free_cores: listed.free_cores,
+        free_memory: listed.free_memory,
     }
 }
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -1,4 +1,4 @@
-//! A record of what a core was told, line by line, and its replay: the same inputs give the same outputs.
+//! A recording of what a core was told, line by line in JSON, and its replay: the same inputs give the same outputs.
 
 use crate::attempt_log::JournalEntry;
 use crate::engine::{Core, Input, Output};
@@ -6,21 +6,20 @@
 use peppercove::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The first line of a record: what the core was made with, beside its settings.
+/// The first line of a recording: what the core was made with, beside its settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecordingHeader {
     /// Seed of the decision module.
     pub seed: u64,
-    /// Life of the controller.
+    /// Incarnation of the controller.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// How many controllers shared the nodes, and its number among them.
+    /// How many controllers shared the nodes, and its index among them.
     pub schedulers: (u32, u32),
     /// When it began.
-    #[serde(default)]
-    #[serde(rename = "began")]
+    #[serde(rename = "began", default)]
     pub started_at: Micros,
-    /// What it read of earlier lives.
+    /// What it read of earlier incarnations.
     #[serde(default)]
     pub journal: Vec<JournalEntry>,
 }
@@ -28,10 +27,10 @@
 impl RecordingHeader {
     /// The settings of the module as they were.
     pub fn module(&self, settings: &peppercove::Settings) -> peppercove::Settings {
-        let (schedulers, own_number) = self.schedulers;
+        let (schedulers, own_index) = self.schedulers;
         peppercove::Settings {
             schedulers,
-            own_index: own_number,
+            own_index,
             ..settings.clone()
         }
     }
@@ -40,23 +39,23 @@
 /// One line: when, and what.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedInput {
-    /// Time by the clock of the controller.
+    /// Time by the clock of the controller, in microseconds.
     pub at: Micros,
     /// What it was told.
     pub input: Input,
 }
 
-/// A line that is no record.
+/// A line that is no recorded input.
 #[derive(Debug, thiserror::Error)]
-#[error("record line {number}: {source}")]
-pub struct RecordError {
+#[error("recording line {number}: {source}")]
+pub struct RecordingError {
     /// Its number, from 1.
     pub number: usize,
     /// What is wrong with it.
     source: serde_json::Error,
 }
 
-/// Writes one line, without its end.
+/// The line for one input, without its end.
 pub fn format_line(at: Micros, input: &Input) -> String {
     serde_json::to_string(&RecordedInput {
         at,
@@ -65,25 +64,25 @@
     .unwrap_or_default()
 }
 
-/// Puts a record, without its head, through a core and hands each input's outputs to `each`.
+/// Puts a recording, without its header, through a core and hands each input's outputs to `each`.
 ///
 /// # Errors
-/// [`RecordError`] at the first line that cannot be read; what came before it has been played.
+/// [`RecordingError`] at the first line that cannot be read; what came before it has been replayed.
 pub fn replay<D: Decide>(
-    head: &RecordingHeader,
+    header: &RecordingHeader,
     text: &str,
     decider: D,
     limits: Limits,
     mut each: impl FnMut(&RecordedInput, &[Output]),
-) -> Result<Core<D>, RecordError> {
+) -> Result<Core<D>, RecordingError> {
     let mut core = Core::new(decider, limits);
-    core.recover(head.started_at, &head.journal);
+    core.recover(header.started_at, &header.journal);
     for (i, text) in text
         .lines()
         .enumerate()
         .filter(|(_, text)| !text.is_empty())
     {
-        let line: RecordedInput = serde_json::from_str(text).map_err(|source| RecordError {
+        let line: RecordedInput = serde_json::from_str(text).map_err(|source| RecordingError {
             number: i + 1,
             source,
         })?;
--- a/crates/core/src/request_state.rs
+++ b/crates/core/src/request_state.rs
@@ -1,191 +1,233 @@
-//! The life of one ask, as one enum whose transitions are checked, and of its attempts.
+//! The state of one request, as one enum whose transitions are checked, and of its attempts.
 //!
 //! ```text
-//! Waiting --offer--> Offered --confirm--> Placed --end--> Over
-//!    ^                  |  \                                ^
-//!    +----back----------+   +----------- answer -----------+
-//!    +------------------------------------ answer ---------+
+//! Pending --dispatch--> Dispatched --acknowledge--> Placed --end--> Completed
+//!    ^                     |  \                                        ^
+//!    +---attempt ended-----+   +--------------- answer ----------------+
+//!    +--------------------------------------- answer ------------------+
 //! ```
 
+use crate::attempt_log::{AttemptId, TaskSpec};
 use crate::jobs::{JobId, TaskEnd};
 use peppercove::{AttemptOutcome, Micros, NodeId, PlacementRequest, RequestId};
-use std::fmt;
 
-/// Where an ask stands.
+#[cfg(test)]
+mod tests;
+
+/// Where a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// Taken in, no attempt is out.
+    /// Accepted, with no attempt in flight.
     Pending,
-    /// This attempt is out, not confirmed yet.
+    /// The attempt of this number is in flight, not acknowledged yet.
     Dispatched(u16),
-    /// This attempt placed it: the final answer is given.
+    /// The attempt of this number placed its task: the final answer is given.
     Placed(u16),
     /// Answered otherwise, or its task has ended.
     Completed,
 }
 
-/// A step of a life that does not follow from where it stands: a fault of the program, never of its input.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct IllegalStep {
-    /// Where it stood.
+/// A transition that does not follow from the state: a fault of the program, never of its input.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a request that is {from:?} cannot become {to:?}")]
+pub struct InvalidTransition {
+    /// The state as it was, and stays.
     pub from: RequestState,
-    /// Where it should have gone.
+    /// The state that was wanted.
     pub to: RequestState,
 }
 
-impl fmt::Display for IllegalStep {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "an ask that is {:?} cannot become {:?}",
-            self.from, self.to
-        )
-    }
-}
-
-impl std::error::Error for IllegalStep {}
-
 impl RequestState {
-    /// The final answer is still owed.
+    /// The final answer is still to be given.
     pub fn is_open(self) -> bool {
         matches!(self, RequestState::Pending | RequestState::Dispatched(_))
     }
 
-    /// Steps to `to`, where that follows.
+    /// Goes to state `to`, where that follows.
     ///
     /// # Errors
-    /// [`IllegalStep`] leaves the life as it was.
-    pub fn transition_to(&mut self, to: RequestState) -> Result<(), IllegalStep> {
-        let legal = match (*self, to) {
-            (RequestState::Pending, RequestState::Dispatched(_))
-            | (RequestState::Dispatched(_), RequestState::Pending) => true,
-            (RequestState::Dispatched(out), RequestState::Placed(confirmed)) => out == confirmed,
-            // A task found running is placed without an offer of this life.
-            (RequestState::Pending, RequestState::Placed(0)) => true,
-            (
-                RequestState::Pending | RequestState::Dispatched(_) | RequestState::Placed(_),
-                RequestState::Completed,
-            ) => true,
-            _ => false,
-        };
-        if !legal {
-            return Err(IllegalStep { from: *self, to });
+    /// [`InvalidTransition`] leaves the state as it was.
+    pub fn transition_to(&mut self, to: RequestState) -> Result<(), InvalidTransition> {
+        if !self.may_become(to) {
+            return Err(InvalidTransition { from: *self, to });
         }
         *self = to;
         Ok(())
     }
+
+    fn may_become(self, to: RequestState) -> bool {
+        use RequestState::{Completed, Dispatched, Pending, Placed};
+        match (self, to) {
+            (Pending, Dispatched(_)) | (Dispatched(_), Pending) => true,
+            (Dispatched(in_flight), Placed(acknowledged)) => in_flight == acknowledged,
+            // A task found running is placed without a dispatch of this incarnation.
+            (Pending, Placed(number)) => number == 0,
+            (Pending | Dispatched(_) | Placed(_), Completed) => true,
+            (Pending, Pending)
+            | (Dispatched(_), Dispatched(_))
+            | (Placed(_), Pending | Dispatched(_) | Placed(_))
+            | (Completed, Pending | Dispatched(_) | Placed(_) | Completed) => false,
+        }
+    }
 }
 
-/// One attempt of an ask.
+/// One attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// The node it was sent to.
     pub node: NodeId,
     /// When it was sent.
     pub sent_at: Micros,
     /// When the controller stops waiting for it.
     pub expires_at: Micros,
-    /// The node said that it has accepted it.
+    /// Its node reported that it has accepted it.
     pub accepted: bool,
-    /// How it ended; `None` while it is out or its task runs.
+    /// How it ended; `None` while it is in flight or its task runs.
     pub ended: Option<AttemptOutcome>,
-    /// What its node said of it after the attempt was given up.
-    pub after: After,
+    /// What its node reported of it after it was given up.
+    pub finding: Finding,
 }
 
-/// What became of an attempt that was given up while its ask went on.
+/// What became of an attempt that was given up while its request went on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum After {
+pub enum Finding {
     /// Nothing is known, or it is proved that it never ran.
     #[default]
     Nothing,
     /// Its task runs.
-    Runs,
+    Running,
     /// Its task ran, and ended so.
     Ended(TaskEnd),
 }
 
 impl Attempt {
+    /// An attempt that is in flight from `sent_at` until `expires_at`.
+    pub fn new(node: NodeId, sent_at: Micros, expires_at: Micros) -> Attempt {
+        Attempt {
+            node,
+            sent_at,
+            expires_at,
+            accepted: false,
+            ended: None,
+            finding: Finding::Nothing,
+        }
+    }
+
     /// The outcome proves that the task never ran, or nothing was sent.
     pub fn never_ran(&self) -> bool {
-        matches!(
-            self.ended,
-            Some(AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
-        )
+        match self.ended {
+            Some(
+                AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent,
+            ) => true,
+            Some(
+                AttemptOutcome::Completed
+                | AttemptOutcome::Error
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::Lost
+                | AttemptOutcome::Cancelled,
+            )
+            | None => false,
+        }
     }
 }
 
-/// One ask for a placing.
+/// One request for a placement.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestEntry {
     /// As the decision module was told of it.
     pub request: PlacementRequest,
-    /// The job that asks.
+    /// The job whose task is to be placed.
     pub job: JobId,
-    /// When its owner gives up.
+    /// When its client gives up.
     pub deadline: Micros,
     /// Where it stands.
-    pub life: RequestState,
-    /// Its attempts, in the order of the module's binds.
+    pub state: RequestState,
+    /// Its attempts, in the order of the module's dispatches.
     pub attempts: Vec<Attempt>,
 }
 
-impl Ask {
+impl RequestEntry {
     /// Its id.
     pub fn id(&self) -> RequestId {
         self.request.id
     }
 
-    /// Nothing of it may have run: a retry by its owner does no harm.
+    /// No attempt of it may have run: a retry by its client does no harm.
     pub fn never_ran(&self) -> bool {
         self.attempts.iter().all(Attempt::never_ran)
     }
 
-    /// It can be forgotten: it is over and no attempt is out.
+    /// It can be forgotten: it is completed and no attempt is in flight.
     pub fn is_done(&self) -> bool {
-        self.life == RequestState::Completed && self.attempts.iter().all(|a| a.ended.is_some())
+        self.state == RequestState::Completed && self.attempts.iter().all(|a| a.ended.is_some())
+    }
+
+    /// Its attempts with their ids.
+    pub(crate) fn numbered_attempts(&self) -> impl Iterator<Item = (AttemptId, &Attempt)> {
+        let request = self.id();
+        let attempts = self.attempts.iter().enumerate();
+        attempts.map(move |(i, a)| {
+            (
+                AttemptId {
+                    node: a.node,
+                    request,
+                    number: i as u16,
+                },
+                a,
+            )
+        })
+    }
+
+    /// The attempt that placed its task, while the task runs.
+    pub(crate) fn placed_attempt(&self) -> Option<AttemptId> {
+        let RequestState::Placed(number) = self.state else {
+            return None;
+        };
+        let node = self.attempts.get(usize::from(number))?.node;
+        Some(AttemptId {
+            node,
+            request: self.id(),
+            number,
+        })
+    }
+
+    /// Its attempts in flight.
+    pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = AttemptId> {
+        let is_placed = |id: &AttemptId| self.state == RequestState::Placed(id.number);
+        let in_flight = self
+            .numbered_attempts()
+            .filter(move |(id, a)| a.ended.is_none() && !is_placed(id));
+        in_flight.map(|(id, _)| id)
+    }
+
+    /// The first attempt of which something was found after it was given up.
+    pub(crate) fn finding(&self) -> Option<(AttemptId, Finding)> {
+        let mut attempts = self.numbered_attempts();
+        attempts
+            .find(|(_, a)| a.finding != Finding::Nothing)
+            .map(|(id, a)| (id, a.finding))
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_ask_is_answered_once_and_never_revived() {
-        let all = [
-            RequestState::Pending,
-            RequestState::Dispatched(0),
-            RequestState::Dispatched(1),
-            RequestState::Placed(0),
-            RequestState::Placed(1),
-            RequestState::Completed,
-        ];
-        for to in all {
-            let mut over = RequestState::Completed;
-            assert_eq!(
-                over.transition_to(to),
-                Err(IllegalStep {
-                    from: RequestState::Completed,
-                    to
-                })
-            );
-            let mut placed = RequestState::Placed(1);
-            assert_eq!(
-                placed.transition_to(to).is_ok(),
-                to == RequestState::Completed,
-                "{to:?}"
-            );
+impl From<&PlacementRequest> for TaskSpec {
+    /// What a copy of the request's task is a copy of.
+    fn from(request: &PlacementRequest) -> TaskSpec {
+        let PlacementRequest {
+            task,
+            service,
+            class,
+            tenant,
+            cores,
+            memory,
+            ..
+        } = *request;
+        TaskSpec {
+            task,
+            service,
+            class,
+            tenant,
+            cores,
+            memory,
         }
-        let mut offered = RequestState::Dispatched(0);
-        assert!(
-            offered.transition_to(RequestState::Placed(1)).is_err(),
-            "another attempt cannot confirm"
-        );
-        assert!(
-            offered.transition_to(RequestState::Dispatched(1)).is_err(),
-            "two attempts cannot be out"
-        );
-        assert!(offered.transition_to(RequestState::Placed(0)).is_ok());
     }
 }
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/node_list.rs
@@ -1,47 +1,48 @@
-//! News of the node list.
+//! Updates of the node list.
 
 use peppercove::{ListUpdateKind, NodeStatus};
 use peppercove_core::Input;
 use peppercove_core::nodes::ListedNode;
 use peppercove_protocol::list::{FromList, ListEntry, NodeState, Scope};
 
-/// The input that a message of the list is; `None` where it holds no news.
-pub fn node_list_input(news: FromList) -> Option<Input> {
+/// The input that a message of the list is; `None` where it holds no update.
+pub fn node_list_input(message: FromList) -> Option<Input> {
     let FromList::Update {
         generation,
         scope,
-        entries: lines,
-    } = news
+        entries,
+    } = message
     else {
         return None;
     };
-    let scope = match scope {
+    let kind = match scope {
         Scope::Delta => ListUpdateKind::Incremental,
         Scope::Full => ListUpdateKind::Full,
     };
+    let entries = entries.into_iter().map(listed_node).collect();
     Some(Input::NodeList {
-        scope,
+        kind,
         generation,
-        lines: lines.into_iter().map(line).collect(),
+        entries,
     })
 }
 
-fn line(line: ListEntry) -> ListedNode {
+fn listed_node(entry: ListEntry) -> ListedNode {
     let finite = |x: Option<f64>| x.filter(|x| x.is_finite());
     ListedNode {
-        address: line.address,
-        name: line.name,
-        state: match line.state {
+        address: entry.address,
+        name: entry.name,
+        state: match entry.state {
             NodeState::Ready => NodeStatus::Ready,
             NodeState::Draining => NodeStatus::Draining,
             NodeState::Removed => NodeStatus::Gone,
         },
-        kind: line.kind,
-        rack: line.rack,
-        zone: line.zone,
-        life: line.incarnation,
-        age: line.age,
-        free_cores: finite(line.free_cores),
-        free_memory: finite(line.free_memory),
+        kind: entry.kind,
+        rack: entry.rack,
+        zone: entry.zone,
+        incarnation: entry.incarnation,
+        uptime: entry.age,
+        free_cores: finite(entry.free_cores),
+        free_memory: finite(entry.free_memory),
     }
 }
--- /dev/null
+++ b/crates/exchange/src/node_messages.rs
@@ -0,0 +1,260 @@
+//! Frames of nodes to inputs, outputs to frames of nodes.
+
+use crate::offered_task::work_of;
+use peppercove::{EndReason, LoadReport, NodeId, RequestId, TaskUpdate};
+use peppercove_config::Config;
+use peppercove_core::{AttemptUpdate, Control, Input, Job, JobId, Output, TaskEnd};
+use peppercove_protocol::node::{
+    self, AttemptId, FromNode, NodeLoad, NodeReason, TaskExit, TaskMeasurement, ToNode,
+};
+
+// ---- Outputs to frames ----
+
+/// The frame that an output is, and the node that it is for; `None` where it is for another peer. `job` finds the job
+/// of a dispatch; `nonce` marks a probe.
+pub fn encode_output<'a>(
+    config: &Config,
+    nonce: u64,
+    output: &Output,
+    job: impl FnOnce(JobId) -> Option<&'a Job>,
+) -> Option<(NodeId, ToNode)> {
+    Some(match *output {
+        Output::Dispatch {
+            node,
+            request,
+            attempt,
+            expires_in,
+            job: id,
+        } => {
+            let task = work_of(config, &job(id)?.submission);
+            (
+                node,
+                ToNode::Offer {
+                    attempt: attempt_id(request, attempt),
+                    expires_in,
+                    task,
+                },
+            )
+        }
+        Output::CancelAttempt {
+            node,
+            request,
+            attempt,
+        } => (
+            node,
+            ToNode::CancelAttempt {
+                attempt: attempt_id(request, attempt),
+            },
+        ),
+        Output::ControlTask {
+            node,
+            request,
+            attempt,
+            control,
+        } => {
+            let action = node_control(control);
+            (
+                node,
+                ToNode::Control {
+                    attempt: attempt_id(request, attempt),
+                    action,
+                },
+            )
+        }
+        Output::Adopt {
+            node,
+            incarnation,
+            previous_request,
+            attempt,
+            request,
+        } => {
+            let (attempt, new_attempt) = (
+                attempt_id(previous_request, attempt),
+                attempt_id(request, 0),
+            );
+            (
+                node,
+                ToNode::Adopt {
+                    incarnation,
+                    attempt,
+                    new_attempt,
+                },
+            )
+        }
+        Output::DiscardOrphan {
+            node,
+            incarnation,
+            previous_request,
+            attempt,
+        } => (
+            node,
+            ToNode::Discard {
+                incarnation,
+                attempt: attempt_id(previous_request, attempt),
+            },
+        ),
+        Output::Probe(node) => (node, ToNode::Probe { nonce }),
+        Output::Accepted { .. }
+        | Output::ControlAccepted { .. }
+        | Output::Rejected { .. }
+        | Output::Answered { .. }
+        | Output::Finished(_)
+        | Output::Connect { .. }
+        | Output::Disconnect(_)
+        | Output::Journal(_)
+        | Output::Watch
+        | Output::Broadcast(_)
+        | Output::Log(_) => return None,
+    })
+}
+
+fn attempt_id(request: RequestId, number: u16) -> AttemptId {
+    AttemptId {
+        request: request.0,
+        number,
+    }
+}
+
+fn node_control(control: Control) -> node::Control {
+    match control {
+        Control::Suspend => node::Control::Suspend,
+        Control::Resume => node::Control::Resume,
+        Control::Terminate | Control::Hold | Control::Release => node::Control::Terminate,
+    }
+}
+
+// ---- Frames to inputs ----
+
+/// What a message of a node comes to.
+#[derive(Debug, Default, PartialEq)]
+pub struct DecodedMessage {
+    /// The core's input.
+    pub input: Option<Input>,
+    /// To be sent to the node once the core has taken the input in.
+    pub reply: Option<ToNode>,
+}
+
+/// Decodes a message of a node whose handshake is complete.
+pub fn decode_message(node: NodeId, message: FromNode) -> DecodedMessage {
+    let mut reply = None;
+    let (attempt, update, load) = match message {
+        FromNode::Accepted { attempt, load } => (attempt, AttemptUpdate::Accepted, load),
+        FromNode::Running { attempt, load } => (attempt, AttemptUpdate::Running, load),
+        FromNode::Rejected {
+            attempt,
+            reason,
+            load,
+        } => (attempt, AttemptUpdate::Rejected(end_reason(reason)), load),
+        FromNode::Ended { attempt, end, load } => {
+            // The node keeps an end until it is acknowledged; it may have been reported on a connection that broke.
+            reply = Some(ToNode::AcknowledgeEnd { attempt });
+            (attempt, attempt_update(end), load)
+        }
+        FromNode::Measurement {
+            attempt,
+            measurement,
+        } => (attempt, AttemptUpdate::Task(task_update(measurement)), None),
+        FromNode::ProbeReply { load, .. } => {
+            let input = Input::Probed {
+                node,
+                answered: true,
+                load: load.map(load_report),
+            };
+            return DecodedMessage {
+                input: Some(input),
+                reply,
+            };
+        }
+        // Out of turn: a node reports what it holds in the handshake.
+        FromNode::Welcome { .. } | FromNode::KnownTask { .. } => return DecodedMessage::default(),
+    };
+    let input = Input::AttemptUpdated {
+        node,
+        request: request_id_of(attempt),
+        attempt: attempt.number,
+        update,
+        load: load.map(load_report),
+    };
+    DecodedMessage {
+        input: Some(input),
+        reply,
+    }
+}
+
+/// The request that an attempt belongs to.
+pub fn request_id_of(attempt: AttemptId) -> RequestId {
+    RequestId(attempt.request)
+}
+
+/// Figures that are no numbers count as not reported.
+fn load_report(load: NodeLoad) -> LoadReport {
+    let finite = |x: Option<f64>| x.filter(|x| x.is_finite());
+    LoadReport {
+        free_cores: finite(load.free_cores),
+        free_memory: finite(load.free_memory),
+        cpu_utilization: finite(load.cpu_utilization),
+        queue_depth: finite(load.queue_depth),
+    }
+}
+
+fn end_reason(reason: NodeReason) -> EndReason {
+    match reason {
+        NodeReason::Unknown => EndReason::Unknown,
+        NodeReason::InsufficientCores => EndReason::InsufficientCores,
+        NodeReason::InsufficientMemory => EndReason::InsufficientMemory,
+        NodeReason::QueueFull => EndReason::QueueFull,
+        NodeReason::Ineligible => EndReason::Ineligible,
+        NodeReason::Evicted => EndReason::Evicted,
+        NodeReason::Preempted => EndReason::Preempted,
+        NodeReason::Drained => EndReason::Drained,
+    }
+}
+
+/// The update that an end is. An error is none: it proves nothing of the task.
+fn attempt_update(exit: TaskExit) -> AttemptUpdate {
+    match task_end(exit) {
+        Some((end, reason)) => AttemptUpdate::Ended(end, reason),
+        None => AttemptUpdate::Error,
+    }
+}
+
+/// How a task ended and why; `None` where its node answers with an error.
+pub(crate) fn task_end(exit: TaskExit) -> Option<(TaskEnd, EndReason)> {
+    Some(match exit {
+        TaskExit::Exited { status, usage } => {
+            let (wall, cpu, memory) = (usage.wall, usage.cpu, usage.memory);
+            (
+                TaskEnd::Exited {
+                    status,
+                    wall,
+                    cpu,
+                    memory,
+                },
+                EndReason::Unknown,
+            )
+        }
+        TaskExit::Signalled { signal, usage } => {
+            let (wall, cpu, memory) = (usage.wall, usage.cpu, usage.memory);
+            (
+                TaskEnd::Signalled {
+                    signal,
+                    wall,
+                    cpu,
+                    memory,
+                },
+                EndReason::Unknown,
+            )
+        }
+        TaskExit::Error => return None,
+        TaskExit::Evicted(reason) => (TaskEnd::GivenUp, end_reason(reason)),
+    })
+}
+
+fn task_update(measurement: TaskMeasurement) -> TaskUpdate {
+    match measurement {
+        TaskMeasurement::CoresUsed(x) => TaskUpdate::CoresUsed(x),
+        TaskMeasurement::MemoryUsed(x) => TaskUpdate::MemoryUsed(x),
+        TaskMeasurement::ServedShare(x) => TaskUpdate::ServedShare(x),
+        TaskMeasurement::NodeMemoryShare(x) => TaskUpdate::NodeMemoryShare(x),
+    }
+}
