--- a/crates/core/src/attempt_log/types.rs
+++ b/crates/core/src/attempt_log/types.rs
@@ -16,6 +16,17 @@
     pub number: u16,
 }
 
+impl AttemptId {
+    /// Attempt `number` of a request, at a node.
+    pub fn new(node: NodeId, request: RequestId, number: u16) -> AttemptId {
+        AttemptId {
+            node,
+            request,
+            number,
+        }
+    }
+}
+
 /// An attempt of this or an earlier incarnation of the controller: one copy of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskCopy {
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -10,6 +10,7 @@
 //! | `requests`, `request_table` | requests, their states and their one answer |
 //! | `attempts` | attempts in flight, their end and their timeouts |
 //! | `module_actions` | what the decision module wants done |
+//! | `module_events` | what the decision module is told |
 //! | `attempt_updates` | what nodes report of attempts in flight |
 //! | `placed_tasks` | what nodes report of placed tasks, and their end |
 //! | `unexpected_updates` | what nodes report of any other attempt |
@@ -28,6 +29,7 @@
 mod job_control;
 mod limits;
 mod module_actions;
+mod module_events;
 mod node_list;
 mod orphans;
 mod output;
@@ -274,12 +276,8 @@
                 entries,
             } => self.on_node_list(kind, generation, &entries),
             Input::NodeListFailed => {
-                let (kind, version) = (ListUpdateKind::Failed, self.nodes.generation);
-                self.events.push(Event::NodeList {
-                    kind,
-                    version,
-                    entries: Vec::new(),
-                });
+                let version = self.nodes.generation;
+                self.report_node_list(ListUpdateKind::Failed, version, Vec::new());
             }
             Input::Submit { ticket, submission } => self.on_submit(ticket, *submission),
             Input::Control {
@@ -306,37 +304,19 @@
                 update,
                 load,
             } => {
-                self.on_attempt_updated(
-                    AttemptId {
-                        node,
-                        request,
-                        number: attempt,
-                    },
-                    update,
-                    load,
-                );
+                self.on_attempt_updated(AttemptId::new(node, request, attempt), update, load);
             }
             Input::Probed {
                 node,
                 answered,
                 load,
-            } => {
-                self.events.push(Event::Probed {
-                    node,
-                    answered,
-                    load,
-                });
-            }
+            } => self.report_probe(node, answered, load),
             Input::DispatchFailed {
                 node,
                 request,
                 attempt,
             } => {
-                self.on_dispatch_failed(AttemptId {
-                    node,
-                    request,
-                    number: attempt,
-                });
+                self.on_dispatch_failed(AttemptId::new(node, request, attempt));
             }
             Input::PeerMessage { from, message } => self.events.push(Event::Peer { from, message }),
             Input::BeginShutdown => self.is_shutting_down = true,
--- a/crates/core/src/engine/adoption.rs
+++ b/crates/core/src/engine/adoption.rs
@@ -88,11 +88,7 @@
         };
         j.request = Some(id);
         let request = placement_request(&j.submission, id, 0);
-        let present = AttemptId {
-            node,
-            request: id,
-            number: 0,
-        };
+        let present = AttemptId::new(node, id, 0);
         self.record_previous_id(copy, present);
         self.log_adopted(copy, present, TaskSpec::from(&request));
         self.requests.insert(RequestEntry {
--- a/crates/core/src/engine/attempt_updates.rs
+++ b/crates/core/src/engine/attempt_updates.rs
@@ -4,9 +4,9 @@
 use super::{AttemptUpdate, Core};
 use crate::Decide;
 use crate::attempt_log::{AttemptId, ClientInterest};
-use crate::jobs::Answer;
+use crate::jobs::{Answer, TaskEnd};
 use crate::request_state::RequestState;
-use peppercove::{AttemptOutcome, Event, LoadReport, NodeId, PlacementAck, TaskUpdate};
+use peppercove::{AttemptOutcome, EndReason, LoadReport, PlacementAck, TaskUpdate};
 
 impl<D: Decide> Core<D> {
     pub(super) fn on_attempt_updated(
@@ -60,11 +60,7 @@
                 );
             }
             AttemptUpdate::Ended(end, reason) if is_completed => {
-                self.resolve_ended_copy(self.own_copy(attempt), end, reason);
-                self.end_attempt(
-                    attempt,
-                    AttemptEnd::without_reason(AttemptOutcome::Completed, load),
-                );
+                self.on_end_after_answer(attempt, end, reason, load);
             }
             AttemptUpdate::Ended(..) => {
                 // It ran and ended before its start was reported.
@@ -84,6 +80,19 @@
         self.on_unexpected_update(attempt, AttemptUpdate::Running);
     }
 
+    /// The request was answered meanwhile: it does not wait for this end.
+    fn on_end_after_answer(
+        &mut self,
+        attempt: AttemptId,
+        end: TaskEnd,
+        reason: EndReason,
+        load: Option<LoadReport>,
+    ) {
+        self.resolve_ended_copy(self.own_copy(attempt), end, reason);
+        let attempt_end = AttemptEnd::without_reason(AttemptOutcome::Completed, load);
+        self.end_attempt(attempt, attempt_end);
+    }
+
     fn on_accepted(&mut self, attempt: AttemptId, is_completed: bool, load: Option<LoadReport>) {
         if let Some(accepted) = self.requests.attempt_mut(attempt.request, attempt.number) {
             accepted.accepted = true;
@@ -96,29 +105,19 @@
 
     /// The attempt placed its request's task: the request is answered.
     fn on_placed(&mut self, attempt: AttemptId) {
-        let AttemptId {
-            node,
-            request,
-            number,
-        } = attempt;
-        if !self.transition(request, RequestState::Placed(number)) {
+        let AttemptId { node, request, .. } = attempt;
+        if !self.transition(request, RequestState::Placed(attempt.number)) {
             return;
         }
         // The request waits for no earlier attempt that may run as well.
         self.abandon_copies(request, ClientInterest::Ended);
         self.attempt_log.claim(self.own_copy(attempt));
-        self.events.push(Event::Placed {
-            request,
-            attempt: number,
-            node,
-        });
+        self.report_placed(attempt);
         if let Some(job) = self.requests.get(request).map(|entry| entry.job) {
             self.answer_job(job, Answer::Placed(node));
         }
     }
 
-    // ---- For the module ----
-
     /// The task runs: where its acceptance acknowledged the placement, the module is told that as well.
     pub(super) fn on_running(&mut self, attempt: AttemptId, load: Option<LoadReport>) {
         if self.limits.placement_ack == PlacementAck::Accepted {
@@ -126,28 +125,4 @@
         }
         self.report_load(attempt.node, load);
     }
-
-    pub(super) fn report_task_update(&mut self, attempt: AttemptId, update: TaskUpdate) {
-        let AttemptId {
-            node,
-            request,
-            number,
-        } = attempt;
-        self.events.push(Event::TaskUpdated {
-            request,
-            attempt: number,
-            node,
-            update,
-        });
-    }
-
-    pub(super) fn report_load(&mut self, node: NodeId, load: Option<LoadReport>) {
-        if load.is_some() {
-            self.events.push(Event::Probed {
-                node,
-                answered: true,
-                load,
-            });
-        }
-    }
 }
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -5,7 +5,7 @@
 use crate::attempt_log::{AttemptId, ClientInterest, TaskSpec};
 use crate::jobs::JobId;
 use crate::request_state::{Attempt, RequestState};
-use peppercove::{AttemptOutcome, EndReason, Event, LoadReport, Micros, NodeId, RequestId};
+use peppercove::{AttemptOutcome, EndReason, LoadReport, Micros, NodeId, RequestId};
 use std::collections::BTreeMap;
 
 /// How an attempt ended.
@@ -57,7 +57,7 @@
 }
 
 impl AttemptEndCounts {
-    fn count(&mut self, outcome: AttemptOutcome, reason: EndReason) {
+    pub(super) fn count(&mut self, outcome: AttemptOutcome, reason: EndReason) {
         let key = EndKey {
             outcome: outcome as u8,
             reason: reason as u8,
@@ -91,11 +91,7 @@
         entry
             .attempts
             .push(Attempt::new(node, self.now, expires_at));
-        let attempt = AttemptId {
-            node,
-            request,
-            number,
-        };
+        let attempt = AttemptId::new(node, request, number);
         if !can_dispatch {
             self.counters.ignored_actions += 1;
             self.end_attempt(attempt, AttemptOutcome::NotSent.into());
@@ -112,22 +108,15 @@
 
     fn send(&mut self, attempt: AttemptId, job: JobId, expires_at: Micros) {
         let AttemptId {
-            node,
-            request,
-            number,
+            request, number, ..
         } = attempt;
         self.counters.dispatched += 1;
         self.log_sent(attempt);
         self.timers
             .schedule(expires_at, Timer::AttemptTimeout { request, number });
         let expires_in = expires_at - self.now;
-        self.outputs.push(Output::Dispatch {
-            node,
-            request,
-            attempt: number,
-            expires_in,
-            job,
-        });
+        self.outputs
+            .push(Output::dispatch(attempt, expires_in, job));
     }
 
     /// Invariant: what is about to be sent is in the journal before it leaves.
@@ -174,16 +163,7 @@
     }
 
     fn cancel_in_flight(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
-        let AttemptId {
-            node,
-            request,
-            number,
-        } = attempt;
-        self.outputs.push(Output::CancelAttempt {
-            node,
-            request,
-            attempt: number,
-        });
+        self.outputs.push(Output::cancel_attempt(attempt));
         self.end_attempt(attempt, outcome.into());
     }
 
@@ -237,28 +217,4 @@
             }
         }
     }
-
-    /// Counts the end of an attempt and tells the module of it; `is_final` if its request is over with it.
-    pub(super) fn report_end(&mut self, attempt: AttemptId, end: AttemptEnd, is_final: bool) {
-        let AttemptId {
-            node,
-            request,
-            number,
-        } = attempt;
-        let AttemptEnd {
-            outcome,
-            reason,
-            load,
-        } = end;
-        self.attempt_ends.count(outcome, reason);
-        self.events.push(Event::AttemptEnded {
-            request,
-            attempt: number,
-            node,
-            outcome,
-            reason,
-            is_final,
-            load,
-        });
-    }
 }
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -6,7 +6,7 @@
 use crate::attempt_log::{AttemptId, NodeReport, TaskCopy};
 use crate::nodes::ConnectionState;
 use crate::request_state::RequestEntry;
-use peppercove::{AttemptOutcome, Event, ListUpdateKind, NodeId};
+use peppercove::{AttemptOutcome, ListUpdateKind, NodeId};
 
 impl<D: Decide> Core<D> {
     /// A connection to a node stands, and the node has reported what it holds of this controller.
@@ -54,12 +54,8 @@
         n.reported_incarnation = Some(incarnation);
         // The list names the new incarnation seconds later; until then all controllers would overload a cold node.
         if let Some(entry) = n.on_restart(self.now, incarnation) {
-            let (kind, version) = (ListUpdateKind::Incremental, self.nodes.generation);
-            self.events.push(Event::NodeList {
-                kind,
-                version,
-                entries: vec![entry],
-            });
+            let version = self.nodes.generation;
+            self.report_node_list(ListUpdateKind::Incremental, version, vec![entry]);
         }
         true
     }
--- a/crates/core/src/engine/input.rs
+++ b/crates/core/src/engine/input.rs
@@ -31,11 +31,7 @@
 impl ReportedTask {
     /// The copy that it is, at the node that reports it.
     pub fn copy_at(&self, node: NodeId) -> TaskCopy {
-        let attempt = AttemptId {
-            node,
-            request: self.request,
-            number: self.attempt,
-        };
+        let attempt = AttemptId::new(node, self.request, self.attempt);
         TaskCopy {
             incarnation: self.incarnation,
             attempt,
--- a/crates/core/src/engine/module_actions.rs
+++ b/crates/core/src/engine/module_actions.rs
@@ -3,7 +3,7 @@
 use super::{Control, Core, Output, Timer};
 use crate::Decide;
 use crate::jobs::Answer;
-use peppercove::{Action, Event, NodeId, RequestId};
+use peppercove::{Action, NodeId, RequestId};
 
 impl<D: Decide> Core<D> {
     pub(super) fn carry_out(&mut self, action: Action) {
@@ -50,11 +50,7 @@
         if self.nodes.is_up(node) {
             self.outputs.push(Output::Probe(node));
         } else {
-            self.events.push(Event::Probed {
-                node,
-                answered: false,
-                load: None,
-            });
+            self.report_probe(node, false, None);
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/engine/module_events.rs
@@ -0,0 +1,79 @@
+//! What the decision module is told: the events of one batch, in order.
+
+use super::Core;
+use super::attempts::AttemptEnd;
+use crate::Decide;
+use crate::attempt_log::AttemptId;
+use peppercove::{Event, ListUpdateKind, LoadReport, NodeEntry, NodeId, TaskUpdate};
+
+impl<D: Decide> Core<D> {
+    pub(super) fn report_node_list(
+        &mut self,
+        kind: ListUpdateKind,
+        version: u64,
+        entries: Vec<NodeEntry>,
+    ) {
+        self.events.push(Event::NodeList {
+            kind,
+            version,
+            entries,
+        });
+    }
+
+    pub(super) fn report_placed(&mut self, attempt: AttemptId) {
+        self.events.push(Event::Placed {
+            request: attempt.request,
+            attempt: attempt.number,
+            node: attempt.node,
+        });
+    }
+
+    /// Counts the end of an attempt and tells the module of it; `is_final` if its request is over with it.
+    pub(super) fn report_end(&mut self, attempt: AttemptId, end: AttemptEnd, is_final: bool) {
+        self.attempt_ends.count(end.outcome, end.reason);
+        self.report_uncounted_end(attempt, end, is_final);
+    }
+
+    /// Tells the module of an end that is no end of an attempt of this incarnation.
+    pub(super) fn report_uncounted_end(
+        &mut self,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        is_final: bool,
+    ) {
+        self.events.push(Event::AttemptEnded {
+            request: attempt.request,
+            attempt: attempt.number,
+            node: attempt.node,
+            outcome: end.outcome,
+            reason: end.reason,
+            is_final,
+            load: end.load,
+        });
+    }
+
+    pub(super) fn report_task_update(&mut self, attempt: AttemptId, update: TaskUpdate) {
+        self.events.push(Event::TaskUpdated {
+            request: attempt.request,
+            attempt: attempt.number,
+            node: attempt.node,
+            update,
+        });
+    }
+
+    /// A node answered a probe, or did not.
+    pub(super) fn report_probe(&mut self, node: NodeId, answered: bool, load: Option<LoadReport>) {
+        self.events.push(Event::Probed {
+            node,
+            answered,
+            load,
+        });
+    }
+
+    /// A load report that came along with something else counts as an answer to a probe.
+    pub(super) fn report_load(&mut self, node: NodeId, load: Option<LoadReport>) {
+        if load.is_some() {
+            self.report_probe(node, true, load);
+        }
+    }
+}
--- a/crates/core/src/engine/node_list.rs
+++ b/crates/core/src/engine/node_list.rs
@@ -4,7 +4,7 @@
 use crate::Decide;
 use crate::nodes::ListedNode;
 use crate::request_state::RequestEntry;
-use peppercove::{Event, ListUpdateKind, NodeId};
+use peppercove::{ListUpdateKind, NodeId};
 
 impl<D: Decide> Core<D> {
     pub(super) fn on_node_list(
@@ -14,11 +14,7 @@
         listed: &[ListedNode],
     ) {
         let (entries, changes) = self.nodes.apply_list(self.now, kind, generation, listed);
-        self.events.push(Event::NodeList {
-            kind,
-            version: generation,
-            entries,
-        });
+        self.report_node_list(kind, generation, entries);
         for node in changes.added {
             self.on_node_added(node);
         }
--- a/crates/core/src/engine/orphans.rs
+++ b/crates/core/src/engine/orphans.rs
@@ -34,15 +34,8 @@
         let Some(request) = self.orphans.requests.remove(&copy) else {
             return;
         };
-        self.events.push(Event::AttemptEnded {
-            request,
-            attempt: 0,
-            node: copy.attempt.node,
-            outcome: AttemptOutcome::Cancelled,
-            reason: EndReason::Unknown,
-            is_final: true,
-            load: None,
-        });
+        let attempt = AttemptId::new(copy.attempt.node, request, 0);
+        self.report_uncounted_end(attempt, AttemptOutcome::Cancelled.into(), true);
     }
 
     /// It is proved that the copy never ran, or was stopped before its end.
@@ -90,18 +83,9 @@
             }
         }
         for copy in due.query {
-            let AttemptId {
-                node,
-                request,
-                number,
-            } = copy.attempt;
-            if self.nodes.is_up(node) {
+            if self.nodes.is_up(copy.attempt.node) {
                 // The node answers with what it knows of the attempt, or rejects it for ever.
-                self.outputs.push(Output::CancelAttempt {
-                    node,
-                    request,
-                    attempt: number,
-                });
+                self.outputs.push(Output::cancel_attempt(copy.attempt));
             }
         }
     }
--- a/crates/core/src/engine/output.rs
+++ b/crates/core/src/engine/output.rs
@@ -141,57 +141,54 @@
 }
 
 impl Output {
+    /// Dispatches the task of a job.
+    pub(super) fn dispatch(attempt: AttemptId, expires_in: Micros, job: JobId) -> Output {
+        Output::Dispatch {
+            node: attempt.node,
+            request: attempt.request,
+            attempt: attempt.number,
+            expires_in,
+            job,
+        }
+    }
+
+    /// Stops waiting for an attempt, or asks its node again what became of it.
+    pub(super) fn cancel_attempt(attempt: AttemptId) -> Output {
+        Output::CancelAttempt {
+            node: attempt.node,
+            request: attempt.request,
+            attempt: attempt.number,
+        }
+    }
+
     /// Acts on the running task of an attempt.
     pub(super) fn control_task(attempt: AttemptId, control: Control) -> Output {
-        let AttemptId {
-            node,
-            request,
-            number,
-        } = attempt;
         Output::ControlTask {
-            node,
-            request,
-            attempt: number,
+            node: attempt.node,
+            request: attempt.request,
+            attempt: attempt.number,
             control,
         }
     }
 
     /// Gives a running copy the id of its `request` in this incarnation.
     pub(super) fn adopt(copy: TaskCopy, request: RequestId) -> Output {
-        let TaskCopy {
-            incarnation,
-            attempt:
-                AttemptId {
-                    node,
-                    request: previous_request,
-                    number,
-                },
-        } = copy;
         Output::Adopt {
-            node,
-            incarnation,
-            previous_request,
-            attempt: number,
+            node: copy.attempt.node,
+            incarnation: copy.incarnation,
+            previous_request: copy.attempt.request,
+            attempt: copy.attempt.number,
             request,
         }
     }
 
     /// Stops a copy of an earlier incarnation, or acknowledges its end.
     pub(super) fn discard_orphan(copy: TaskCopy) -> Output {
-        let TaskCopy {
-            incarnation,
-            attempt:
-                AttemptId {
-                    node,
-                    request: previous_request,
-                    number,
-                },
-        } = copy;
         Output::DiscardOrphan {
-            node,
-            incarnation,
-            previous_request,
-            attempt: number,
+            node: copy.attempt.node,
+            incarnation: copy.incarnation,
+            previous_request: copy.attempt.request,
+            attempt: copy.attempt.number,
         }
     }
 }
--- a/crates/core/src/engine/request_table.rs
+++ b/crates/core/src/engine/request_table.rs
@@ -96,11 +96,11 @@
         let entry = self.get(request)?;
         let attempt = entry.attempts.get(usize::from(number))?;
         let is_placed = entry.state == RequestState::Placed(number);
-        (attempt.ended.is_none() && !is_placed).then_some(AttemptId {
-            node: attempt.node,
+        (attempt.ended.is_none() && !is_placed).then_some(AttemptId::new(
+            attempt.node,
             request,
             number,
-        })
+        ))
     }
 
     /// The attempt is in flight at that very node.
--- a/crates/core/src/request_state.rs
+++ b/crates/core/src/request_state.rs
@@ -166,16 +166,7 @@
     pub(crate) fn numbered_attempts(&self) -> impl Iterator<Item = (AttemptId, &Attempt)> {
         let request = self.id();
         let attempts = self.attempts.iter().enumerate();
-        attempts.map(move |(i, a)| {
-            (
-                AttemptId {
-                    node: a.node,
-                    request,
-                    number: i as u16,
-                },
-                a,
-            )
-        })
+        attempts.map(move |(i, a)| (AttemptId::new(a.node, request, i as u16), a))
     }
 
     /// The attempt that placed its task, while the task runs.
@@ -184,11 +175,7 @@
             return None;
         };
         let node = self.attempts.get(usize::from(number))?.node;
-        Some(AttemptId {
-            node,
-            request: self.id(),
-            number,
-        })
+        Some(AttemptId::new(node, self.id(), number))
     }
 
     /// Its attempts in flight.
--- /dev/null
+++ b/crates/core/tests/attempt_log/properties.rs
@@ -0,0 +1,155 @@
+//! The attempt log against nodes whose true state the test knows.
+
+use super::{EXITED, SECOND, copy, empty, spec};
+use peppercove::{NodeId, TaskKey};
+use peppercove_core::attempt_log::{
+    Admission, ClientInterest, Completion, JournalEntry, NodeReport, TaskCopy,
+};
+use proptest::prelude::*;
+
+/// What really becomes of a copy at its node.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Truth {
+    InTransit,
+    Running,
+    Ended { reported: bool },
+    Nothing,
+}
+
+#[derive(Clone, Debug)]
+enum Step {
+    Submit(u64),
+    Arrive(usize),
+    End(usize),
+    Report(usize),
+    Disconnect(u64),
+    Connect(u64),
+    RestartNode(u64),
+    RestartController(bool),
+    Remove(u64),
+    List(u64),
+    Wait(u64),
+}
+
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let step = prop_oneof![
+        4 => (0..2u64).prop_map(Step::Submit),
+        3 => (0..12usize).prop_map(Step::Arrive),
+        2 => (0..12usize).prop_map(Step::End),
+        2 => (0..12usize).prop_map(Step::Report),
+        2 => (0..2u64).prop_map(Step::Disconnect),
+        2 => (0..2u64).prop_map(Step::Connect),
+        1 => (0..2u64).prop_map(Step::RestartNode),
+        2 => any::<bool>().prop_map(Step::RestartController),
+        1 => (0..2u64).prop_map(Step::Remove),
+        1 => (0..2u64).prop_map(Step::List),
+        1 => (0..100u64).prop_map(Step::Wait),
+    ];
+    prop::collection::vec(step, 1..60)
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(600))]
+
+    /// Whenever a task is admitted, no copy of it has run or can still run; and no copy is sent beside another.
+    #[test]
+    fn admitted_task_has_no_copy_that_ran_or_can_run(steps in steps()) {
+        let (mut log, mut disk) = (empty(), Vec::<JournalEntry>::new());
+        let (mut incarnation, mut now) = (1, 0);
+        // Copies with their task and what really became of them.
+        let mut copies: Vec<(TaskCopy, u64, Truth)> = Vec::new();
+        let (mut node_incarnations, mut connected) = ([1u64; 2], [true; 2]);
+        for step in steps {
+            match step {
+                Step::Submit(task) => {
+                    let node = (copies.len() % 2) as u64;
+                    if log.admit(TaskKey(task), true) == Admission::Admit && connected[node as usize] {
+                        let bad = |(_, t, truth): &&(TaskCopy, u64, Truth)| *t == task && *truth != Truth::Nothing;
+                        prop_assert!(!copies.iter().any(|c| bad(&c)), "task {} is admitted: {:?}", task, copies);
+                        let new = copy(incarnation, node, copies.len() as u64);
+                        log.record_sent(new, node_incarnations[node as usize], spec(task));
+                        copies.push((new, task, Truth::InTransit));
+                        log.abandon(now, new, ClientInterest::MayReturn);
+                    }
+                }
+                Step::Arrive(i) => {
+                    if let Some((_, _, truth @ Truth::InTransit)) = copies.get_mut(i) {
+                        *truth = Truth::Running;
+                    }
+                }
+                Step::End(i) => {
+                    if let Some((_, _, truth @ Truth::Running)) = copies.get_mut(i) {
+                        *truth = Truth::Ended { reported: false };
+                    }
+                }
+                Step::Report(i) => match copies.get_mut(i) {
+                    Some((c, _, truth)) if connected[c.attempt.node.0 as usize] && c.incarnation == incarnation => match truth {
+                        Truth::Running => { log.on_orphan_running(now, *c); }
+                        Truth::Ended { reported } => {
+                            *reported = true;
+                            log.record_end(now, *c, Completion::Ended(c.attempt.node, EXITED));
+                        }
+                        // It is rejected for ever: its node says so and keeps to it.
+                        Truth::InTransit => {
+                            *truth = Truth::Nothing;
+                            log.record_closed(*c);
+                        }
+                        Truth::Nothing => {}
+                    },
+                    _ => {}
+                },
+                Step::Disconnect(node) => connected[node as usize] = false,
+                Step::Connect(node) => {
+                    connected[node as usize] = true;
+                    let mut held = Vec::new();
+                    for (c, _, truth) in copies.iter_mut().filter(|(c, ..)| c.attempt.node.0 == node) {
+                        match truth {
+                            // The fence: what is in transit on an older connection is not acted on.
+                            Truth::InTransit => *truth = Truth::Nothing,
+                            Truth::Running => {
+                                log.on_orphan_running(now, *c);
+                                held.push(*c);
+                            }
+                            Truth::Ended { reported } => {
+                                *reported = true;
+                                log.record_end(now, *c, Completion::Ended(c.attempt.node, EXITED));
+                            }
+                            Truth::Nothing => {}
+                        }
+                    }
+                    let node_incarnation = node_incarnations[node as usize];
+                    let report = NodeReport { node: NodeId(node), node_incarnation, is_complete: true, held: &held };
+                    log.reconcile_node(now, report);
+                }
+                Step::RestartNode(node) => {
+                    node_incarnations[node as usize] += 1;
+                    connected[node as usize] = false;
+                    // Its process ended: what ran there may have had its effect, and its record is lost. What is in
+                    // transit may still arrive at the new one.
+                    for (_, _, truth) in copies.iter_mut().filter(|(c, ..)| c.attempt.node.0 == node) {
+                        if *truth == Truth::Running {
+                            *truth = Truth::Ended { reported: false };
+                        }
+                    }
+                }
+                Step::RestartController(from_snapshot) => {
+                    incarnation += 1;
+                    disk.extend(log.take_journal());
+                    if from_snapshot {
+                        disk = log.snapshot();
+                    }
+                    log = empty();
+                    log.recover(now, &disk);
+                    connected = [false; 2];
+                }
+                Step::Remove(node) => { log.on_node_removed(now, NodeId(node)); }
+                Step::List(node) => { log.on_node_listed(NodeId(node)); }
+                Step::Wait(seconds) => {
+                    // Less than the time for which what ran is remembered, all in all.
+                    now = (now + seconds * SECOND).min(59 * SECOND);
+                    log.take_due(now, incarnation);
+                }
+            }
+        }
+    }
+}
--- a/crates/exchange/src/handshake.rs
+++ b/crates/exchange/src/handshake.rs
@@ -13,17 +13,34 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum HandshakeError {
     /// The list names another node at its address.
-    #[error("the node answers to the name {0}")]
-    WrongName(String),
+    #[error("the node answers to the name {given}, expected {expected}")]
+    WrongName {
+        /// The name that the node gave.
+        given: String,
+        /// The name that the list has.
+        expected: String,
+    },
     /// It speaks another version of the frames.
-    #[error("the node speaks version {0}")]
-    WrongVersion(u16),
+    #[error("the node speaks version {given}, expected {expected}")]
+    WrongVersion {
+        /// The version that the node gave.
+        given: u16,
+        /// The controller's version.
+        expected: u16,
+    },
     /// A node is not trusted to hold no more than this controller could ever have sent.
-    #[error("the node says that it holds {0} tasks of this controller, more than limits/jobs")]
-    TooMuch(u32),
+    #[error(
+        "the node says that it holds {reported} tasks of this controller, more than limits/jobs ({limit})"
+    )]
+    TooManyTasks {
+        /// The number that the node gave.
+        reported: u32,
+        /// The number of jobs that this controller keeps at the most.
+        limit: usize,
+    },
     /// Another message came first.
-    #[error("a greeting was expected")]
-    NotGreeted,
+    #[error("the first message of the node is no welcome")]
+    NoWelcome,
 }
 
 /// What a message of the handshake leads to.
@@ -109,16 +126,28 @@
             is_complete,
         } = message
         else {
-            return Err(HandshakeError::NotGreeted);
+            return Err(HandshakeError::NoWelcome);
         };
-        if version != peppercove_protocol::VERSION {
-            return Err(HandshakeError::WrongVersion(version));
+        let expected = peppercove_protocol::VERSION;
+        if version != expected {
+            return Err(HandshakeError::WrongVersion {
+                given: version,
+                expected,
+            });
         }
         if node.name != self.name {
-            return Err(HandshakeError::WrongName(node.name));
+            let expected = self.name.clone();
+            return Err(HandshakeError::WrongName {
+                given: node.name,
+                expected,
+            });
         }
-        if known_tasks as usize > self.max_tasks {
-            return Err(HandshakeError::TooMuch(known_tasks));
+        let limit = self.max_tasks;
+        if known_tasks as usize > limit {
+            return Err(HandshakeError::TooManyTasks {
+                reported: known_tasks,
+                limit,
+            });
         }
         self.welcome = Some(Welcome {
             incarnation: node.incarnation,
