--- a/crates/core/src/attempt_log/completions.rs
+++ b/crates/core/src/attempt_log/completions.rs
@@ -17,7 +17,7 @@
 /// What is known of one task that ran.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Recall {
-    /// How it ended, or that nobody can tell.
+    /// How it ended, or that this is not known.
     Detailed(Completion),
     /// Only that it ran, or may have.
     NameOnly,
@@ -60,7 +60,7 @@
     /// Remembers that the task has run.
     pub(super) fn insert(&mut self, now: Micros, task: TaskKey, completion: Completion) {
         let known = self.detailed.get(&task).copied();
-        // How a task ended is reported once; a later doubt about another copy does not erase it.
+        // How a task ended is reported once; an ambiguous outcome of another copy does not erase it.
         if matches!(
             (known, completion),
             (Some(Completion::Ended(..)), Completion::MayHaveRun)
--- a/crates/core/src/attempt_log/open_copies.rs
+++ b/crates/core/src/attempt_log/open_copies.rs
@@ -4,7 +4,8 @@
 use peppercove::{Micros, NodeId, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An orphan is kept this much longer than its client is told to wait, so that a client which obeys still finds it.
+/// An orphan is kept this much longer than the retry delay given to its client, in microseconds, so that a client which
+/// keeps to the delay still finds it.
 const ORPHAN_GRACE: Micros = 1_000_000;
 
 /// Stands for a time in [`OpenCopy::orphaned_until`]: the orphan is kept until its node has reported.
@@ -25,7 +26,7 @@
     Running,
 }
 
-/// What its node was asked about a copy.
+/// How often the node of a copy was queried about it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Queries {
     last_at: Micros,
@@ -39,7 +40,7 @@
     /// Incarnation of its node when it was sent.
     pub(super) node_incarnation: u64,
     pub(super) knowledge: Knowledge,
-    /// Set once no request waits for the copy: its client may ask again until then.
+    /// Set once no request waits for the copy: until then its client may submit the task again.
     orphaned_until: Option<Micros>,
     /// Its client ended the job: it is stopped as soon as its node reports it.
     pub(super) is_unwanted: bool,
@@ -75,14 +76,14 @@
         self.knowledge == Knowledge::Running
     }
 
-    /// When the orphan is to be stopped, unless its client asks again.
+    /// When the orphan is to be stopped, unless its client submits the task again.
     fn stop_at(&self) -> Option<Micros> {
         let is_kept = self.is_running() && !self.is_unwanted;
         self.orphaned_until
             .filter(|until| is_kept && *until != UNTIL_NODE_REPORTS)
     }
 
-    /// When its node is to be asked about it: an eighth of the retry delay after its job is over, then after waits
+    /// When its node is to be queried about it: an eighth of the retry delay after its job is over, then after waits
     /// that double. `None` while a request waits for the copy.
     fn query_at(&self, retry_delay: Micros) -> Option<Micros> {
         let until = self.orphaned_until?;
@@ -106,7 +107,7 @@
 /// All open copies.
 #[derive(Debug, Default)]
 pub(super) struct OpenCopies {
-    /// How long clients are told to wait before they ask again for a task whose outcome is ambiguous.
+    /// The retry delay given to clients whose task has an ambiguous outcome, in microseconds.
     retry_delay: Micros,
     /// How long the copies at a node that the list has removed stay open.
     node_retention: Micros,
@@ -281,7 +282,7 @@
         (self.orphan_count > 0 && self.due_at < Micros::MAX).then_some(self.due_at)
     }
 
-    /// Copies at nodes that the list has not named for the whole retention.
+    /// Copies at nodes that the list has not named for the node retention.
     pub(super) fn given_up(&self, now: Micros) -> Vec<TaskCopy> {
         let retention = self.node_retention;
         let is_over = |open: &OpenCopy| {
@@ -295,7 +296,7 @@
             .collect()
     }
 
-    /// The orphans to stop and to ask about at `now`, in order of their ids; nodes are asked only about copies of
+    /// The orphans to stop and to query at `now`, in order of their ids. Nodes are queried only about copies of
     /// `incarnation`, since they report others by themselves when they connect.
     pub(super) fn take_due(&mut self, now: Micros, incarnation: u64) -> DueActions {
         let mut due = DueActions::default();
@@ -311,7 +312,7 @@
             } else if copy.incarnation == incarnation
                 && open.query_at(retry_delay).is_some_and(|at| at <= now)
             {
-                // The node's answer may be lost, or be late: it is asked again after growing waits.
+                // The node's answer may be lost, or be late: it is queried again after growing waits.
                 open.queries = Queries {
                     last_at: now,
                     count: open.queries.count.saturating_add(1),
--- a/crates/core/src/attempt_log/types.rs
+++ b/crates/core/src/attempt_log/types.rs
@@ -60,7 +60,7 @@
 pub enum Completion {
     /// It ran to its end on this node.
     Ended(NodeId, TaskEnd),
-    /// It ran or may have run, and no node can tell how it ended.
+    /// It ran or may have run, and no node can report how it ended.
     MayHaveRun,
 }
 
@@ -112,13 +112,13 @@
 pub enum OrphanPolicy {
     /// The log has no such copy.
     Unknown,
-    /// Keep it for a while, in case its client asks again.
+    /// Keep it for a while, in case its client submits the task again.
     Keep,
     /// Stop it: its client has ended the job.
     Stop,
 }
 
-/// Whether the client of a copy's job may ask for the task again.
+/// Whether the client of a copy's job may submit the task again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientInterest {
     /// It may: an orphan is kept for a while.
@@ -130,9 +130,9 @@
 /// What is due at some time.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct DueActions {
-    /// Running copies that no client asked for again in time: to be stopped.
+    /// Running copies whose tasks were not submitted again in time: to be stopped.
     pub stop: Vec<TaskCopy>,
-    /// Copies to ask their nodes about.
+    /// Copies to query their nodes about.
     pub query: Vec<TaskCopy>,
 }
 
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,5 +1,5 @@
-//! The core's entry point: an input is taken in, the decision module is asked, its actions are carried out, and the
-//! outputs are given.
+//! The core's entry point: it takes an input in, calls the decision module, carries its actions out and returns the
+//! outputs.
 //!
 //! [`Core`] is one state machine with one entry, [`Core::handle`]; its handlers are split by the facts that they own:
 //!
@@ -10,7 +10,7 @@
 //! | `requests`, `request_table` | requests, their states and their one answer |
 //! | `attempts` | attempts in flight, their end and their timeouts |
 //! | `module_actions` | what the decision module wants done |
-//! | `module_events` | what the decision module is told |
+//! | `module_events` | the events that the decision module is given |
 //! | `attempt_updates` | what nodes report of attempts in flight |
 //! | `placed_tasks` | what nodes report of placed tasks, and their end |
 //! | `unexpected_updates` | what nodes report of any other attempt |
@@ -85,13 +85,13 @@
     first_submissions: FirstSubmissions,
     timers: Timers<Timer>,
     now: Micros,
-    /// The module was asked once.
+    /// The module has been called.
     has_started: bool,
     /// Nothing new is accepted.
     is_shutting_down: bool,
     /// Requests whose tasks are being stopped, to be placed anew.
     migrating: BTreeSet<RequestId>,
-    /// What the module is to be told, in order.
+    /// The events that the module is to be given, in order.
     events: Vec<Event>,
     /// What the input has led to so far, in order.
     outputs: Vec<Output>,
@@ -222,14 +222,14 @@
         self.fire_timers();
         self.take_due_copies();
         self.process(input);
-        self.ask_module();
+        self.call_module();
         self.flush_journal();
         std::mem::take(&mut self.outputs)
     }
 
-    /// Tells the module what happened and carries out what it answers with, until nothing more happens to it. Its own
-    /// timers are events too, and its first call is its start.
-    fn ask_module(&mut self) {
+    /// Gives the module the pending events and carries its actions out, until no event is pending. Its own timers are
+    /// events too, and its first call is its start.
+    fn call_module(&mut self) {
         let mut batches = 0;
         while !self.events.is_empty() || !self.has_started {
             self.has_started = true;
--- a/crates/core/src/engine/admission.rs
+++ b/crates/core/src/engine/admission.rs
@@ -116,7 +116,7 @@
         match admission {
             Admission::RetryLater(after) => Some(Rejection::OutcomeAmbiguous(after)),
             Admission::Deny => Some(Rejection::AlreadyRan),
-            // Controllers share no attempt log, and a start elsewhere could not be told from none.
+            // Controllers share no attempt log, so that a start elsewhere cannot be excluded.
             Admission::Admit
                 if submission.requested_elsewhere && self.must_run_once(submission.class) =>
             {
--- a/crates/core/src/engine/adoption.rs
+++ b/crates/core/src/engine/adoption.rs
@@ -21,7 +21,7 @@
         self.present.get(&previous).copied()
     }
 
-    /// A node used a present id: it has heard of it.
+    /// A node used a present id: the adoption message has arrived.
     pub(super) fn acknowledge(&mut self, used: AttemptId) {
         self.present.retain(|_, present| *present != used);
     }
@@ -70,7 +70,7 @@
         self.outputs.push(Output::adopt(copy, request));
     }
 
-    /// A copy whose outcome was ambiguous was found running, and a job asks for its task: the copy is the job's.
+    /// A copy whose outcome was ambiguous was found running, and its task is a job's: that job takes it over.
     pub(super) fn adopt_for_job(&mut self, job: JobId, copy: TaskCopy) {
         let request = self.adopt(job, copy);
         self.answer_job(job, Answer::Placed(copy.attempt.node));
@@ -96,10 +96,7 @@
             job,
             deadline: self.now,
             state: RequestState::Pending,
-            attempts: vec![Attempt {
-                accepted: true,
-                ..Attempt::new(node, self.now, self.now)
-            }],
+            attempts: vec![Attempt::new(node)],
         });
         self.transition(id, RequestState::Placed(0));
         self.events.push(Event::RunningTask { request, node });
@@ -126,7 +123,7 @@
     }
 
     /// A task of an earlier incarnation ran and ended: its job is known again under its key, and one that must not run
-    /// twice is not started again for a client that never heard of it.
+    /// twice is not started again for a client that was never notified of its end.
     pub(super) fn record_ended_task(&mut self, copy: TaskCopy, task: ReportedTask, end: TaskEnd) {
         let submission = task.submission;
         if self.attempt_log.is_open(copy) {
--- a/crates/core/src/engine/attempt_updates.rs
+++ b/crates/core/src/engine/attempt_updates.rs
@@ -1,4 +1,4 @@
-//! What nodes report of attempts in flight, and where reports go.
+//! What nodes report of attempts: dispatched to the handlers of those in flight, of placed ones and of others.
 
 use super::attempts::AttemptEnd;
 use super::{AttemptUpdate, Core};
@@ -53,7 +53,7 @@
                 );
             }
             AttemptUpdate::Error => {
-                // It may have started; its node is asked what it knows of it once no request waits for it.
+                // It may have started; its node is queried about it once no request waits for it.
                 self.end_attempt(
                     attempt,
                     AttemptEnd::without_reason(AttemptOutcome::Error, load),
@@ -94,9 +94,6 @@
     }
 
     fn on_accepted(&mut self, attempt: AttemptId, is_completed: bool, load: Option<LoadReport>) {
-        if let Some(accepted) = self.requests.attempt_mut(attempt.request, attempt.number) {
-            accepted.accepted = true;
-        }
         if self.limits.placement_ack == PlacementAck::Accepted && !is_completed {
             self.on_placed(attempt);
         }
@@ -118,7 +115,7 @@
         }
     }
 
-    /// The task runs: where its acceptance acknowledged the placement, the module is told that as well.
+    /// The task runs: where its acceptance acknowledged the placement, that is reported to the module as well.
     pub(super) fn on_running(&mut self, attempt: AttemptId, load: Option<LoadReport>) {
         if self.limits.placement_ack == PlacementAck::Accepted {
             self.report_task_update(attempt, TaskUpdate::Running);
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -88,9 +88,7 @@
         let can_dispatch =
             entry.state == RequestState::Pending && has_attempts_left && answer_by > self.now;
         let job = entry.job;
-        entry
-            .attempts
-            .push(Attempt::new(node, self.now, expires_at));
+        entry.attempts.push(Attempt::new(node));
         let attempt = AttemptId::new(node, request, number);
         if !can_dispatch {
             self.counters.ignored_actions += 1;
--- a/crates/core/src/engine/counters.rs
+++ b/crates/core/src/engine/counters.rs
@@ -25,7 +25,7 @@
     pub dispatched: u64,
     /// Attempts that found no connection.
     pub unreachable: u64,
-    /// Attempts that nobody answered in time.
+    /// Attempts that timed out.
     pub timed_out: u64,
     /// Tasks taken over from an earlier incarnation or an ambiguous attempt.
     pub adopted: u64,
--- a/crates/core/src/engine/input.rs
+++ b/crates/core/src/engine/input.rs
@@ -1,4 +1,4 @@
-//! What a core is told.
+//! The inputs of a core.
 //!
 //! Recordings hold these in JSON: names that have changed keep their stored names by `serde(rename)`.
 
--- a/crates/core/src/engine/job_control.rs
+++ b/crates/core/src/engine/job_control.rs
@@ -88,7 +88,7 @@
             }
             JobState::Running | JobState::Suspended => {
                 if let Some(attempt) = self.placed_attempt_of(request) {
-                    // A node that cannot be reached is told once it is connected again.
+                    // A node that cannot be reached receives it once it is connected again.
                     self.outputs
                         .push(Output::control_task(attempt, Control::Terminate));
                     self.migrating.remove(&attempt.request);
--- a/crates/core/src/engine/limits.rs
+++ b/crates/core/src/engine/limits.rs
@@ -23,7 +23,7 @@
     pub deadline_margin: Micros,
     /// Advice to a client that met a limit.
     pub retry_after: Micros,
-    /// How long clients wait before they ask again for a task whose outcome is ambiguous.
+    /// The retry delay given to clients whose task has an ambiguous outcome.
     pub ambiguous_retry_delay: Micros,
     /// How long a completion is remembered.
     pub outcome_retention: Micros,
--- a/crates/core/src/engine/module_events.rs
+++ b/crates/core/src/engine/module_events.rs
@@ -1,4 +1,4 @@
-//! What the decision module is told: the events of one batch, in order.
+//! The events that the decision module is given, in order.
 
 use super::Core;
 use super::attempts::AttemptEnd;
@@ -28,13 +28,13 @@
         });
     }
 
-    /// Counts the end of an attempt and tells the module of it; `is_final` if its request is over with it.
+    /// Counts the end of an attempt and reports it to the module; `is_final` if its request is over with it.
     pub(super) fn report_end(&mut self, attempt: AttemptId, end: AttemptEnd, is_final: bool) {
         self.attempt_ends.count(end.outcome, end.reason);
         self.report_uncounted_end(attempt, end, is_final);
     }
 
-    /// Tells the module of an end that is no end of an attempt of this incarnation.
+    /// Reports the end of an orphan, which is no attempt of the request that stands for it.
     pub(super) fn report_uncounted_end(
         &mut self,
         attempt: AttemptId,
--- a/crates/core/src/engine/orphans.rs
+++ b/crates/core/src/engine/orphans.rs
@@ -7,14 +7,14 @@
 use peppercove::{AttemptOutcome, EndReason, Event, NodeId, PlacementRequest, RequestId};
 use std::collections::BTreeMap;
 
-/// The orphans that the module counts as running tasks, by the request that it was told of.
+/// The orphans that the module counts as running tasks, by the request that it was given for each.
 #[derive(Debug, Default)]
 pub(super) struct Orphans {
     requests: BTreeMap<TaskCopy, RequestId>,
 }
 
 impl<D: Decide> Core<D> {
-    /// The module counts the copy as a running task until it is known to be over, so that neither topology spread nor
+    /// Makes the module count the copy as a running task until it is known to be over, so that neither topology spread nor
     /// capacity is given away twice.
     pub(super) fn track_orphan(&mut self, copy: TaskCopy, spec: TaskSpec) {
         if !self.has_topology_spread(spec.class) || self.orphans.requests.contains_key(&copy) {
@@ -74,7 +74,7 @@
 
     // ---- Those whose clients did not come again ----
 
-    /// Stops the orphans whose time is over, and asks nodes about those of which nothing is known.
+    /// Stops the orphans whose time is over, and queries nodes about those of which nothing is known.
     pub(super) fn take_due_copies(&mut self) {
         let due = self.attempt_log.take_due(self.now, self.limits.incarnation);
         for copy in due.stop {
--- a/crates/core/src/engine/output.rs
+++ b/crates/core/src/engine/output.rs
@@ -11,7 +11,7 @@
 pub enum Rejection {
     /// A limit is met; come again after this long.
     LimitReached(Micros),
-    /// The controller shuts down; come again after this long, or ask another.
+    /// The controller shuts down; come again after this long, or submit to another.
     ShuttingDown(Micros),
     /// An earlier attempt of the task may run; come again after this long.
     OutcomeAmbiguous(Micros),
@@ -19,7 +19,7 @@
     AlreadyRan,
     /// The task was submitted before, and its outcome is not known here: without a journal, not by this incarnation.
     OutcomeUnknown,
-    /// The task was submitted to another controller before, which may have started it: that one can tell.
+    /// The task was submitted to another controller before, which may have started it: that one knows.
     RequestedElsewhere,
     /// The task is another job's, which is not finished.
     TaskInUse(JobId),
@@ -132,7 +132,7 @@
     Journal(Vec<JournalEntry>),
     /// Subscribe to the node list.
     Watch,
-    /// Ask a node for its load.
+    /// Probe a node for its load.
     Probe(NodeId),
     /// Send all other controllers a message.
     Broadcast(Vec<u8>),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Stops waiting for an attempt, or asks its node again what became of it.
+    /// Stops waiting for an attempt, or queries its node again.
     pub(super) fn cancel_attempt(attempt: AttemptId) -> Output {
         Output::CancelAttempt {
             node: attempt.node,
--- a/crates/core/src/engine/placed_tasks.rs
+++ b/crates/core/src/engine/placed_tasks.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A placed task ended, or is lost: its job is finished, or asks to be placed anew if it was to be migrated.
+    /// A placed task ended, or is lost: its job is finished, or a new placement is requested if it was to be migrated.
     pub(super) fn end_placed(&mut self, attempt: AttemptId, end: PlacedEnd) {
         let AttemptId {
             node,
--- a/crates/core/src/engine/requests.rs
+++ b/crates/core/src/engine/requests.rs
@@ -7,7 +7,7 @@
 use crate::request_state::{RequestEntry, RequestState};
 use peppercove::{Event, Micros, PlacementRequest, RequestId};
 
-/// The request for a submission's task, as the module is told of it.
+/// The request for a submission's task, as the module is given it.
 pub(super) fn placement_request(
     s: &Submission,
     id: RequestId,
@@ -28,7 +28,7 @@
 }
 
 impl<D: Decide> Core<D> {
-    /// Asks the module to place a job's task.
+    /// Requests a placement for a job's task from the module.
     pub(super) fn request_placement(&mut self, job: JobId) {
         let Some(j) = self.jobs.get_mut(job) else {
             return;
--- a/crates/core/src/engine/unexpected_updates.rs
+++ b/crates/core/src/engine/unexpected_updates.rs
@@ -13,7 +13,7 @@
     pub(super) fn on_unexpected_update(&mut self, attempt: AttemptId, update: AttemptUpdate) {
         self.counters.unexpected_messages += 1;
         let known = self.requests.attempt(attempt.request, attempt.number);
-        // A node that names an attempt sent to another node is told nothing about it.
+        // A node that names an attempt sent to another node receives nothing about it.
         if known.is_some_and(|known| known.node != attempt.node) {
             let node = attempt.node.0;
             self.outputs.push(Output::Log(format!(
@@ -86,7 +86,7 @@
     }
 
     /// A pending request is not dispatched again where one of its attempts is known to run or to have run: the module is
-    /// told that it is no longer wanted, and of the running task in its place. While another attempt is in flight, that
+    /// notified that the request is cancelled, and of the running task in its place. While another attempt is in flight, that
     /// one comes to its end first: two answers must not be in the making.
     pub(super) fn resolve_by_attempts(&mut self, request: RequestId) {
         let Some(entry) = self
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -30,7 +30,7 @@
     /// Number of unfinished jobs of each session that has any.
     unfinished: BTreeMap<String, usize>,
     by_session: BTreeMap<String, BTreeSet<JobId>>,
-    /// Finished jobs forgotten before their client had asked for them.
+    /// Finished jobs forgotten before their client had disposed of them.
     pub forgotten: u64,
 }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Adds a job of an earlier incarnation, until its client asks for it.
+    /// Adds a job of an earlier incarnation that no client has claimed.
     pub(crate) fn add_unclaimed(&mut self, submission: Submission) -> JobId {
         let id = self.add(submission, JobState::Queued);
         if let Some(job) = self.jobs.get_mut(&id) {
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -116,7 +116,7 @@
     pub answer: Option<Answer>,
     /// How its task ended.
     pub end: Option<TaskEnd>,
-    /// Found running after a restart; no client of this incarnation has asked for it.
+    /// Found running after a restart; no client of this incarnation has submitted its task.
     pub is_unclaimed: bool,
     /// The key of an earlier incarnation, where the job was claimed under another.
     pub(super) first_key: Option<String>,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
 //! One controller's state machine, without sockets, clock or threads.
 //!
 //! [`Core::handle`] takes one [`Input`] with the time it happened and returns [`Output`]s. Every placement decision
-//! comes from the decision module, behind [`Decide`]; the core carries its actions out and tells it of events, in
-//! order, with their time. What the core itself holds are facts: the state of each request ([`request_state`]), the
+//! comes from the decision module, behind [`Decide`]; the core carries its actions out and gives it events, in
+//! order, with their time. The core itself holds facts: the state of each request ([`request_state`]), the
 //! jobs that clients see ([`jobs`]), the nodes that the list names ([`nodes`]) and the attempts at tasks that must not
 //! run twice ([`attempt_log`]). The same inputs give the same outputs ([`recording`]).
 //!
--- a/crates/core/src/nodes.rs
+++ b/crates/core/src/nodes.rs
@@ -59,7 +59,7 @@
 /// One node.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// As the decision module was told last.
+    /// The entry that the decision module was last given.
     pub line: NodeEntry,
     /// Its address.
     pub address: SocketAddrV4,
@@ -67,15 +67,15 @@
     pub name: String,
     /// The connection to it.
     pub link: ConnectionState,
-    /// Its present incarnation, as the list or the node itself told.
+    /// Its present incarnation, as the list or the node itself reported it.
     start: NodeStart,
     /// Incarnation that the node itself reported last.
     pub reported_incarnation: Option<u64>,
 }
 
 impl Node {
-    /// The node itself reports its incarnation; gives its new entry where the list has not told of it: the node has
-    /// just started.
+    /// Takes in the incarnation that the node itself reports. Returns the new entry of a node that has just started, which
+    /// the list does not name yet.
     pub(crate) fn on_restart(&mut self, now: Micros, incarnation: u64) -> Option<NodeEntry> {
         if self.start.incarnation == incarnation {
             return None;
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -1,4 +1,4 @@
-//! A recording of what a core was told, line by line in JSON, and its replay: the same inputs give the same outputs.
+//! A recording of a core's inputs, line by line in JSON, and its replay: the same inputs give the same outputs.
 
 use crate::attempt_log::JournalEntry;
 use crate::engine::{Core, Input, Output};
@@ -41,7 +41,7 @@
 pub struct RecordedInput {
     /// Time by the clock of the controller, in microseconds.
     pub at: Micros,
-    /// What it was told.
+    /// The input.
     pub input: Input,
 }
 
--- a/crates/core/src/request_state.rs
+++ b/crates/core/src/request_state.rs
@@ -76,12 +76,6 @@
 pub struct Attempt {
     /// The node it was sent to.
     pub node: NodeId,
-    /// When it was sent.
-    pub sent_at: Micros,
-    /// When the controller stops waiting for it.
-    pub expires_at: Micros,
-    /// Its node reported that it has accepted it.
-    pub accepted: bool,
     /// How it ended; `None` while it is in flight or its task runs.
     pub ended: Option<AttemptOutcome>,
     /// What its node reported of it after it was given up.
@@ -101,13 +95,10 @@
 }
 
 impl Attempt {
-    /// An attempt that is in flight from `sent_at` until `expires_at`.
-    pub fn new(node: NodeId, sent_at: Micros, expires_at: Micros) -> Attempt {
+    /// An attempt in flight at a node.
+    pub fn new(node: NodeId) -> Attempt {
         Attempt {
             node,
-            sent_at,
-            expires_at,
-            accepted: false,
             ended: None,
             finding: Finding::Nothing,
         }
@@ -134,7 +125,7 @@
 /// One request for a placement.
 #[derive(Clone, Debug)]
 pub struct RequestEntry {
-    /// As the decision module was told of it.
+    /// The request as the decision module was given it.
     pub request: PlacementRequest,
     /// The job whose task is to be placed.
     pub job: JobId,
--- a/crates/core/tests/core/placement.rs
+++ b/crates/core/tests/core/placement.rs
@@ -2,7 +2,7 @@
 
 use super::harness::*;
 use peppercove::{Action, AttemptOutcome, EndReason, RequestId};
-use peppercove_core::{Answer, AttemptUpdate, Control, Input, JobId, JobState, Output};
+use peppercove_core::{Answer, AttemptUpdate, Control, Input, JobId, JobState, Output, TaskEnd};
 
 #[test]
 fn idle_module_gets_no_dispatch_and_request_fails_at_its_deadline() {
@@ -169,3 +169,30 @@
         }]
     ));
 }
+
+#[test]
+fn migrated_task_is_placed_anew_and_answered_once() {
+    let mut harness = Harness::new();
+    let actions = vec![dispatch(0, 0, None)];
+    harness.step(0, submit(submission("a", IDEMPOTENT)), actions);
+    let running = updated(0, 0, 0, AttemptUpdate::Running);
+    let outputs = harness.step(1, running, vec![Action::Migrate(RequestId(0))]);
+    assert_eq!(answers(&outputs), [Answer::Placed(node(0))]);
+    let stopped = TaskEnd::Signalled {
+        signal: 15,
+        wall: 1,
+        cpu: 1,
+        memory: 0.0,
+    };
+    let stopped = AttemptUpdate::Ended(stopped, EndReason::Unknown);
+    let outputs = harness.step(2, updated(0, 0, 0, stopped), vec![dispatch(1, 1, None)]);
+    assert!(has_dispatch(&outputs), "{outputs:?}");
+    let outputs = harness.step(3, updated(1, 1, 0, AttemptUpdate::Running), vec![]);
+    assert_eq!(
+        answers(&outputs),
+        [],
+        "it was answered when it was first placed"
+    );
+    assert_eq!(harness.core.counters().placed, 1);
+    assert_eq!(harness.core.placed_tasks(), 1);
+}
