--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,5 +9,6 @@
 
 pub use schema::{ConfigError, Document, Problem};
 pub use settings::{
-    Config, Limits, Listen, LogFormat, Peers, RemoteWriteSettings, SETTINGS, embedded_default,
+    Config, Limits, LogFormat, NetworkSettings, PeerSettings, RemoteWriteSettings, SETTINGS,
+    embedded_default,
 };
--- /dev/null
+++ b/crates/config/src/schema/xsd.rs
@@ -0,0 +1,140 @@
+//! The XML schema that is made from the table.
+
+use super::{Attribute, Element, ValueKind};
+use std::fmt::{Display, Write as _};
+
+/// Head of the schema with the simple types that attributes refer to.
+const HEAD: &str = r#"<?xml version="1.0" encoding="UTF-8"?>
+<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema">
+  <xs:simpleType name="span">
+    <xs:restriction base="xs:string">
+      <xs:pattern value="[0-9]+(\.[0-9]+)?(us|ms|s|m|h)"/>
+    </xs:restriction>
+  </xs:simpleType>
+  <xs:simpleType name="name">
+    <xs:restriction base="xs:string">
+      <xs:pattern value="[A-Za-z0-9_.\-]{1,64}"/>
+    </xs:restriction>
+  </xs:simpleType>
+  <xs:simpleType name="address">
+    <xs:restriction base="xs:string">
+      <xs:pattern value="[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}"/>
+    </xs:restriction>
+  </xs:simpleType>
+"#;
+
+/// The XML schema (W3C XSD 1.0) of a document whose outermost element is `root`.
+pub fn xsd(root: &Element) -> String {
+    let mut out = String::from(HEAD);
+    write_element(&mut out, root, 1);
+    out += "</xs:schema>\n";
+    out
+}
+
+/// Writes an element and all in it. `depth` is the number of elements around it.
+///
+/// How often an element may stand is not written: elements stand in any order, so the schema has a repeated choice,
+/// and the program itself checks the counts.
+fn write_element(out: &mut String, element: &Element, depth: usize) {
+    let pad = "  ".repeat(depth);
+    let _ = writeln!(out, "{pad}<xs:element name=\"{}\">", element.name);
+    write_about(out, element.about, depth + 1);
+    let _ = writeln!(out, "{pad}  <xs:complexType>");
+    if !element.children.is_empty() {
+        let _ = writeln!(
+            out,
+            "{pad}    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">"
+        );
+        for child in element.children {
+            write_element(out, child, depth + 3);
+        }
+        let _ = writeln!(out, "{pad}    </xs:choice>");
+    }
+    for attribute in element.attributes {
+        write_attribute(out, attribute, depth + 2);
+    }
+    let _ = writeln!(out, "{pad}  </xs:complexType>\n{pad}</xs:element>");
+}
+
+fn write_about(out: &mut String, about: &str, depth: usize) {
+    let pad = "  ".repeat(depth);
+    let about = about.replace('&', "&amp;").replace('<', "&lt;");
+    let _ = writeln!(
+        out,
+        "{pad}<xs:annotation><xs:documentation>{about}</xs:documentation></xs:annotation>"
+    );
+}
+
+fn write_attribute(out: &mut String, attribute: &Attribute, depth: usize) {
+    let pad = "  ".repeat(depth);
+    let use_or_default = match attribute.default {
+        None => " use=\"required\"".to_owned(),
+        Some("") => String::new(),
+        Some(value) => format!(" default=\"{value}\""),
+    };
+    let simple_type = SimpleType::of(attribute.kind);
+    let named = match &simple_type {
+        SimpleType::Named(name) => format!(" type=\"{name}\""),
+        SimpleType::Restriction { .. } => String::new(),
+    };
+    let name = attribute.name;
+    let _ = writeln!(
+        out,
+        "{pad}<xs:attribute name=\"{name}\"{named}{use_or_default}>"
+    );
+    write_about(out, attribute.about, depth + 1);
+    if let SimpleType::Restriction { base, facets } = simple_type {
+        let _ = writeln!(
+            out,
+            "{pad}  <xs:simpleType><xs:restriction base=\"{base}\">{facets}</xs:restriction></xs:simpleType>"
+        );
+    }
+    let _ = writeln!(out, "{pad}</xs:attribute>");
+}
+
+/// The type of an attribute in the schema.
+enum SimpleType {
+    /// A type of XSD, or of the schema's head.
+    Named(&'static str),
+    /// A type of XSD with facets that restrict it.
+    Restriction { base: &'static str, facets: String },
+}
+
+impl SimpleType {
+    fn of(kind: ValueKind) -> SimpleType {
+        match kind {
+            ValueKind::Text => SimpleType::Named("xs:string"),
+            ValueKind::Name => SimpleType::Named("name"),
+            ValueKind::Flag => SimpleType::Named("xs:boolean"),
+            ValueKind::Span => SimpleType::Named("span"),
+            ValueKind::Address => SimpleType::Named("address"),
+            ValueKind::Count(least, most) => SimpleType::Restriction {
+                base: "xs:unsignedLong",
+                facets: bounds(least, (most != u64::MAX).then_some(most)),
+            },
+            ValueKind::Number(least, most) => SimpleType::Restriction {
+                base: "xs:double",
+                facets: bounds(least, (most != f64::MAX).then_some(most)),
+            },
+            ValueKind::Choice(words) => SimpleType::Restriction {
+                base: "xs:string",
+                facets: enumeration(words),
+            },
+        }
+    }
+}
+
+fn bounds<T: Display>(least: T, most: Option<T>) -> String {
+    let lower = format!("<xs:minInclusive value=\"{least}\"/>");
+    match most {
+        None => lower,
+        Some(most) => format!("{lower}<xs:maxInclusive value=\"{most}\"/>"),
+    }
+}
+
+fn enumeration(words: &[&str]) -> String {
+    words
+        .iter()
+        .map(|word| format!("<xs:enumeration value=\"{word}\"/>"))
+        .collect()
+}
--- /dev/null
+++ b/crates/config/src/settings/controller.rs
@@ -0,0 +1,76 @@
+//! The section `controller`: identity, files and shutdown of one controller.
+
+use super::table::attribute;
+use crate::schema::{Document, Element, Occurrence, Problem, ValueKind};
+
+/// The section in the table.
+pub(super) const ELEMENT: Element = Element {
+    name: "controller",
+    often: Occurrence::Once,
+    about: "This controller, and how many share the nodes.",
+    attributes: &[
+        attribute(
+            "name",
+            ValueKind::Name,
+            None,
+            "Its name; nodes know its tasks by it after a restart.",
+        ),
+        attribute(
+            "number",
+            ValueKind::Count(0, 65_535),
+            Some("0"),
+            "Its number among those that share the nodes.",
+        ),
+        attribute(
+            "of",
+            ValueKind::Count(1, 65_536),
+            Some("1"),
+            "How many share the nodes, this one included.",
+        ),
+        attribute("zone", ValueKind::Count(0, 255), Some("0"), "Its zone."),
+        attribute(
+            "seed",
+            ValueKind::Count(0, u64::MAX),
+            Some(""),
+            "Seed of its draws; a new one at each start where left out.",
+        ),
+        attribute(
+            "clients",
+            ValueKind::Address,
+            None,
+            "Where it listens for DRMAA clients; port 0 takes any.",
+        ),
+        attribute(
+            "stop-within",
+            ValueKind::Span,
+            Some("10s"),
+            "How long a stop may wait for what is open.",
+        ),
+        attribute(
+            "record",
+            ValueKind::Text,
+            Some(""),
+            "File to which all that the core is told is written, for replay.",
+        ),
+        attribute(
+            "journal",
+            ValueKind::Text,
+            Some(""),
+            "File to which each attempt is written before it is sent, so that the next life knows of it.",
+        ),
+        attribute(
+            "journal-sync",
+            ValueKind::Flag,
+            Some("false"),
+            "Wait for the disk at each write, so that the journal outlives the machine and not the process alone.",
+        ),
+    ],
+    children: &[],
+};
+
+/// Reports a controller whose index is not one of those that share the nodes.
+pub(super) fn check(section: &Document, problems: &mut Vec<Problem>) {
+    if section.count("number") >= section.count("of") {
+        problems.push(section.problem("number must be below of"));
+    }
+}
--- /dev/null
+++ b/crates/config/src/settings/limits.rs
@@ -0,0 +1,164 @@
+//! The section `limits`: bounds of the daemon.
+
+use super::table::{ANY_COUNT, attribute};
+use crate::schema::{Document, Element, Occurrence, ValueKind};
+use std::time::Duration;
+
+/// The section in the table.
+pub(super) const ELEMENT: Element = Element {
+    name: "limits",
+    often: Occurrence::Maybe,
+    about: "What bounds the daemon. Each bound met is counted and answered.",
+    attributes: &[
+        attribute(
+            "clients",
+            ANY_COUNT,
+            Some("1024"),
+            "Connections of clients at once.",
+        ),
+        attribute(
+            "calls",
+            ANY_COUNT,
+            Some("64"),
+            "Calls of one connection that may wait for their answers.",
+        ),
+        attribute(
+            "client-queue",
+            ANY_COUNT,
+            Some("1024"),
+            "Lines that may wait to be read by a client; a slower one is closed.",
+        ),
+        attribute(
+            "client-idle",
+            ValueKind::Span,
+            Some("5m"),
+            "A line begun and not finished within this closes its connection.",
+        ),
+        attribute(
+            "node-queue",
+            ANY_COUNT,
+            Some("1024"),
+            "Messages that may wait to be written to a node.",
+        ),
+        attribute(
+            "open-asks",
+            ANY_COUNT,
+            Some("100000"),
+            "Asks for a placing that may be open at once.",
+        ),
+        attribute(
+            "jobs",
+            ANY_COUNT,
+            Some("200000"),
+            "Jobs kept, finished ones included; the oldest finished one makes room.",
+        ),
+        attribute(
+            "session-jobs",
+            ANY_COUNT,
+            Some("100000"),
+            "Unfinished jobs of one session.",
+        ),
+        attribute(
+            "sessions",
+            ANY_COUNT,
+            Some("10000"),
+            "Sessions known at once.",
+        ),
+        attribute(
+            "bulk",
+            ANY_COUNT,
+            Some("10000"),
+            "Jobs of one bulk submission.",
+        ),
+        attribute(
+            "doubtful",
+            ANY_COUNT,
+            Some("10000"),
+            "Unsafe tasks whose fate may be in doubt at once.",
+        ),
+        attribute(
+            "retry-after",
+            ValueKind::Span,
+            Some("1s"),
+            "Advice to a client that met a bound.",
+        ),
+        attribute(
+            "answer-reserve",
+            ValueKind::Span,
+            Some("20ms"),
+            "The answer is given this long before its owner gives up.",
+        ),
+        attribute(
+            "fate-memory",
+            ValueKind::Span,
+            Some("10m"),
+            "How long it is remembered that an unsafe task may have run.",
+        ),
+        attribute(
+            "lost-after",
+            ValueKind::Span,
+            Some("30s"),
+            "A task on a node out of reach counts as lost after this.",
+        ),
+    ],
+    children: &[],
+};
+
+/// Bounds of the daemon. Each bound that is met is counted and answered.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    /// Client connections at once.
+    pub clients: usize,
+    /// Calls of one connection that may wait for their answers.
+    pub pending_calls: usize,
+    /// Lines that may wait for a client to read them; a slower client is disconnected.
+    pub client_queue: usize,
+    /// A line that is begun and not finished within this closes its connection.
+    pub client_idle: Duration,
+    /// Messages that may wait to be written to one node.
+    pub node_queue: usize,
+    /// Placement requests that may be open at once.
+    pub open_requests: usize,
+    /// Jobs kept, finished ones included; the oldest finished job makes room.
+    pub jobs: usize,
+    /// Unfinished jobs of one session.
+    pub session_jobs: usize,
+    /// Sessions known at once.
+    pub sessions: usize,
+    /// Jobs of one bulk submission.
+    pub bulk_jobs: usize,
+    /// Non-idempotent tasks whose outcome may be ambiguous at once.
+    pub ambiguous_tasks: usize,
+    /// The Retry-After given to a client that met a bound.
+    pub retry_after: Duration,
+    /// An answer is due this long before the client's deadline.
+    pub deadline_margin: Duration,
+    /// How long it is remembered that a non-idempotent task may have run.
+    pub outcome_retention: Duration,
+    /// A task on an unreachable node counts as lost after this.
+    pub lost_after: Duration,
+}
+
+impl Limits {
+    /// Reads the section `limits` of a checked document.
+    pub(super) fn read(section: &Document) -> Limits {
+        let size = |name: &str| usize::try_from(section.count(name)).unwrap_or(usize::MAX);
+        Limits {
+            clients: size("clients"),
+            pending_calls: size("calls"),
+            client_queue: size("client-queue"),
+            client_idle: section.span("client-idle"),
+            node_queue: size("node-queue"),
+            open_requests: size("open-asks"),
+            jobs: size("jobs"),
+            session_jobs: size("session-jobs"),
+            sessions: size("sessions"),
+            bulk_jobs: size("bulk"),
+            ambiguous_tasks: size("doubtful"),
+            retry_after: section.span("retry-after"),
+            deadline_margin: section.span("answer-reserve"),
+            outcome_retention: section.span("fate-memory"),
+            lost_after: section.span("lost-after"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/config/src/settings/network.rs
@@ -0,0 +1,103 @@
+//! The sections `node-list` and `links`: the sockets of a controller.
+
+use super::table::attribute;
+use crate::schema::{Document, Element, Occurrence, ValueKind};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// The section `node-list` in the table.
+pub(super) const NODE_LIST: Element = Element {
+    name: "node-list",
+    often: Occurrence::Once,
+    about: "Where the list of nodes comes from.",
+    attributes: &[
+        attribute(
+            "address",
+            ValueKind::Address,
+            None,
+            "Where the list listens.",
+        ),
+        attribute(
+            "mode",
+            ValueKind::Choice(&["on-request", "pushed"]),
+            Some("on-request"),
+            "Whether the list must be asked for or comes by itself.",
+        ),
+        attribute(
+            "ask-every",
+            ValueKind::Span,
+            Some("10s"),
+            "Without a subscription the list counts as told this long after it was last asked for.",
+        ),
+        attribute(
+            "timeout",
+            ValueKind::Span,
+            Some("2s"),
+            "A call that has no answer by then has failed.",
+        ),
+    ],
+    children: &[],
+};
+
+/// The section `links` in the table.
+pub(super) const LINKS: Element = Element {
+    name: "links",
+    often: Occurrence::Maybe,
+    about: "Links to nodes and to the list.",
+    attributes: &[
+        attribute(
+            "connect-timeout",
+            ValueKind::Span,
+            Some("1s"),
+            "A connection or greeting not done by then has failed.",
+        ),
+        attribute(
+            "retry-least",
+            ValueKind::Span,
+            Some("50ms"),
+            "First wait before a link is tried again; waits are scattered.",
+        ),
+        attribute(
+            "retry-most",
+            ValueKind::Span,
+            Some("5s"),
+            "Waits double up to this.",
+        ),
+    ],
+    children: &[],
+};
+
+/// Where a controller listens, where it gets the node list, and how it connects.
+#[derive(Clone, Debug)]
+pub struct NetworkSettings {
+    /// Where the controller listens for DRMAA clients.
+    pub clients: SocketAddr,
+    /// Where the node list listens.
+    pub node_list: SocketAddr,
+    /// A call to the node list without an answer after this has failed.
+    pub list_timeout: Duration,
+    /// A connection or handshake that is not complete after this has failed.
+    pub connect_timeout: Duration,
+    /// First backoff before a connection is attempted again.
+    pub retry_least: Duration,
+    /// Largest backoff; never below the first.
+    pub retry_most: Duration,
+}
+
+impl NetworkSettings {
+    /// Reads the settings of a checked document.
+    pub(super) fn read(document: &Document) -> NetworkSettings {
+        let controller = document.child("controller");
+        let node_list = document.child("node-list");
+        let links = document.child("links");
+        let retry_least = links.span("retry-least");
+        NetworkSettings {
+            clients: controller.address("clients"),
+            node_list: node_list.address("address"),
+            list_timeout: node_list.span("timeout"),
+            connect_timeout: links.span("connect-timeout"),
+            retry_least,
+            retry_most: links.span("retry-most").max(retry_least),
+        }
+    }
+}
--- /dev/null
+++ b/crates/config/src/settings/remote_write.rs
@@ -0,0 +1,212 @@
+//! The section `push`: where metrics are pushed by Prometheus remote write.
+
+use super::table::{ANY_COUNT, POSITIVE, SHARE, attribute};
+use crate::schema::{Document, Element, Occurrence, Problem, ValueKind};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// The section in the table.
+pub(super) const ELEMENT: Element = Element {
+    name: "push",
+    often: Occurrence::Maybe,
+    about: "Where the controller's figures are pushed by Prometheus remote write; nowhere without a receiver.",
+    attributes: &[
+        attribute(
+            "receiver",
+            ValueKind::Address,
+            Some(""),
+            "Where the receiver listens, over HTTP without TLS.",
+        ),
+        attribute(
+            "path",
+            ValueKind::Text,
+            Some("/api/v1/write"),
+            "Path of its endpoint.",
+        ),
+        attribute(
+            "version",
+            ValueKind::Choice(&["1.0", "2.0"]),
+            Some("2.0"),
+            "Version tried first; the other one after status 415.",
+        ),
+        attribute(
+            "every",
+            ValueKind::Span,
+            Some("15s"),
+            "How often the figures are taken.",
+        ),
+        attribute(
+            "timeout",
+            ValueKind::Span,
+            Some("10s"),
+            "A request that has no answer by then has failed.",
+        ),
+        attribute("batch", ANY_COUNT, Some("2000"), "Samples of one request."),
+        attribute(
+            "retry-least",
+            ValueKind::Span,
+            Some("1s"),
+            "First wait after a failure; waits are scattered.",
+        ),
+        attribute(
+            "retry-most",
+            ValueKind::Span,
+            Some("1m"),
+            "Waits double up to this.",
+        ),
+        attribute(
+            "per-second",
+            POSITIVE,
+            Some("2"),
+            "Requests a second at most, a backlog's included.",
+        ),
+        attribute(
+            "backlog",
+            ValueKind::Text,
+            Some(""),
+            "Folder for what waits; required with a receiver, one for each controller.",
+        ),
+        attribute(
+            "backlog-bytes",
+            ANY_COUNT,
+            Some("67108864"),
+            "Bytes on disk; the oldest samples make room.",
+        ),
+        attribute(
+            "backlog-age",
+            ValueKind::Span,
+            Some("2h"),
+            "Older samples are dropped.",
+        ),
+        attribute(
+            "share",
+            SHARE,
+            Some("0.1"),
+            "Of a second's processor time, for pushing, while placing is calm.",
+        ),
+        attribute(
+            "pressed-share",
+            ValueKind::Number(0.001, 1.0),
+            Some("0.01"),
+            "And while it is pressed.",
+        ),
+        attribute(
+            "calm-below",
+            ValueKind::Span,
+            Some("5ms"),
+            "Placing is calm while the daemon's own loop is late by less than this.",
+        ),
+        attribute(
+            "pressed-from",
+            ValueKind::Span,
+            Some("50ms"),
+            "And pressed from this on.",
+        ),
+    ],
+    children: &[Element {
+        name: "label",
+        often: Occurrence::Any,
+        about: "A label of every series, beside `instance`, which is the controller's name.",
+        attributes: &[
+            attribute("name", ValueKind::Name, None, "Its name."),
+            attribute("value", ValueKind::Text, None, "Its value."),
+        ],
+        children: &[],
+    }],
+};
+
+/// Where and how metrics are pushed.
+#[derive(Clone, Debug)]
+pub struct RemoteWriteSettings {
+    /// Address of the receiver, over HTTP without TLS.
+    pub receiver: SocketAddr,
+    /// Path of the receiver's endpoint.
+    pub path: String,
+    /// Version 2.0 is tried first; otherwise 1.0.
+    pub prefers_v2: bool,
+    /// How often metrics are collected.
+    pub interval: Duration,
+    /// A request without an answer after this has failed.
+    pub timeout: Duration,
+    /// Samples of one request.
+    pub batch: usize,
+    /// First backoff after a failure.
+    pub retry_least: Duration,
+    /// Largest backoff.
+    pub retry_most: Duration,
+    /// Requests per second at most.
+    pub per_second: f64,
+    /// Folder of the write-ahead log.
+    pub wal_path: PathBuf,
+    /// Bytes of the write-ahead log on disk; the oldest samples make room.
+    pub wal_max_bytes: u64,
+    /// Older samples are dropped.
+    pub wal_max_age: Duration,
+    /// Share of a second's processor time for pushing while placement is calm.
+    pub cpu_share: f64,
+    /// The same share while placement is under pressure.
+    pub pressed_share: f64,
+    /// Placement is calm while the event loop lags by less than this.
+    pub calm_below: Duration,
+    /// Placement is under pressure from this lag on.
+    pub pressed_from: Duration,
+    /// Name and value of the labels of every series, beside `instance`.
+    pub labels: Vec<(String, String)>,
+}
+
+impl RemoteWriteSettings {
+    /// Reads the section `push` of a checked document; `None` where it names no receiver or no folder.
+    pub(super) fn read(section: &Document, problems: &mut Vec<Problem>) -> Option<Self> {
+        section.text("receiver")?;
+        let Some(wal_path) = section.text("backlog") else {
+            problems.push(section.problem("backlog is missing: a folder for what waits"));
+            return None;
+        };
+        if section.span("every").is_zero() || section.span("retry-least").is_zero() {
+            problems.push(section.problem("every and retry-least must be longer than nothing"));
+        }
+        Some(RemoteWriteSettings {
+            receiver: section.address("receiver"),
+            path: section.word("path").into(),
+            prefers_v2: section.word("version") == "2.0",
+            interval: section.span("every"),
+            timeout: section.span("timeout"),
+            batch: usize::try_from(section.count("batch")).unwrap_or(usize::MAX),
+            retry_least: section.span("retry-least"),
+            retry_most: section.span("retry-most"),
+            per_second: section.number("per-second"),
+            wal_path: PathBuf::from(wal_path),
+            wal_max_bytes: section.count("backlog-bytes"),
+            wal_max_age: section.span("backlog-age"),
+            cpu_share: section.number("share"),
+            pressed_share: section.number("pressed-share"),
+            calm_below: section.span("calm-below"),
+            pressed_from: section.span("pressed-from"),
+            labels: read_labels(section, problems),
+        })
+    }
+}
+
+fn read_labels(section: &Document, problems: &mut Vec<Problem>) -> Vec<(String, String)> {
+    let mut labels: Vec<(String, String)> = Vec::new();
+    for label in section.children("label") {
+        let name = label.word("name");
+        let is_taken = name == "instance" || labels.iter().any(|(taken, _)| taken == name);
+        if is_taken || !is_label_name(name) {
+            problems.push(label.problem(format!(
+                "name=\"{name}\" is no label of Prometheus, taken, or stands twice"
+            )));
+        }
+        labels.push((name.to_owned(), label.word("value").to_owned()));
+    }
+    labels
+}
+
+/// A label name of Prometheus' data model that is not reserved for internal use.
+fn is_label_name(name: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '_';
+    !name.starts_with(|c: char| c.is_ascii_digit())
+        && !name.starts_with("__")
+        && name.chars().all(is_allowed)
+}
--- /dev/null
+++ b/crates/config/src/settings/scheduler.rs
@@ -0,0 +1,161 @@
+//! The sections `rules`, `attempts` and `prices`, and the settings of the decision module, which take from all sections.
+
+use super::table::{POSITIVE, SHARE, WEIGHT, attribute};
+use super::{classes, nodes, tenants};
+use crate::schema::{Document, Element, Occurrence, Problem, ValueKind};
+use peppercove::Settings;
+
+/// The section `rules` in the table.
+pub(super) const RULES: Element = Element {
+    name: "rules",
+    often: Occurrence::Maybe,
+    about: "Figures of the five rules.",
+    attributes: &[
+        attribute(
+            "drain-grace",
+            ValueKind::Span,
+            Some("500ms"),
+            "From hearing of a drain to the last offer.",
+        ),
+        attribute(
+            "cold-from",
+            SHARE,
+            Some("0.2"),
+            "A node that just came up starts tasks at this share of its pace or more.",
+        ),
+        attribute(
+            "warm-within",
+            ValueKind::Span,
+            Some("15s"),
+            "And is warm after this.",
+        ),
+        attribute(
+            "fall-multiple",
+            POSITIVE,
+            Some("3"),
+            "Sent more than this multiple of what it can do, it falls over.",
+        ),
+        attribute("fall-window", ValueKind::Span, Some("2s"), "For this long."),
+        attribute(
+            "cold-bears",
+            WEIGHT,
+            Some("8"),
+            "Offers within fall-window, from all controllers, that it always bears.",
+        ),
+        attribute(
+            "settle",
+            ValueKind::Span,
+            Some("3s"),
+            "How long owners wait before they ask again for a task that may run.",
+        ),
+    ],
+    children: &[],
+};
+
+/// The section `attempts` in the table.
+pub(super) const ATTEMPTS: Element = Element {
+    name: "attempts",
+    often: Occurrence::Maybe,
+    about: "Attempts to place one task.",
+    attributes: &[
+        attribute(
+            "most",
+            ValueKind::Count(1, 1000),
+            Some("3"),
+            "At most so many for one ask.",
+        ),
+        attribute(
+            "may-withdraw",
+            ValueKind::Flag,
+            Some("true"),
+            "An attempt may be called off.",
+        ),
+    ],
+    children: &[],
+};
+
+/// The section `prices` in the table.
+pub(super) const PRICES: Element = Element {
+    name: "prices",
+    often: Occurrence::Maybe,
+    about: "Prices that the decision module weighs, as shares of the result.",
+    attributes: &[
+        attribute(
+            "fleet",
+            WEIGHT,
+            Some("0"),
+            "Of the nodes in use beyond the needed.",
+        ),
+        attribute("move", WEIGHT, Some("0"), "Of one move for each task."),
+        attribute(
+            "refusal",
+            WEIGHT,
+            Some("0"),
+            "Of one refused offer for each task.",
+        ),
+        attribute("probe", WEIGHT, Some("0"), "Of one probe for each task."),
+    ],
+    children: &[],
+};
+
+/// Period of the decision module's timer, in microseconds.
+const TICK: u64 = 1_000;
+/// A node list that was not heard of is polled again after these parts of the poll interval.
+const POLL_BACKOFF_PARTS: [u64; 2] = [16, 2];
+
+/// Settings of the decision module. `node_kinds` are the names of the kinds of node.
+pub(super) fn read(
+    document: &Document,
+    node_kinds: &[String],
+    problems: &mut Vec<Problem>,
+) -> Settings {
+    let controller = document.child("controller");
+    let node_list = document.child("node-list");
+    let rules = document.child("rules");
+    let attempts = document.child("attempts");
+    let nodes = document.child("nodes");
+    let classes = document.child("classes");
+    let tenants = document.child("tenants");
+    let prices = document.child("prices");
+    let deadline_margin = document.child("limits").micros("answer-reserve");
+    let poll_interval = node_list.micros("ask-every");
+    Settings {
+        schedulers: controller.count("of") as u32,
+        own_index: controller.count("number") as u32,
+        own_zone: controller.count("zone") as u8,
+        classes: classes::task_classes(classes, node_kinds, deadline_margin, problems),
+        node_kinds: nodes::node_kinds(nodes),
+        tenants: tenants::tenants(tenants),
+        over_quota_weight: tenants.number("over-share-worth"),
+        cores_overcommit: nodes.number("accepts-cores"),
+        memory_overcommit: nodes.number("accepts-memory"),
+        placement_ack: nodes::placement_ack(nodes),
+        allows_preemption: nodes.flag("preempts"),
+        load_basis: nodes::load_basis(nodes),
+        mean_cores: classes.number("mean-cores"),
+        mean_memory: classes.number("mean-memory"),
+        max_attempts: attempts.count("most") as u32,
+        can_cancel_attempts: attempts.flag("may-withdraw"),
+        // Never two attempts of a task in flight.
+        can_hedge: false,
+        can_probe: nodes.flag("probes"),
+        peer_messages: document.child("peers").text("listen").is_some(),
+        is_list_polled: node_list.word("mode") == "on-request",
+        poll_interval,
+        poll_backoff: POLL_BACKOFF_PARTS.map(|part| poll_interval / part),
+        // The daemon keeps its own margin ahead of the deadline, so there is no slack after it.
+        answer_slack: 0,
+        drain_grace: rules.micros("drain-grace"),
+        slow_start_min_share: rules.number("cold-from"),
+        slow_start_window: rules.micros("warm-within"),
+        overload_multiple: rules.number("fall-multiple"),
+        overload_window: rules.micros("fall-window"),
+        slow_start_budget: rules.number("cold-bears"),
+        tick: TICK,
+        fleet_price: prices.number("fleet"),
+        migration_price: prices.number("move"),
+        rejection_price: prices.number("refusal"),
+        probe_price: prices.number("probe"),
+        ambiguous_retry_delay: rules.micros("settle"),
+    }
+}
