--- a/crates/alerts/src/lib.rs
+++ b/crates/alerts/src/lib.rs
@@ -3,7 +3,7 @@
 //! The check parses every expression and holds each metric and label against the table of figures, so that a figure
 //! renamed or a label misspelt is an error here and not a silence at night.
 
-use peppercove_metrics::{FAMILIES, Family, Kind};
+use peppercove_metrics::{FAMILIES, Family, MetricKind};
 use promql_parser::parser::{self, Expr, LabelModifier, VectorSelector};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -308,7 +308,7 @@
 /// The family of a series name.
 fn family_of(name: &str) -> Option<(&'static Family, bool)> {
     FAMILIES.iter().find_map(|f| match f.kind {
-        Kind::Histogram => {
+        MetricKind::Histogram => {
             let part = name.strip_prefix(f.name)?;
             matches!(part, "_bucket" | "_sum" | "_count").then_some((f, part == "_bucket"))
         }
--- a/crates/background/tests/background.rs
+++ b/crates/background/tests/background.rs
@@ -1,37 +1,38 @@
-//! Budgets, starvation, giving way, retries: by hand and by property.
+//! Budgets, starvation, pausing and retries, by examples and by property.
 
 use peppercove_background::{
-    Action, BackgroundScheduler, Class, Cost, Ended, Event, Micros, Retry, Settings, WorkId,
+    Action, BackgroundScheduler, Cost, EndReason, Event, Micros, RetryPolicy, Settings, WorkClass,
+    WorkId,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 const SECOND: Micros = 1_000_000;
 
-fn class(priority: u32) -> Class {
-    Class {
+fn class(priority: u32) -> WorkClass {
+    WorkClass {
         priority,
         budget: Cost::default(),
-        queue: 100,
-        slots: 10,
-        retry: Retry {
-            least: SECOND,
-            most: 8 * SECOND,
-            tries: 3,
+        max_queued: 100,
+        max_running: 10,
+        retry: RetryPolicy {
+            min_backoff: SECOND,
+            max_backoff: 8 * SECOND,
+            max_attempts: 3,
         },
     }
 }
 
-fn settings(classes: Vec<Class>) -> Settings {
+fn settings(classes: Vec<WorkClass>) -> Settings {
     Settings {
         classes,
-        slots: 10,
+        max_running: 10,
         calm_share: 0.5,
         pressed_share: 0.02,
         calm_below: 1_000,
         pressed_from: 5_000,
-        ages_every: SECOND,
-        pressure_lasts: 2 * SECOND,
+        aging_interval: SECOND,
+        pressure_timeout: 2 * SECOND,
     }
 }
 
@@ -65,10 +66,10 @@
 }
 
 #[test]
-fn the_higher_class_goes_first_until_the_lower_has_aged() {
+fn higher_priority_starts_first_until_aging_outweighs_it() {
     let mut b = BackgroundScheduler::new(
         Settings {
-            slots: 1,
+            max_running: 1,
             ..settings(vec![class(0), class(3)])
         },
         1,
@@ -89,14 +90,14 @@
 }
 
 #[test]
-fn it_gives_way_at_once_and_catches_up_when_calm() {
+fn running_work_pauses_under_pressure_and_queued_work_starts_after_it() {
     let mut b = BackgroundScheduler::new(settings(vec![class(0)]), 1);
     assert_eq!(started(&b.handle(0, submit(0, 0, cpu(900_000.0)))), [0]);
     assert_eq!(
         b.handle(10, Event::PlacementLatency(9_000)),
-        [Action::GiveWay(WorkId(0))]
+        [Action::Pause(WorkId(0))]
     );
-    assert!((b.share() - 0.02).abs() < 1e-9);
+    assert!((b.cpu_share() - 0.02).abs() < 1e-9);
     b.handle(20, Event::Completed(WorkId(0), cpu(1_500_000.0)));
     assert!(
         started(&b.handle(30, submit(1, 0, cpu(1.0)))).is_empty(),
@@ -109,13 +110,13 @@
 }
 
 #[test]
-fn a_class_stays_within_its_budget_and_its_slots() {
-    let limited = Class {
+fn a_class_stays_within_its_budget_and_max_running() {
+    let limited = WorkClass {
         budget: Cost {
             requests: 10.0,
             ..Cost::default()
         },
-        slots: 2,
+        max_running: 2,
         ..class(0)
     };
     let mut b = BackgroundScheduler::new(settings(vec![limited, class(0)]), 1);
@@ -152,13 +153,13 @@
 }
 
 #[test]
-fn retries_wait_longer_each_time_and_end() {
+fn failed_work_backs_off_and_ends_after_max_attempts() {
     let mut b = BackgroundScheduler::new(settings(vec![class(0)]), 1);
     b.handle(0, submit(0, 0, cpu(1.0)));
     let failed = |retry_after| Event::Failed {
         work: WorkId(0),
         cost: cpu(1.0),
-        again: true,
+        is_retryable: true,
         retry_after,
     };
     assert!(b.handle(0, failed(None)).is_empty());
@@ -173,28 +174,25 @@
     assert_eq!(started(&b.handle(at + 30 * SECOND, Event::Tick)), [0]);
     assert_eq!(
         b.handle(at + 31 * SECOND, failed(None)),
-        [Action::End(WorkId(0), Ended::Failed)]
+        [Action::End(WorkId(0), EndReason::Failed)]
     );
     assert!(
         b.handle(at + 31 * SECOND, failed(None)).is_empty(),
         "a second word changes nothing"
     );
     assert_eq!(
-        (
-            b.status(0).failed,
-            b.status(0).ended[Ended::Failed as usize]
-        ),
+        (b.status(0).failed_attempts, b.status(0).ended.failed),
         (3, 1)
     );
 }
 
 #[test]
-fn what_comes_too_much_too_late_or_wrong_is_told() {
+fn rejected_expired_and_cancelled_work_is_reported() {
     let mut b = BackgroundScheduler::new(
         Settings {
-            slots: 1,
-            ..settings(vec![Class {
-                queue: 1,
+            max_running: 1,
+            ..settings(vec![WorkClass {
+                max_queued: 1,
                 ..class(0)
             }])
         },
@@ -210,25 +208,25 @@
     assert!(b.handle(0, late).is_empty());
     assert_eq!(
         b.handle(1, submit(2, 0, cpu(1.0))),
-        [Action::End(WorkId(2), Ended::TurnedAway)]
+        [Action::End(WorkId(2), EndReason::Rejected)]
     );
     assert_eq!(
         b.handle(1, submit(3, 7, cpu(1.0))),
-        [Action::End(WorkId(3), Ended::TurnedAway)]
+        [Action::End(WorkId(3), EndReason::Rejected)]
     );
     assert_eq!(b.next_wake().map(|at| at <= SECOND), Some(true));
     assert_eq!(
         b.handle(SECOND, Event::Tick),
-        [Action::End(WorkId(1), Ended::TooLate)]
+        [Action::End(WorkId(1), EndReason::DeadlineExceeded)]
     );
     assert_eq!(
         b.handle(SECOND, submit(4, 0, cpu(f64::NAN))),
-        [Action::End(WorkId(4), Ended::TurnedAway)]
+        [Action::End(WorkId(4), EndReason::Rejected)]
     );
     b.handle(SECOND, submit(5, 0, cpu(1.0)));
     assert_eq!(
         b.handle(SECOND, Event::Cancel(WorkId(5))),
-        [Action::End(WorkId(5), Ended::Cancelled)]
+        [Action::End(WorkId(5), EndReason::Cancelled)]
     );
     assert!(
         b.handle(SECOND, Event::Cancel(WorkId(0))).is_empty(),
@@ -253,9 +251,9 @@
 
     /// One processor runs the work; all of it ends, within what it may take, and the lowest class within its bound.
     #[test]
-    fn work_ends_within_budget_and_bound(load in load()) {
+    fn all_work_ends_within_the_budget_and_the_bound_on_waits(load in load()) {
         let classes = vec![class(0), class(2), class(5)];
-        let s = Settings { slots: 1, pressed_share: 0.1, ..settings(classes) };
+        let s = Settings { max_running: 1, pressed_share: 0.1, ..settings(classes) };
         let mut b = BackgroundScheduler::new(s.clone(), 3);
         let mut events: Vec<(Micros, Event)> = Vec::new();
         for (i, (at, class, cost)) in load.arrivals.iter().enumerate() {
@@ -292,14 +290,14 @@
                         // A second's burst, one piece overdrawn, and the calm share at the most.
                         prop_assert!(used <= 1e6 + 60_000.0 + 0.5 * now as f64 + 1.0, "{used} by {now}");
                     }
-                    Action::End(_, Ended::TurnedAway) => ended += 1,
+                    Action::End(_, EndReason::Rejected) => ended += 1,
                     _ => {}
                 }
             }
         }
         // Even at the floor all that was ever asked for is done within this, and then the lowest class as well.
         let total: f64 = costs.values().sum();
-        let bound = (total / s.pressed_share) as u64 + 5 * s.ages_every + SECOND;
+        let bound = (total / s.pressed_share) as u64 + 5 * s.aging_interval + SECOND;
         for (work, wait) in waits {
             prop_assert!(wait <= bound, "work {} waited {} us", work, wait);
         }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is read, and what is said of what is wrong.
+//! Settings files: what is read, and which problems are reported.
 
 use peppercove::{DedupScope, Idempotency, TopologySpread};
 use peppercove_config::{Config, SETTINGS, embedded_default, schema};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_embedded_default_is_read() {
+fn embedded_default_parses() {
     let config = Config::parse(embedded_default()).unwrap();
     assert_eq!(config.classes, ["fill", "render", "update"]);
     assert_eq!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn each_problem_is_named_with_its_place_and_what_was_expected() {
+fn each_problem_names_its_place_and_what_was_expected() {
     let text = embedded_default();
     let cases = [
         (
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn all_problems_are_told_at_once() {
+fn all_problems_are_reported_at_once() {
     let text = embedded_default()
         .replace("most=\"4\"", "most=\"0\"")
         .replace("cold-from=\"0.16\"", "cold-from=\"2\"");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_shipped_schema_is_the_one_of_the_table() {
+fn shipped_schema_matches_the_table() {
     let shipped = include_str!("../../../schema/peppercove.xsd");
     assert!(
         shipped == schema::xsd(&SETTINGS),
--- a/crates/metrics/tests/table.rs
+++ b/crates/metrics/tests/table.rs
@@ -1,12 +1,12 @@
-//! The table of figures against Prometheus' conventions and the operators' page.
+//! The table of metrics against Prometheus' conventions and the operators' page.
 
 use peppercove_metrics::{
-    ATTEMPTS, FAMILIES, Kind, LONGEST_VALUE, MOST_VALUES, Metrics, OTHER, PLACEMENT,
-    SUBMISSIONS_REJECTED, page,
+    ATTEMPTS, FAMILIES, MAX_LABEL_VALUE_BYTES, MAX_LABEL_VALUES, MetricKind, Metrics, OTHER,
+    PLACEMENT, SUBMISSIONS_REJECTED, page,
 };
 
 #[test]
-fn names_follow_the_conventions_and_stand_once() {
+fn family_names_follow_the_conventions_and_are_unique() {
     for (i, f) in FAMILIES.iter().enumerate() {
         let fits = |n: &str| {
             n.starts_with(|c: char| c.is_ascii_lowercase())
@@ -19,13 +19,16 @@
         );
         assert!(f.name.starts_with("peppercove_"), "{}", f.name);
         assert_eq!(
-            f.kind == Kind::Counter,
+            f.kind == MetricKind::Counter,
             f.name.ends_with("_total"),
             "{}",
             f.name
         );
         assert_ne!(
-            (f.kind == Kind::Histogram, f.name.ends_with("_seconds")),
+            (
+                f.kind == MetricKind::Histogram,
+                f.name.ends_with("_seconds")
+            ),
             (true, false),
             "{}",
             f.name
@@ -44,14 +47,14 @@
 }
 
 #[test]
-fn every_family_takes_a_value_and_no_other_does() {
+fn only_families_of_the_table_take_values() {
     let m = Metrics::new();
     for f in FAMILIES {
         let labels: Vec<&str> = f.labels.iter().map(|_| "x").collect();
         let taken = match f.kind {
-            Kind::Counter => m.add(f.name, &labels, 1.0),
-            Kind::Gauge => m.set(f.name, &labels, 1.0),
-            Kind::Histogram => m.observe(f.name, &labels, 1.0),
+            MetricKind::Counter => m.add(f.name, &labels, 1.0),
+            MetricKind::Gauge => m.set(f.name, &labels, 1.0),
+            MetricKind::Histogram => m.observe(f.name, &labels, 1.0),
         };
         assert_eq!(taken, Ok(()), "{}", f.name);
     }
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn histograms_count_upwards_and_counters_never_fall() {
+fn histogram_buckets_are_cumulative_and_counters_never_decrease() {
     let m = Metrics::new();
     for value in [0.0005, 0.3, 0.3, 100.0] {
         m.observe(PLACEMENT, &["fill", "placed"], value).unwrap();
@@ -110,9 +113,9 @@
 }
 
 #[test]
-fn values_of_labels_are_bounded() {
+fn label_values_are_bounded_in_number_and_length() {
     let m = Metrics::new();
-    for i in 0..MOST_VALUES + 50 {
+    for i in 0..MAX_LABEL_VALUES + 50 {
         m.add(SUBMISSIONS_REJECTED, &[&format!("reason-{i}")], 1.0)
             .unwrap();
     }
@@ -122,18 +125,22 @@
         .into_iter()
         .filter(|p| p.name == SUBMISSIONS_REJECTED)
         .collect();
-    assert_eq!(series.len(), MOST_VALUES + 1);
+    assert_eq!(series.len(), MAX_LABEL_VALUES + 1);
     let of = |v: &str| series.iter().find(|p| p.labels[0].1 == v).unwrap().value;
     assert_eq!((of(OTHER), of("reason-0")), (50.0, 2.0));
     let m = Metrics::new();
-    m.add(SUBMISSIONS_REJECTED, &[&"é".repeat(LONGEST_VALUE)], 1.0)
-        .unwrap();
+    m.add(
+        SUBMISSIONS_REJECTED,
+        &[&"é".repeat(MAX_LABEL_VALUE_BYTES)],
+        1.0,
+    )
+    .unwrap();
     let cut = m.gather()[0].labels[0].1.clone();
-    assert!(cut.len() <= LONGEST_VALUE && cut.chars().all(|c| c == 'é'));
+    assert!(cut.len() <= MAX_LABEL_VALUE_BYTES && cut.chars().all(|c| c == 'é'));
 }
 
 #[test]
-fn the_operators_page_is_the_one_of_the_table() {
+fn the_shipped_metrics_page_matches_the_table() {
     let shipped = include_str!("../../../docs/operators/metrics.md");
     assert!(
         shipped == page(),
--- a/crates/push/src/client.rs
+++ b/crates/push/src/client.rs
@@ -1,56 +1,58 @@
-//! What is sent, tried again, split and dropped: decisions only.
+//! Decides what is sent to a receiver, retried, split and dropped. No sockets, no clock.
 //!
-//! One batch is out at a time, so that samples arrive in order. A receiver that answers 5xx or 429, or not at all, is
-//! tried again after scattered, growing waits, its `Retry-After` kept; the batch stays the same. Any other 4xx will not
-//! get better: a batch that is refused is halved until the records that the receiver will not take are found, and only
-//! those are dropped. 415 says that the receiver does not speak this version: the other one is tried, once.
+//! One batch is in flight at a time, so that samples arrive in order. After a status 5xx or 429, or no answer at all,
+//! the same batch is retried with exponential backoff and jitter, and not before `Retry-After`. Any other status 4xx is
+//! final for some sample: the rejected batch is halved until the samples at fault are found, and only those are dropped.
+//! After 415, the receiver does not speak this version, the other version is tried once.
 
 use crate::encode::Version;
 
-/// A time or a span in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// What bounds the sender, from the settings.
+const SECOND: f64 = 1e6;
+
+/// Settings of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientSettings {
     /// Version that is tried first.
     pub version: Version,
     /// Records of one batch at most.
     pub batch: usize,
-    /// First wait after a failure.
+    /// Backoff after the first failure; it doubles with each further one.
     pub min_backoff: Micros,
-    /// Waits double up to this.
+    /// Bound of the backoff, and of a `Retry-After`.
     pub max_backoff: Micros,
-    /// Batches that may be sent within a second: a backlog of many instances must not all come at once.
+    /// Batches per second at most, so that the backlogs of many instances do not arrive all at once; 0 is no limit.
     pub per_second: f64,
 }
 
-/// What came of a batch.
+/// Result of sending a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// An answer with this status, and how long it asks to stay away.
+    /// An HTTP status, with the `Retry-After` of the answer.
     Status(u16, Option<Micros>),
-    /// No answer: connection, time-out.
+    /// No answer: the connection failed or timed out.
     NoAnswer,
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send the first so many records of the backlog.
+    /// Send so many records from the front of the log, in this version.
     Send(usize, Version),
-    /// Ask again then.
+    /// Ask again at this time.
     Wait(Micros),
-    /// Nothing waits.
+    /// No record waits.
     Idle,
 }
 
-/// What is to become of the records at the front of the backlog.
+/// What becomes of the records at the front of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchDisposition {
-    /// The first so many are done with.
+    /// The receiver has accepted so many: acknowledge them.
     Done(usize),
-    /// The first one is refused for good: drop it and count it.
+    /// The receiver will never accept the first one: drop and count it.
     Drop,
     /// They stay.
     Keep,
@@ -62,32 +64,34 @@
     settings: ClientSettings,
     rng: fastrand::Rng,
     version: Version,
-    /// The other version was tried for the batch at the front.
-    switched: bool,
-    out: Option<usize>,
-    /// Records that are still suspected after a refusal; 0 is none.
-    suspected: usize,
-    /// Batches halve while a refusal is looked into.
-    size: usize,
-    wait: Micros,
+    /// The version was switched for the batch at the front.
+    has_switched: bool,
+    /// Records of the batch in flight.
+    in_flight: Option<usize>,
+    /// Records at the front that a rejected batch held and that were not accepted since; 0 is none.
+    suspects: usize,
+    /// Records of the next batch at most; smaller than the setting while the records at fault are looked for.
+    batch_size: usize,
+    /// Backoff after the last failure; 0 after a success.
+    backoff: Micros,
+    /// No batch is sent before this time.
     not_before: Micros,
 }
 
 impl RemoteWriteClient {
-    /// A sender that has sent nothing. Its first batch leaves at a random moment of the first wait.
+    /// A client that has sent nothing. Its first batch is sent at a random time within the first backoff.
     pub fn new(settings: ClientSettings, now: Micros, seed: u64) -> RemoteWriteClient {
         let mut rng = fastrand::Rng::with_seed(seed);
         let not_before = now.saturating_add(rng.u64(0..=settings.min_backoff));
-        let (version, size) = (settings.version, settings.batch.max(1));
         RemoteWriteClient {
             settings,
             rng,
-            version,
-            switched: false,
-            out: None,
-            suspected: 0,
-            size,
-            wait: 0,
+            version: settings.version,
+            has_switched: false,
+            in_flight: None,
+            suspects: 0,
+            batch_size: settings.batch.max(1),
+            backoff: 0,
             not_before,
         }
     }
@@ -97,90 +101,101 @@
         self.version
     }
 
-    /// What to do, with so many records waiting. After [`Step::Send`] the outcome must be told before it is asked again.
+    /// What to do while `waiting` records are in the log. After [`NextStep::Send`],
+    /// [`RemoteWriteClient::on_outcome`] must be called before another batch is sent.
     pub fn next(&mut self, now: Micros, waiting: usize) -> NextStep {
-        if waiting == 0 && self.out.is_none() {
+        if waiting == 0 && self.in_flight.is_none() {
             return NextStep::Idle;
         }
-        if self.out.is_some() || now < self.not_before {
+        if self.in_flight.is_some() || now < self.not_before {
             return NextStep::Wait(self.not_before.max(now + 1));
         }
-        let count = waiting.min(self.size);
-        self.out = Some(count);
+        let count = waiting.min(self.batch_size);
+        self.in_flight = Some(count);
         NextStep::Send(count, self.version)
     }
 
-    /// What came of the batch that is out.
+    /// Takes in the outcome of the batch in flight; without one it changes nothing.
     pub fn on_outcome(&mut self, now: Micros, outcome: RequestOutcome) -> BatchDisposition {
-        let Some(count) = self.out.take() else {
+        let Some(count) = self.in_flight.take() else {
             return BatchDisposition::Keep;
         };
         match outcome {
-            RequestOutcome::Status(200..=299, _) => {
-                (self.wait, self.switched) = (0, false);
-                let pace = if self.settings.per_second > 0.0 {
-                    1e6 / self.settings.per_second
-                } else {
-                    0.0
-                };
-                self.not_before = now.saturating_add(pace as Micros);
-                self.suspected = self.suspected.saturating_sub(count);
-                if self.suspected == 0 {
-                    self.size = self.settings.batch.max(1);
-                } else {
-                    self.size = self.suspected.min(self.size.max(1));
-                }
-                BatchDisposition::Done(count)
-            }
-            RequestOutcome::Status(415, _) if !self.switched => {
-                self.switched = true;
-                self.version = if self.version == Version::V1 {
-                    Version::V2
-                } else {
-                    Version::V1
-                };
-                self.not_before = now;
-                BatchDisposition::Keep
-            }
-            RequestOutcome::Status(status, after)
-                if status == 429 || !(400..500).contains(&status) =>
-            {
-                self.back_off(now, after);
-                BatchDisposition::Keep
-            }
-            RequestOutcome::NoAnswer => {
-                self.back_off(now, None);
-                BatchDisposition::Keep
-            }
-            RequestOutcome::Status(..) => {
-                self.not_before = now;
-                if count == 1 {
-                    self.suspected = self.suspected.saturating_sub(1);
-                    self.size = if self.suspected == 0 {
-                        self.settings.batch.max(1)
-                    } else {
-                        self.suspected
-                    };
-                    return BatchDisposition::Drop;
-                }
-                // One of these is at fault: looked for by halves, the others get through.
-                self.suspected = self.suspected.max(count);
-                self.size = count.div_ceil(2);
-                BatchDisposition::Keep
+            RequestOutcome::Status(200..=299, _) => self.on_accepted(now, count),
+            RequestOutcome::Status(415, _) if !self.has_switched => self.switch_version(now),
+            RequestOutcome::Status(status, retry_after) if is_transient(status) => {
+                self.back_off(now, retry_after)
             }
+            RequestOutcome::Status(..) => self.on_rejected(now, count),
+            RequestOutcome::NoAnswer => self.back_off(now, None),
+        }
+    }
+
+    fn on_accepted(&mut self, now: Micros, count: usize) -> BatchDisposition {
+        self.backoff = 0;
+        self.has_switched = false;
+        self.not_before = now.saturating_add(self.send_interval());
+        self.suspects = self.suspects.saturating_sub(count);
+        self.batch_size = if self.suspects == 0 {
+            self.full_batch()
+        } else {
+            self.suspects.min(self.batch_size.max(1))
+        };
+        BatchDisposition::Done(count)
+    }
+
+    fn switch_version(&mut self, now: Micros) -> BatchDisposition {
+        self.has_switched = true;
+        self.version = self.version.other();
+        self.not_before = now;
+        BatchDisposition::Keep
+    }
+
+    /// Some record of the batch is at fault. It is looked for by halves, so that the others get through.
+    fn on_rejected(&mut self, now: Micros, count: usize) -> BatchDisposition {
+        self.not_before = now;
+        if count > 1 {
+            self.suspects = self.suspects.max(count);
+            self.batch_size = count.div_ceil(2);
+            return BatchDisposition::Keep;
         }
+        self.suspects = self.suspects.saturating_sub(1);
+        self.batch_size = if self.suspects == 0 {
+            self.full_batch()
+        } else {
+            self.suspects
+        };
+        BatchDisposition::Drop
+    }
+
+    fn back_off(&mut self, now: Micros, retry_after: Option<Micros>) -> BatchDisposition {
+        let max_backoff = self.settings.max_backoff.max(self.settings.min_backoff);
+        self.backoff = self
+            .backoff
+            .saturating_mul(2)
+            .clamp(self.settings.min_backoff, max_backoff);
+        let with_jitter = self.backoff / 2 + self.rng.u64(0..=self.backoff / 2);
+        // A receiver may not ask for more than the largest backoff: the client might never come back.
+        let retry_after = retry_after.unwrap_or(0).min(max_backoff);
+        self.not_before = now.saturating_add(with_jitter.max(retry_after));
+        BatchDisposition::Keep
     }
 
-    fn back_off(&mut self, now: Micros, after: Option<Micros>) {
-        self.wait = self.wait.saturating_mul(2).clamp(
-            self.settings.min_backoff,
-            self.settings.max_backoff.max(self.settings.min_backoff),
-        );
-        let wait = self.wait / 2 + self.rng.u64(0..=self.wait / 2);
-        // A receiver may not ask for longer than the longest wait: it might never come back to us.
-        let after = after
-            .unwrap_or(0)
-            .min(self.settings.max_backoff.max(self.settings.min_backoff));
-        self.not_before = now.saturating_add(wait.max(after));
+    fn full_batch(&self) -> usize {
+        self.settings.batch.max(1)
     }
+
+    /// Shortest time between two batches.
+    fn send_interval(&self) -> Micros {
+        if self.settings.per_second > 0.0 {
+            (SECOND / self.settings.per_second) as Micros
+        } else {
+            0
+        }
+    }
+}
+
+/// A retry of the same batch may succeed (remote write 1.0, "retries and backoff").
+fn is_transient(status: u16) -> bool {
+    status == 429 || !(400..500).contains(&status)
 }
--- a/crates/push/src/encode.rs
+++ b/crates/push/src/encode.rs
@@ -1,10 +1,12 @@
-//! Batches as bytes: protobuf in a snappy block, with the headers that go along.
+//! Encodes batches as protobuf in a snappy block, and names the HTTP headers that go along.
+
+pub use crate::messages::{v1, v2};
 
 use crate::{Sample, SeriesKind};
 use prost::Message;
 use std::collections::BTreeMap;
 
-/// Which message is sent.
+/// Version of the message that is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     /// `prometheus.WriteRequest`.
@@ -22,6 +24,14 @@
         }
     }
 
+    /// The other version.
+    pub(crate) fn other(self) -> Version {
+        match self {
+            Version::V1 => Version::V2,
+            Version::V2 => Version::V1,
+        }
+    }
+
     /// `X-Prometheus-Remote-Write-Version`.
     pub fn header(self) -> &'static str {
         match self {
@@ -31,185 +41,118 @@
     }
 }
 
-/// `Content-Encoding` of both.
+/// `Content-Encoding` of both versions.
 pub const ENCODING: &str = "snappy";
 
-/// The messages of remote write 1.0.
-pub mod v1 {
-    /// A batch.
-    #[derive(Clone, PartialEq, prost::Message)]
-    pub struct WriteRequest {
-        /// Its series.
-        #[prost(message, repeated, tag = "1")]
-        pub timeseries: Vec<TimeSeries>,
-    }
-    /// One series.
-    #[derive(Clone, PartialEq, prost::Message)]
-    pub struct TimeSeries {
-        /// Sorted by name.
-        #[prost(message, repeated, tag = "1")]
-        pub labels: Vec<Label>,
-        /// In order of time.
-        #[prost(message, repeated, tag = "2")]
-        pub samples: Vec<Sample>,
-    }
-    /// One label.
-    #[derive(Clone, PartialEq, prost::Message)]
-    pub struct Label {
-        /// Its name.
-        #[prost(string, tag = "1")]
-        pub name: String,
-        /// Its value.
-        #[prost(string, tag = "2")]
-        pub value: String,
-    }
-    /// One sample.
-    #[derive(Clone, PartialEq, prost::Message)]
-    pub struct Sample {
-        /// The value.
-        #[prost(double, tag = "1")]
-        pub value: f64,
-        /// Milliseconds since 1970.
-        #[prost(int64, tag = "2")]
-        pub timestamp: i64,
-    }
-}
-
-/// The messages of remote write 2.0.
-pub mod v2 {
-    /// A batch.
-    #[derive(Clone, PartialEq, prost::Message)]
-    pub struct Request {
-        /// Every text once; the first is empty.
-        #[prost(string, repeated, tag = "4")]
-        pub symbols: Vec<String>,
-        /// Its series.
-        #[prost(message, repeated, tag = "5")]
-        pub timeseries: Vec<TimeSeries>,
-    }
-    /// One series.
-    #[derive(Clone, PartialEq, prost::Message)]
-    pub struct TimeSeries {
-        /// Pairs of name and value, as places in the symbols.
-        #[prost(uint32, repeated, tag = "1")]
-        pub labels_refs: Vec<u32>,
-        /// In order of time.
-        #[prost(message, repeated, tag = "2")]
-        pub samples: Vec<super::v1::Sample>,
-        /// What the series is.
-        #[prost(message, optional, tag = "5")]
-        pub metadata: Option<Metadata>,
-        /// When it began, in milliseconds since 1970; 0 where that is not known.
-        #[prost(int64, tag = "6")]
-        pub created_timestamp: i64,
-    }
-    /// What a series is.
-    #[derive(Clone, PartialEq, prost::Message)]
-    pub struct Metadata {
-        /// 1 counter, 2 gauge, 3 histogram.
-        #[prost(int32, tag = "1")]
-        pub r#type: i32,
-        /// Place of its help in the symbols.
-        #[prost(uint32, tag = "3")]
-        pub help_ref: u32,
-        /// Place of its unit in the symbols.
-        #[prost(uint32, tag = "4")]
-        pub unit_ref: u32,
-    }
+/// Encodes a batch, compressed.
+pub fn encode(version: Version, samples: &[Sample]) -> Vec<u8> {
+    let bytes = match version {
+        Version::V1 => write_request_v1(samples).encode_to_vec(),
+        Version::V2 => request_v2(samples).encode_to_vec(),
+    };
+    // A block of this encoder fails only beyond 4 GiB, which no batch reaches.
+    snap::raw::Encoder::new()
+        .compress_vec(&bytes)
+        .unwrap_or_default()
 }
 
-/// Samples of one series belong together, in order of time, each time once: what receivers refuse otherwise.
-fn by_series(samples: &[Sample]) -> BTreeMap<&[(String, String)], Vec<&Sample>> {
+/// The samples by their labels, in order of time, each time once: receivers reject anything else.
+fn group_by_series(samples: &[Sample]) -> BTreeMap<&[(String, String)], Vec<&Sample>> {
     let mut series: BTreeMap<&[(String, String)], Vec<&Sample>> = BTreeMap::new();
     for sample in samples {
         series.entry(&sample.labels).or_default().push(sample);
     }
     for samples in series.values_mut() {
-        samples.sort_by_key(|s| s.timestamp_ms);
-        samples.dedup_by_key(|s| s.timestamp_ms);
+        samples.sort_by_key(|sample| sample.timestamp_ms);
+        samples.dedup_by_key(|sample| sample.timestamp_ms);
     }
     series
 }
 
-/// A batch as it is sent, compressed.
-pub fn encode(version: Version, samples: &[Sample]) -> Vec<u8> {
-    let bytes = match version {
-        Version::V1 => first(samples).encode_to_vec(),
-        Version::V2 => second(samples).encode_to_vec(),
+fn wire_samples(samples: &[&Sample]) -> Vec<v1::Sample> {
+    let wire_sample = |sample: &&Sample| v1::Sample {
+        value: sample.value,
+        timestamp: sample.timestamp_ms,
     };
-    // A block of this encoder fails only beyond 4 GiB, which no batch reaches.
-    snap::raw::Encoder::new()
-        .compress_vec(&bytes)
-        .unwrap_or_default()
+    samples.iter().map(wire_sample).collect()
 }
 
-fn first(samples: &[Sample]) -> v1::WriteRequest {
+fn write_request_v1(samples: &[Sample]) -> v1::WriteRequest {
     let label = |(name, value): &(String, String)| v1::Label {
         name: name.clone(),
         value: value.clone(),
     };
-    let series = by_series(samples)
+    let series = group_by_series(samples)
         .into_iter()
         .map(|(labels, samples)| v1::TimeSeries {
             labels: labels.iter().map(label).collect(),
-            samples: samples
-                .iter()
-                .map(|s| v1::Sample {
-                    value: s.value,
-                    timestamp: s.timestamp_ms,
-                })
-                .collect(),
+            samples: wire_samples(&samples),
         });
     v1::WriteRequest {
         timeseries: series.collect(),
     }
 }
 
-fn second(samples: &[Sample]) -> v2::Request {
-    let mut symbols = vec![String::new()];
-    let mut places: BTreeMap<String, u32> = BTreeMap::from([(String::new(), 0)]);
-    let mut place = |text: &str| match places.get(text) {
-        Some(place) => *place,
-        None => {
-            let place = symbols.len() as u32;
-            places.insert(text.to_owned(), place);
-            symbols.push(text.to_owned());
-            place
-        }
-    };
+fn request_v2(samples: &[Sample]) -> v2::Request {
+    let mut symbols = SymbolTable::default();
     let mut timeseries = Vec::new();
-    for (labels, samples) in by_series(samples) {
+    for (labels, samples) in group_by_series(samples) {
         let labels_refs = labels
             .iter()
-            .flat_map(|(n, v)| [place(n), place(v)])
+            .flat_map(|(name, value)| [symbols.index_of(name), symbols.index_of(value)])
             .collect();
-        let kind = samples.first().map(|s| s.kind);
-        let r#type = match kind {
-            Some(SeriesKind::Counter) => 1,
-            Some(SeriesKind::Gauge) => 2,
-            // The parts of a classic histogram are counters of their own to a receiver.
-            Some(SeriesKind::Histogram) => 3,
-            None => 0,
-        };
+        let first = samples.first();
         timeseries.push(v2::TimeSeries {
             labels_refs,
-            samples: samples
-                .iter()
-                .map(|s| v1::Sample {
-                    value: s.value,
-                    timestamp: s.timestamp_ms,
-                })
-                .collect(),
+            samples: wire_samples(&samples),
             metadata: Some(v2::Metadata {
-                r#type,
+                r#type: first.map_or(0, |sample| metric_type_v2(sample.kind)),
                 help_ref: 0,
                 unit_ref: 0,
             }),
-            created_timestamp: samples.first().map_or(0, |s| s.created),
+            created_timestamp: first.map_or(0, |sample| sample.created),
         });
     }
     v2::Request {
-        symbols,
+        symbols: symbols.symbols,
         timeseries,
     }
 }
+
+/// `Metadata.MetricType` of remote write 2.0.
+fn metric_type_v2(kind: SeriesKind) -> i32 {
+    match kind {
+        SeriesKind::Counter => 1,
+        SeriesKind::Gauge => 2,
+        // To a receiver the parts of a classic histogram are counters of their own.
+        SeriesKind::Histogram => 3,
+    }
+}
+
+/// Every string of a request once. The first one is empty, as the specification has it.
+struct SymbolTable {
+    symbols: Vec<String>,
+    indices: BTreeMap<String, u32>,
+}
+
+impl Default for SymbolTable {
+    fn default() -> SymbolTable {
+        SymbolTable {
+            symbols: vec![String::new()],
+            indices: BTreeMap::from([(String::new(), 0)]),
+        }
+    }
+}
+
+impl SymbolTable {
+    /// Index of a string, which is added where it is new.
+    fn index_of(&mut self, text: &str) -> u32 {
+        if let Some(index) = self.indices.get(text) {
+            return *index;
+        }
+        let index = self.symbols.len() as u32;
+        self.indices.insert(text.to_owned(), index);
+        self.symbols.push(text.to_owned());
+        index
+    }
+}
--- /dev/null
+++ b/crates/push/tests/client.rs
@@ -0,0 +1,111 @@
+//! The client under every answer of a receiver.
+
+use peppercove_push::client::{
+    BatchDisposition, ClientSettings, NextStep, RemoteWriteClient, RequestOutcome,
+};
+use peppercove_push::encode::Version;
+use proptest::prelude::*;
+
+fn client() -> RemoteWriteClient {
+    let settings = ClientSettings {
+        version: Version::V2,
+        batch: 8,
+        min_backoff: 1_000,
+        max_backoff: 16_000,
+        per_second: 0.0,
+    };
+    RemoteWriteClient::new(settings, 0, 1)
+}
+
+#[test]
+fn transient_failures_back_off_and_keep_the_batch() {
+    let mut s = client();
+    assert!(
+        matches!(s.next(0, 20), NextStep::Wait(_)),
+        "the first batch is scattered"
+    );
+    let mut now = 2_000;
+    let mut waits = Vec::new();
+    for outcome in [
+        RequestOutcome::NoAnswer,
+        RequestOutcome::Status(503, None),
+        RequestOutcome::Status(500, None),
+        RequestOutcome::Status(429, None),
+    ] {
+        assert_eq!(s.next(now, 20), NextStep::Send(8, Version::V2));
+        assert_eq!(s.on_outcome(now, outcome), BatchDisposition::Keep);
+        let NextStep::Wait(at) = s.next(now, 20) else {
+            panic!("it waits")
+        };
+        waits.push(at - now);
+        now = at;
+    }
+    for (i, wait) in waits.iter().enumerate() {
+        assert!((500 << i..=1_000 << i).contains(wait), "{waits:?}");
+    }
+    s.next(now, 20);
+    assert_eq!(
+        s.on_outcome(now, RequestOutcome::Status(429, Some(12_000))),
+        BatchDisposition::Keep
+    );
+    assert!(
+        matches!(s.next(now, 20), NextStep::Wait(at) if at >= now + 12_000),
+        "Retry-After is kept"
+    );
+    s.next(now + 20_000, 20);
+    assert_eq!(
+        s.on_outcome(now + 20_000, RequestOutcome::Status(204, None)),
+        BatchDisposition::Done(8)
+    );
+    assert_eq!(s.next(now + 20_000, 0), NextStep::Idle);
+}
+
+#[test]
+fn status_415_switches_to_the_other_version() {
+    let mut s = client();
+    assert_eq!(s.next(2_000, 3), NextStep::Send(3, Version::V2));
+    assert_eq!(
+        s.on_outcome(2_000, RequestOutcome::Status(415, None)),
+        BatchDisposition::Keep
+    );
+    assert_eq!(s.next(2_000, 3), NextStep::Send(3, Version::V1));
+    assert_eq!(
+        s.on_outcome(2_000, RequestOutcome::Status(200, None)),
+        BatchDisposition::Done(3)
+    );
+    assert_eq!(s.version(), Version::V1);
+}
+
+proptest! {
+    /// A receiver refuses some records for good: all others get through, in order, and each is sent a bounded number
+    /// of times.
+    #[test]
+    fn only_rejected_records_are_dropped(bad in prop::collection::btree_set(0..40usize, 0..6), flaky in any::<u64>()) {
+        let (mut s, mut rng) = (client(), fastrand::Rng::with_seed(flaky));
+        let mut left: std::collections::VecDeque<usize> = (0..40).collect();
+        let (mut taken, mut dropped, mut now, mut sends) = (Vec::new(), Vec::new(), 2_000, 0);
+        loop {
+            match s.next(now, left.len()) {
+                NextStep::Idle => break,
+                NextStep::Wait(at) => now = at,
+                NextStep::Send(count, _) => {
+                    sends += 1;
+                    let refused = left.iter().take(count).any(|r| bad.contains(r));
+                    let outcome = match rng.u8(0..4) {
+                        0 => RequestOutcome::NoAnswer,
+                        _ if refused => RequestOutcome::Status(400, None),
+                        _ => RequestOutcome::Status(200, None),
+                    };
+                    match s.on_outcome(now, outcome) {
+                        BatchDisposition::Done(n) => taken.extend(left.drain(..n)),
+                        BatchDisposition::Drop => dropped.extend(left.pop_front()),
+                        BatchDisposition::Keep => {}
+                    }
+                }
+            }
+            prop_assert!(sends < 600);
+        }
+        prop_assert_eq!(&dropped, &bad.iter().copied().collect::<Vec<_>>());
+        prop_assert!(taken.is_sorted() && taken.len() + dropped.len() == 40);
+    }
+}
--- /dev/null
+++ b/crates/push/tests/samples.rs
@@ -0,0 +1,40 @@
+//! Samples made of gathered metrics.
+
+use peppercove_push::{STALE, Sample, SeriesKind, stale, to_samples};
+
+#[test]
+fn samples_carry_external_labels_and_a_stale_marker_ends_a_series() {
+    let metrics = peppercove_metrics::Metrics::new();
+    metrics
+        .set(peppercove_metrics::OPEN_REQUESTS, &[], 3.0)
+        .unwrap();
+    metrics
+        .add(peppercove_metrics::SUBMISSIONS_REJECTED, &["full"], 2.0)
+        .unwrap();
+    let external = [
+        ("instance".to_owned(), "c1".to_owned()),
+        ("reason".to_owned(), "overruled".to_owned()),
+    ];
+    let all = to_samples(&metrics.gather(), &external, 1_000, 500);
+    let label = |s: &Sample, n: &str| {
+        s.labels
+            .iter()
+            .find(|(l, _)| l == n)
+            .map(|(_, v)| v.clone())
+    };
+    assert!(
+        all.iter()
+            .all(|s| label(s, "instance").as_deref() == Some("c1") && s.labels.is_sorted())
+    );
+    let counter = all.iter().find(|s| s.kind == SeriesKind::Counter).unwrap();
+    assert_eq!(
+        (label(counter, "reason").as_deref(), counter.created),
+        (Some("full"), 500),
+        "its own label stands"
+    );
+    let end = stale(counter, 2_000);
+    assert_eq!(
+        (end.value.to_bits(), end.timestamp_ms, &end.labels),
+        (STALE, 2_000, &counter.labels)
+    );
+}
