--- /dev/null
+++ b/crates/alerts/src/check.rs
@@ -0,0 +1,167 @@
+//! Checks rule files against PromQL and the table of metrics.
+
+use crate::rule_file::RuleFile;
+use peppercove_metrics::{FAMILIES, Family, MetricKind};
+use promql_parser::parser::{self, Expr, LabelModifier, VectorSelector};
+use std::fmt;
+
+/// Labels that every series has beside those of its family.
+const COMMON_LABELS: &[&str] = &["__name__", "instance", "job"];
+/// The label of the buckets of a histogram.
+const BUCKET_LABEL: &str = "le";
+
+/// What is wrong with a rule file.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Problem {
+    /// Name of the rule; empty where the file itself is wrong.
+    pub rule: String,
+    /// What is wrong.
+    pub what: String,
+}
+
+impl fmt::Display for Problem {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        if self.rule.is_empty() {
+            f.write_str(&self.what)
+        } else {
+            write!(f, "{}: {}", self.rule, self.what)
+        }
+    }
+}
+
+impl std::error::Error for Problem {}
+
+/// Checks a rule file and returns the number of its rules.
+///
+/// # Errors
+/// Every problem found: what is no rule file, no PromQL, no metric of the program, or no label of it.
+pub fn check(text: &str) -> Result<usize, Vec<Problem>> {
+    let file: RuleFile = serde_yaml_ng::from_str(text).map_err(|error| {
+        vec![Problem {
+            rule: String::new(),
+            what: format!("not a rule file: {error}"),
+        }]
+    })?;
+    let mut problems = Vec::new();
+    for rule in file.rules() {
+        let mut checker = RuleChecker {
+            rule: rule.name(),
+            problems: &mut problems,
+        };
+        checker.check(&rule.expr);
+    }
+    if problems.is_empty() {
+        Ok(file.rules().count())
+    } else {
+        Err(problems)
+    }
+}
+
+/// Collects the problems of one rule.
+struct RuleChecker<'a> {
+    rule: &'a str,
+    problems: &'a mut Vec<Problem>,
+}
+
+impl RuleChecker<'_> {
+    fn report(&mut self, what: impl Into<String>) {
+        self.problems.push(Problem {
+            rule: self.rule.to_owned(),
+            what: what.into(),
+        });
+    }
+
+    fn check(&mut self, expression: &str) {
+        if self.rule.is_empty() {
+            self.report("a rule has neither alert nor record");
+        }
+        match parser::parse(expression) {
+            Ok(expression) => self.check_expression(&expression, &[]),
+            Err(error) => self.report(format!("not PromQL: {error}")),
+        }
+    }
+
+    /// Checks an expression whose series must have the `required` labels.
+    fn check_expression(&mut self, expression: &Expr, required: &[String]) {
+        match expression {
+            Expr::Aggregate(aggregate) => {
+                // Labels that are kept must exist; those that are dropped may be any.
+                let required = match &aggregate.modifier {
+                    Some(LabelModifier::Include(labels)) => &labels.labels,
+                    Some(LabelModifier::Exclude(_)) | None => required,
+                };
+                self.check_expression(&aggregate.expr, required);
+                if let Some(parameter) = &aggregate.param {
+                    self.check_expression(parameter, &[]);
+                }
+            }
+            Expr::Unary(unary) => self.check_expression(&unary.expr, required),
+            Expr::Binary(binary) => {
+                self.check_expression(&binary.lhs, required);
+                self.check_expression(&binary.rhs, required);
+            }
+            Expr::Paren(paren) => self.check_expression(&paren.expr, required),
+            Expr::Subquery(subquery) => self.check_expression(&subquery.expr, required),
+            Expr::VectorSelector(selector) => self.check_selector(selector, required),
+            Expr::MatrixSelector(matrix) => self.check_selector(&matrix.vs, required),
+            Expr::Call(call) => {
+                let mut required = required.to_vec();
+                let is_quantile = call.func.name == "histogram_quantile";
+                if is_quantile && !required.iter().any(|label| label == BUCKET_LABEL) {
+                    required.push(BUCKET_LABEL.into());
+                }
+                for argument in &call.args.args {
+                    self.check_expression(argument, &required);
+                }
+            }
+            Expr::NumberLiteral(_) | Expr::StringLiteral(_) | Expr::Extension(_) => {}
+        }
+    }
+
+    fn check_selector(&mut self, selector: &VectorSelector, required: &[String]) {
+        let Some(name) = &selector.name else {
+            return self.report("a selector without the name of a figure");
+        };
+        let Some(series) = Series::named(name) else {
+            return self.report(format!("there is no figure {name}"));
+        };
+        let matched = selector.matchers.matchers.iter().map(|m| m.name.as_str());
+        for label in matched.chain(required.iter().map(String::as_str)) {
+            if !series.has_label(label) {
+                self.report(format!("{name} has no label {label}"));
+            }
+        }
+    }
+}
+
+/// A series of the program's metrics.
+struct Series {
+    family: &'static Family,
+    is_bucket: bool,
+}
+
+impl Series {
+    /// The series of that name: a family, or a part of a histogram.
+    fn named(name: &str) -> Option<Series> {
+        FAMILIES.iter().find_map(|family| match family.kind {
+            MetricKind::Histogram => {
+                let suffix = name.strip_prefix(family.name)?;
+                let is_part = matches!(suffix, "_bucket" | "_sum" | "_count");
+                is_part.then_some(Series {
+                    family,
+                    is_bucket: suffix == "_bucket",
+                })
+            }
+            MetricKind::Counter | MetricKind::Gauge => (family.name == name).then_some(Series {
+                family,
+                is_bucket: false,
+            }),
+        })
+    }
+
+    fn has_label(&self, label: &str) -> bool {
+        COMMON_LABELS.contains(&label)
+            || self.family.labels.contains(&label)
+            || (self.is_bucket && label == BUCKET_LABEL)
+    }
+}
--- a/crates/alerts/tests/alerts.rs
+++ b/crates/alerts/tests/alerts.rs
@@ -3,7 +3,7 @@
 use peppercove_alerts::{RULES, check, rule_file};
 
 #[test]
-fn the_shipped_file_is_the_one_of_the_table_and_passes() {
+fn the_shipped_rule_file_matches_the_table_and_passes_the_check() {
     let shipped = include_str!("../../../alerts/peppercove.rules.yml");
     assert!(
         shipped == rule_file(),
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn every_rule_has_its_section_for_operators() {
+fn every_rule_has_a_section_on_the_operators_page() {
     let page = include_str!("../../../docs/operators/alerts.md");
     for rule in RULES {
         assert!(
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn the_check_names_unknown_metrics_labels_and_syntax_errors() {
     let file =
         |expr: &str| format!("groups:\n- name: g\n  rules:\n  - alert: A\n    expr: '{expr}'\n");
     let cases = [
