--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! Length-delimited frames of one message each, bounded in size before anything is allocated for them.
+//! Length-delimited frames of one message each, bounded in size before memory is allocated for them.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Serialize, de::DeserializeOwned};
@@ -10,18 +10,18 @@
 /// Longest frame of the node list, in bytes: a whole list of some ten thousand nodes.
 pub const MAX_LIST_FRAME_BYTES: usize = 4 << 20;
 
-/// Why a link's bytes could not be read or written.
+/// Why the bytes of a connection could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The stream failed, or a frame was longer than the link allows.
+    /// The stream failed, or a frame was longer than allowed.
     #[error("link: {0}")]
     Io(#[from] std::io::Error),
-    /// A frame held something else than one message of this version.
+    /// The frame is not exactly one message of this version.
     #[error("frame of {length} bytes is not a message of version {version}: {source}", version = crate::VERSION)]
     Malformed {
         /// Bytes in the frame.
         length: usize,
-        /// What the decoder met.
+        /// The error of the decoder.
         source: postcard::Error,
     },
 }
@@ -34,10 +34,10 @@
 }
 
 impl<In, Out> MessageCodec<In, Out> {
-    /// A codec whose frames hold at most `longest` bytes each way.
-    pub fn new(longest: usize) -> Self {
+    /// A codec whose frames have at most `max_bytes` bytes each way.
+    pub fn new(max_bytes: usize) -> Self {
         let frames = LengthDelimitedCodec::builder()
-            .max_frame_length(longest)
+            .max_frame_length(max_bytes)
             .new_codec();
         MessageCodec {
             frames,
@@ -68,7 +68,10 @@
     }
 }
 
-/// Decodes the body of one frame; bytes left over after the message are an error as well.
+/// Decodes the body of one frame.
+///
+/// # Errors
+/// [`FrameError::Malformed`], also for bytes left over after the message.
 pub fn decode_frame<In: DeserializeOwned>(frame: &[u8]) -> Result<In, FrameError> {
     let malformed = |source| FrameError::Malformed {
         length: frame.len(),
@@ -81,40 +84,3 @@
         Err(malformed(postcard::Error::DeserializeBadEncoding))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::node::{FromNode, ToNode};
-
-    type Link = MessageCodec<FromNode, ToNode>;
-
-    #[test]
-    fn a_frame_too_long_is_an_error_before_its_bytes_arrive() {
-        let mut bytes = BytesMut::from(&(MAX_NODE_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
-        assert!(matches!(
-            Link::new(MAX_NODE_FRAME_BYTES).decode(&mut bytes),
-            Err(FrameError::Io(_))
-        ));
-    }
-
-    #[test]
-    fn half_a_frame_waits_and_rubbish_is_named() {
-        let mut link = Link::new(MAX_NODE_FRAME_BYTES);
-        let mut bytes = BytesMut::from(&[0, 0, 0, 4, 255, 255][..]);
-        assert!(matches!(link.decode(&mut bytes), Ok(None)));
-        bytes.extend_from_slice(&[255, 255]);
-        assert!(matches!(
-            link.decode(&mut bytes),
-            Err(FrameError::Malformed { length: 4, .. })
-        ));
-    }
-
-    #[test]
-    fn bytes_after_the_message_are_not_ignored() {
-        let mut frame = postcard::to_stdvec(&ToNode::Probe { nonce: 7 }).unwrap();
-        assert!(decode_frame::<ToNode>(&frame).is_ok());
-        frame.push(0);
-        assert!(decode_frame::<ToNode>(&frame).is_err());
-    }
-}
--- a/crates/protocol/src/list.rs
+++ b/crates/protocol/src/list.rs
@@ -3,91 +3,91 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// What the list says of a node's life.
+/// State of a node in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeState {
-    /// Takes tasks.
+    /// Accepts tasks.
     Ready,
-    /// Takes nothing new.
+    /// Accepts no new task.
     Draining,
-    /// Left the cluster; appears in changes alone.
+    /// The node has left the cluster; only in incremental updates.
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListEntry {
-    /// Where the node listens; it stays the same when its process restarts.
+    /// Where the node listens; the same after a restart of its process.
     pub address: SocketAddrV4,
-    /// Its name, which it must answer to.
+    /// Name of the node, which its handshake must carry.
     pub name: String,
-    /// Its state.
+    /// State of the node.
     pub state: NodeState,
-    /// Index of its kind.
+    /// Index of its kind of node.
     pub kind: u8,
     /// Its rack.
     pub rack: u16,
     /// Its zone.
     pub zone: u8,
-    /// A number that is higher after each start of its process.
+    /// Incarnation; higher after each start of its process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Microseconds since that start, when the list was sent; `None` is long ago. An age needs no common clock.
+    /// Time since that start when the list was sent, in microseconds; `None` is long ago. An age needs no common clock.
     pub age: Option<u64>,
-    /// Cores nobody asked for, some time ago.
+    /// Free cores; the value may be out of date.
     pub free_cores: Option<f64>,
-    /// Memory nobody asked for, some time ago.
+    /// Free memory; the value may be out of date.
     pub free_memory: Option<f64>,
 }
 
-/// How a list relates to the one that was sent before.
+/// How an update relates to the one that was sent before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// Changed nodes alone.
+    /// An incremental update: changed nodes only.
     Delta,
-    /// The whole list.
+    /// A full sync: the whole list.
     Full,
 }
 
-/// What a controller asks of the list.
+/// Messages of a controller to the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToList {
-    /// First message of a link.
+    /// First message of a connection.
     Hello {
         /// [`crate::VERSION`] of the sender.
         version: u16,
         /// Name of the controller.
         controller: String,
     },
-    /// Send what changed since `after`, or the whole list, and then every change.
+    /// Watch the list: send what changed since `after`, or the whole list, and then every change.
     Watch {
-        /// Last generation seen; `None` asks for the whole list.
+        /// Last generation seen; `None` requests the whole list.
         after: Option<u64>,
     },
-    /// Send the whole list once.
+    /// Poll the list: send the whole list once.
     Fetch,
 }
 
-/// What the list answers.
+/// Messages of the list to a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromList {
-    /// Answer to the greeting.
+    /// Answer to the handshake.
     Welcome {
         /// [`crate::VERSION`] of the sender.
         version: u16,
     },
-    /// News.
+    /// A new version of the list, in full or as changes.
     #[serde(rename = "News")]
     Update {
         /// Version of the list.
         generation: u64,
-        /// How it relates to the one before.
+        /// Whether it is the whole list or only changes.
         scope: Scope,
-        /// The lines.
+        /// The nodes.
         #[serde(rename = "lines")]
         entries: Vec<ListEntry>,
     },
-    /// The call is turned away; the old list stands.
+    /// The call is rejected; the previous list stays valid.
     Failed,
 }
--- a/crates/protocol/src/node.rs
+++ b/crates/protocol/src/node.rs
@@ -2,59 +2,59 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One attempt to place a task, unique among all that one life of a controller makes.
+/// One attempt to place a task, unique among all of one incarnation of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The ask.
+    /// The placement request.
     pub request: u64,
-    /// Its number among the attempts of that ask, from 0.
+    /// Number among the attempts of that request, from 0.
     pub number: u16,
 }
 
-/// Who speaks: a name that stays, and a number that is new at each start.
+/// A controller or node: a name that stays, and an incarnation that is new at each start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessIdentity {
     /// Name of the controller or node.
     pub name: String,
-    /// Its life: another one after each start of its process.
+    /// Incarnation: another one after each start of its process.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
-/// What a repeat of the task would do, as the node must know it.
+/// What a second start of the task would do, as far as the node must know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// No harm.
+    /// A second start does no harm.
     #[serde(rename = "Safe")]
     Idempotent,
-    /// The nodes of one rack let one copy of this key stand.
+    /// The nodes of one deduplication scope keep one copy of each key.
     Keyed,
-    /// It must never be started twice.
+    /// The task must never be started twice.
     #[serde(rename = "Unsafe")]
     NonIdempotent,
 }
 
-/// A task as it is offered.
+/// A task, as it is offered to a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OfferedTask {
-    /// The task, the same each time it is asked for.
+    /// Identity of the task, the same in each request for it.
     pub task: u64,
-    /// Its service: one program, one shape, one class.
+    /// Service of the task: one program, one size, one class.
     pub service: u64,
-    /// Index of its class.
+    /// Index of the class.
     pub class: u16,
-    /// Index of its tenant.
+    /// Index of the tenant.
     pub tenant: u32,
-    /// Cores it asks for.
+    /// Requested cores.
     pub cores: f64,
-    /// Memory it asks for, in the unit of the settings.
+    /// Requested memory, in the unit of the settings.
     pub memory: f64,
-    /// Higher ones win in contention and evictions.
+    /// Higher priorities win in contention and preemption.
     pub priority: u8,
-    /// What a repeat does.
+    /// What a second start would do.
     #[serde(rename = "repeat")]
     pub idempotency: Idempotency,
-    /// What to run, and how.
+    /// The program, and what it is run with.
     pub program: Program,
 }
 
@@ -69,73 +69,73 @@
     pub env: Vec<String>,
     /// `drmaa_wd`.
     pub working_directory: Option<String>,
-    /// The submission key of the job, kept by the node so that a restarted controller can know it again.
+    /// The submission key of the job, kept by the node so that a restarted controller can recognise the job.
     pub key: String,
 }
 
-/// What a controller says to a node.
+/// Messages of a controller to a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToNode {
-    /// First message of a link.
+    /// First message of a connection.
     Hello {
         /// [`crate::VERSION`] of the sender.
         version: u16,
         /// The controller.
         controller: ProcessIdentity,
     },
-    /// Offers a task. The node may accept or refuse it, and must refuse it once it is `expires_in` old.
+    /// Offers a task. The node may accept or reject it, and must reject it once the offer is `expires_in` old.
     Offer {
         /// The attempt.
         attempt: AttemptId,
-        /// Microseconds for which the controller will wait.
+        /// How long the controller waits, in microseconds.
         expires_in: u64,
         /// The task.
         #[serde(rename = "work")]
         task: OfferedTask,
     },
-    /// The controller waits for this attempt no longer. The node answers with what it knows of it: that it runs, how it
-    /// ended, or that it is refused, now and for ever. It may be sent again where the answer was not heard.
+    /// The controller no longer waits for this attempt. The node answers with its state: that it runs, how it ended, or
+    /// that it is rejected, which is final. The message may be repeated where the answer was lost.
     #[serde(rename = "Withdraw")]
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Takes over a task that an earlier life of this controller placed, under a number of this life.
+    /// Takes over a task that an earlier incarnation of this controller placed, under an attempt of this incarnation.
     Adopt {
-        /// The earlier life.
+        /// The earlier incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The attempt in that life.
+        /// The attempt in that incarnation.
         attempt: AttemptId,
-        /// What it is called from now on.
+        /// The attempt by which the task is known from now on.
         #[serde(rename = "named")]
         new_attempt: AttemptId,
     },
-    /// Ends a task that an earlier life of this controller placed.
+    /// Ends a task that an earlier incarnation of this controller placed.
     Discard {
-        /// The earlier life.
+        /// The earlier incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The attempt in that life.
+        /// The attempt in that incarnation.
         attempt: AttemptId,
     },
-    /// Acts on a task that runs.
+    /// Controls a running task.
     Control {
         /// The attempt that placed it.
         attempt: AttemptId,
         /// What to do.
         action: Control,
     },
-    /// The end of an attempt is taken note of, and written down where the controller keeps a journal: the node may
-    /// forget it. Until then it tells the end again after growing waits, and on each new link.
+    /// The end of an attempt was received, and persisted where the controller keeps a journal: the node may forget it.
+    /// Until then the node repeats the end with backoff, and on each new connection.
     #[serde(rename = "Noted")]
     AcknowledgeEnd {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Asks for a load report.
+    /// Requests a load report.
     Probe {
-        /// Comes back with the answer.
+        /// Returned with the answer.
         nonce: u64,
     },
 }
@@ -143,52 +143,52 @@
 /// What may be done to a running task (DRMAA 1.0, `drmaa_control`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Control {
-    /// Stop its clock.
+    /// Suspend the task.
     Suspend,
-    /// Let it go on.
+    /// Resume it.
     Resume,
-    /// End it.
+    /// Terminate it.
     Terminate,
 }
 
-/// Why a node refused a task or gave it up.
+/// Why a node rejected a task or evicted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeReason {
-    /// Not told.
+    /// The node does not say.
     Unknown,
-    /// No cores.
+    /// Not enough free cores.
     #[serde(rename = "NoCores")]
     InsufficientCores,
-    /// No memory.
+    /// Not enough free memory.
     #[serde(rename = "NoMemory")]
     InsufficientMemory,
-    /// Too many offers wait.
+    /// Too many offers are queued.
     #[serde(rename = "Busy")]
     QueueFull,
-    /// Wrong kind, draining, too late, or a copy stands.
+    /// Wrong kind of node, draining, an expired offer, or a copy that the deduplication scope has already.
     #[serde(rename = "NotHere")]
     Ineligible,
-    /// Evicted for memory.
+    /// Evicted for want of memory.
     Evicted,
-    /// Pushed out by a higher priority.
+    /// Preempted by a task of higher priority.
     #[serde(rename = "PushedOut")]
     Preempted,
-    /// Sent away by a drain.
+    /// Evicted since the node is draining.
     #[serde(rename = "SentAway")]
     Drained,
 }
 
-/// A load report; each value only where the node reports it.
+/// A load report. A value is absent where the node does not report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeLoad {
     /// `x0`: free cores.
     pub free_cores: Option<f64>,
     /// `x1`: free memory.
     pub free_memory: Option<f64>,
-    /// `util`: busy share of the cores.
+    /// `util`: utilization of the cores, 0 to 1.
     #[serde(rename = "busy")]
     pub cpu_utilization: Option<f64>,
-    /// `queue`: offers and starts waiting.
+    /// `queue`: offers and starts that are queued.
     #[serde(rename = "waiting")]
     pub queue_depth: Option<f64>,
 }
@@ -196,62 +196,64 @@
 /// What a task used, for `drmaa_wait`'s rusage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Microseconds from start to end.
+    /// Time from start to end, in microseconds.
     pub wall: u64,
-    /// Microseconds of processor time.
+    /// Processor time, in microseconds.
     pub cpu: u64,
-    /// Most memory in use, in the unit of the settings.
+    /// Peak memory, in the unit of the settings.
     pub memory: f64,
 }
 
-/// How an attempt ended, as its node tells it.
+/// How an attempt ended, as its node reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TaskExit {
-    /// The program ended by itself.
+    /// The program exited by itself.
     Exited {
-        /// Its exit status.
+        /// Exit status.
         status: i32,
-        /// What it used.
+        /// Resources it used.
         usage: Usage,
     },
-    /// A signal ended it.
+    /// A signal ended the program.
     Signalled {
         /// The signal.
         signal: i32,
-        /// What it used.
+        /// Resources it used.
         usage: Usage,
     },
-    /// The node answers with an error; the task may have started.
+    /// The node answered with an error; the task may have started.
     Error,
-    /// It was evicted, pushed out or sent away after it was placed.
+    /// The task was evicted, preempted or drained after it was placed.
     #[serde(rename = "GivenUp")]
     Evicted(NodeReason),
 }
 
-/// What a node says to a controller.
+/// Messages of a node to a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromNode {
-    /// Answer to the greeting. `Ended` of what was not acknowledged and `Standing` of what it holds of this controller
-    /// follow, and nothing else before them. From the greeting on nothing that the controller sent on an earlier link is
-    /// acted on, and what was accepted there and has not been started is dropped: what is not told here never ran, or
-    /// its end was acknowledged, unless the node says that it is not `whole`.
+    /// Answer to the handshake. [`FromNode::Ended`] for each end that was not acknowledged and [`FromNode::KnownTask`]
+    /// for each task of this controller follow, and nothing else before them.
+    ///
+    /// From the handshake on the node ignores what the controller sent on an earlier connection, and drops what it
+    /// accepted there and has not started. Invariant: a task that is not reported here never ran, or its end was
+    /// acknowledged, unless `is_complete` is false.
     Welcome {
         /// [`crate::VERSION`] of the sender.
         version: u16,
         /// The node.
         node: ProcessIdentity,
-        /// How many of them follow.
+        /// Number of [`FromNode::KnownTask`] that follow.
         #[serde(rename = "standing")]
         known_tasks: u32,
-        /// In this life of the node no end was forgotten that this controller had not acknowledged.
+        /// This incarnation of the node has forgotten no end that this controller had not acknowledged.
         #[serde(rename = "whole")]
         is_complete: bool,
     },
-    /// It holds a task that this controller, or an earlier life of it, placed; or held one of an earlier life to its
-    /// end.
+    /// A task that this controller or an earlier incarnation of it placed here: it runs, or it ended while the
+    /// controller was disconnected.
     #[serde(rename = "Standing")]
     KnownTask {
-        /// Life of the controller that made the attempt.
+        /// Incarnation of the controller that made the attempt.
         #[serde(rename = "life")]
         incarnation: u64,
         /// The attempt.
@@ -259,10 +261,10 @@
         /// The task.
         #[serde(rename = "work")]
         task: OfferedTask,
-        /// It ended while nobody could be told.
+        /// How it ended, where it has.
         ended: Option<TaskExit>,
     },
-    /// The task is accepted.
+    /// The node has accepted the task.
     Accepted {
         /// The attempt.
         attempt: AttemptId,
@@ -276,55 +278,55 @@
         /// A load report.
         load: Option<NodeLoad>,
     },
-    /// The task is refused, or handed back before it ran: proof that it never ran.
+    /// The node has rejected the task, or returned it before it ran. Invariant: the task never ran here.
     #[serde(rename = "Refused")]
     Rejected {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// The reason.
         reason: NodeReason,
         /// A load report.
         load: Option<NodeLoad>,
     },
-    /// The attempt is over.
+    /// The attempt has ended.
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How it ended.
         end: TaskExit,
         /// A load report.
         load: Option<NodeLoad>,
     },
-    /// News of a running task.
+    /// A measurement of a running task.
     #[serde(rename = "Note")]
     Measurement {
         /// The attempt.
         attempt: AttemptId,
-        /// The news.
+        /// The measurement.
         #[serde(rename = "note")]
         measurement: TaskMeasurement,
     },
-    /// Answer to a probe.
+    /// Answer to [`ToNode::Probe`].
     #[serde(rename = "Probed")]
     ProbeReply {
-        /// The number that came with it.
+        /// The nonce of the probe.
         nonce: u64,
         /// A load report.
         load: Option<NodeLoad>,
     },
 }
 
-/// News of a running task or its node.
+/// A measurement of a running task or of its node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TaskMeasurement {
-    /// Cores it uses.
+    /// Cores that the task uses.
     CoresUsed(f64),
-    /// Memory it uses.
+    /// Memory that the task uses, in the unit of the settings.
     MemoryUsed(f64),
-    /// Share of full service it gets.
+    /// Share of full service that the task gets, 0 to 1.
     #[serde(rename = "Served")]
     ServedShare(f64),
-    /// Share of the node's memory in use.
+    /// Share of the node's memory in use, 0 to 1.
     #[serde(rename = "NodeMemory")]
     NodeMemoryShare(f64),
 }
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -13,22 +13,22 @@
 //! | `outcome` | [`Wait`] | [`Settled`] |
 //! | `exit` | none | `{}` |
 //!
-//! A session that asked for it in `init` gets the notification `settled` with a [`Settled`] once for each job.
+//! A session that requested it in `init` gets the notification `settled` with a [`Settled`] once for each job.
 
 use crate::drmaa::Errno;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Longest line, in bytes.
+/// Longest line, in bytes, its end included.
 pub const MAX_LINE_BYTES: usize = 256 << 10;
 
-/// A call.
+/// A request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RpcRequest {
     /// Always `2.0`.
     pub jsonrpc: String,
-    /// Comes back with the answer; a call without one is a notification.
+    /// Returned with the response; a request without one is a notification.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<Value>,
     /// Name of the method.
@@ -38,18 +38,18 @@
     pub params: Value,
 }
 
-/// An answer: a result or an error.
+/// A response: a result or an error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RpcResponse {
     /// Always `2.0`.
     pub jsonrpc: String,
-    /// That of the call; null where it could not be read.
+    /// The id of the request; null where it could not be read.
     #[serde(default)]
     pub id: Value,
-    /// What the call gave.
+    /// The result.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub result: Option<Value>,
-    /// Or what was wrong.
+    /// The error.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<RpcError>,
 }
@@ -59,20 +59,20 @@
 pub struct RpcError {
     /// One of JSON-RPC's own, or -32000 less the DRMAA error number.
     pub code: i64,
-    /// For people.
+    /// Text for people.
     pub message: String,
-    /// For programs.
+    /// Details for programs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<FaultData>,
 }
 
-/// What programs are told of an error.
+/// Details of an error.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct FaultData {
     /// Name of the DRMAA error.
     pub errno: String,
-    /// Come again after this many milliseconds.
+    /// Retry-After, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
     /// Attribute of the template that is wrong.
@@ -80,19 +80,19 @@
     pub attribute: Option<String>,
 }
 
-/// The line was not JSON.
+/// The line is not JSON.
 pub const PARSE_ERROR: i64 = -32700;
-/// It was JSON, but no call.
+/// The line is JSON, but no request.
 pub const INVALID_REQUEST: i64 = -32600;
-/// No such method.
+/// The method does not exist.
 pub const METHOD_NOT_FOUND: i64 = -32601;
-/// The parameters are not those of the method.
+/// The parameters do not fit the method.
 pub const INVALID_PARAMS: i64 = -32602;
-/// DRMAA errors lie below this by their number.
+/// Base of the codes of DRMAA errors: the code is this less the DRMAA number.
 pub const DRMAA_BASE: i64 = -32000;
 
 impl RpcError {
-    /// An error of DRMAA.
+    /// An error of DRMAA, with its number and name.
     pub fn drmaa(errno: Errno, message: impl Into<String>) -> RpcError {
         let data = FaultData {
             errno: errno.name().into(),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// An error of JSON-RPC itself.
+    /// An error of JSON-RPC itself, with one of the codes above.
     pub fn rpc(code: i64, message: impl Into<String>) -> RpcError {
         let data = FaultData {
             errno: Errno::InvalidArgument.name().into(),
@@ -118,30 +118,30 @@
         }
     }
 
-    /// The DRMAA error that it stands for.
+    /// The DRMAA error; `InternalError` where the response names none.
     pub fn errno(&self) -> Errno {
         let named = self.data.as_ref().and_then(|d| Errno::from_name(&d.errno));
         named.unwrap_or(Errno::InternalError)
     }
 }
 
-/// `init`: opens a session, or finds it again after a broken connection.
+/// `init`: opens a session, or resumes it after a broken connection.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Init {
-    /// Made by the client; the same name again is the same session.
+    /// Name of the session, made by the client; the same name resumes the session.
     pub session: String,
     /// Send `settled` notifications on this connection.
     pub notify: bool,
 }
 
-/// What a session is told at its start.
+/// Result of `init`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct SessionInfo {
     /// Name of the controller.
     pub controller: String,
-    /// Another one after each of its starts.
+    /// Incarnation of the controller: another one after each start.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// `drmaa_get_DRM_system`.
@@ -150,7 +150,7 @@
     pub implementation: String,
     /// Category of a job that names none.
     pub default_category: String,
-    /// The job categories, and whether a job of one may be submitted again when its fate is not known.
+    /// The job categories by name.
     pub categories: BTreeMap<String, Category>,
 }
 
@@ -158,10 +158,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Category {
-    /// A second start does no harm.
+    /// A second start does no harm, so a job may be submitted again while its outcome is ambiguous.
     #[serde(rename = "safe")]
     pub is_idempotent: bool,
-    /// Wait this many milliseconds before a task of unknown fate is asked for again.
+    /// How long to wait before a task of ambiguous outcome is requested again, in milliseconds.
     pub settle_ms: u64,
 }
 
@@ -197,7 +197,7 @@
 pub struct RunJob {
     /// The job.
     pub job_template: JobTemplate,
-    /// Made by the client: the same key again gets the same job.
+    /// Idempotency key, made by the client: the same key gets the same job.
     pub submission_key: String,
 }
 
@@ -207,7 +207,7 @@
 pub struct RunBulkJobs {
     /// The jobs.
     pub job_template: JobTemplate,
-    /// Made by the client; the key of each job is this and its index.
+    /// Idempotency key, made by the client; the key of each job is this and its index.
     pub submission_key: String,
     /// First index.
     pub start: i64,
@@ -217,7 +217,7 @@
     pub incr: i64,
 }
 
-/// `findJob`: the job that was submitted under a key, also by way of an earlier life of the controller.
+/// `findJob`: the job that was submitted under a key, also through an earlier incarnation of the controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct FindJob {
@@ -249,7 +249,7 @@
 pub struct Wait {
     /// The job, or [`crate::drmaa::ANY_JOB`].
     pub job_id: String,
-    /// At most this long; none is for ever.
+    /// Timeout, in milliseconds; without one the call waits for ever.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub timeout_ms: Option<u64>,
 }
@@ -260,43 +260,43 @@
 pub struct Synchronize {
     /// The jobs, or [`crate::drmaa::ALL_JOBS`].
     pub job_ids: Vec<String>,
-    /// At most this long; none is for ever.
+    /// Timeout, in milliseconds; without one the call waits for ever.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub timeout_ms: Option<u64>,
-    /// Forget the jobs once they are finished.
+    /// Forget the jobs once they have finished.
     #[serde(default)]
     pub dispose: bool,
 }
 
-/// What became of a job's ask for a placing.
+/// The answer to the placement request of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct PlacementResult {
     /// The job.
     pub job_id: String,
-    /// The key it was submitted under.
+    /// The submission key of the job.
     pub submission_key: String,
     /// The answer.
     pub outcome: PlacementOutcome,
-    /// The node, where it is placed.
+    /// The node, where the job is placed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub node: Option<String>,
-    /// Come again after this many milliseconds, where it is refused.
+    /// Retry-After in milliseconds, where the job is refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// The three final answers.
+/// Final answers to a placement request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PlacementOutcome {
-    /// It runs, or is accepted where the settings say that this confirms.
+    /// The task runs, or is accepted where the settings say that this is the acknowledgement.
     Placed,
-    /// Turned away: a retry is harmless.
+    /// Rejected: a retry is safe.
     Refused,
-    /// No promise about its effect.
+    /// The task may or may not have run.
     Failed,
-    /// Its owner ended it first.
+    /// The client cancelled it first.
     Withdrawn,
 }
 
