--- a/crates/day/src/cluster.rs
+++ b/crates/day/src/cluster.rs
@@ -117,8 +117,8 @@
         rack: (i % 4) as u16,
         cores: config.scheduler.node_kinds[kind].cores,
         memory: config.scheduler.node_kinds[kind].memory,
-        accepts_cores: config.scheduler.cores_overcommit,
-        accepts_memory: config.scheduler.memory_overcommit,
+        cores_overcommit: config.scheduler.cores_overcommit,
+        memory_overcommit: config.scheduler.memory_overcommit,
         preempts: config.scheduler.allows_preemption,
         ..NodeSpec::small(format!("node-{i}"))
     }
--- a/crates/day/src/runner.rs
+++ b/crates/day/src/runner.rs
@@ -502,9 +502,9 @@
         }
         "list-stale" => {
             let more = (size * 1e6) as u64;
-            stage.list.change_faults(|t| t.late += more);
+            stage.list.change_faults(|t| t.delay += more);
             sleep_until(end).await;
-            stage.list.change_faults(|t| t.late -= more);
+            stage.list.change_faults(|t| t.delay -= more);
         }
         "burst" => {
             stage.rate.set(stage.rate.get() * size);
@@ -524,9 +524,8 @@
             sleep_until(end).await;
             hit.iter().for_each(|i| stage.taps[*i].set_cut(false));
         }
-        "cut" | "cut-midframe" => nodes
-            .iter()
-            .for_each(|n| n.cut(fault.kind == "cut-midframe")),
+        "cut" => nodes.iter().for_each(FakeNode::disconnect),
+        "cut-midframe" => nodes.iter().for_each(FakeNode::disconnect_mid_frame),
         "flush" => nodes.iter().for_each(|n| n.flush(size)),
         "dies" => {
             nodes.iter().for_each(FakeNode::kill);
@@ -559,7 +558,7 @@
                 for node in &nodes {
                     node.change_faults(|f| match kind {
                         "hang" => f.hangs = on,
-                        "answers-lost" => f.loses = if on { size } else { 0.0 },
+                        "answers-lost" => f.message_loss = if on { size } else { 0.0 },
                         "never-confirms" => f.never_confirms = on,
                         "class-error" | "class-silence" if on => {
                             let how = if kind == "class-error" {
@@ -567,17 +566,19 @@
                             } else {
                                 ClassFault::Silence
                             };
-                            f.fails.insert(fault.class, how);
+                            f.failing_classes.insert(fault.class, how);
                         }
                         "class-error" | "class-silence" => {
-                            f.fails.remove(&fault.class);
+                            f.failing_classes.remove(&fault.class);
                         }
-                        "false-refusals" => f.refuses = if on { size } else { 0.0 },
-                        "ageing" => f.ages = if on { size } else { 0.0 },
-                        "reports-late" => f.late = if on { (size * 1e6) as u64 } else { 0 },
-                        "neighbour" => f.neighbour = if on { size } else { 0.0 },
-                        "repeats" => f.repeats = on,
-                        "lies" => f.lies = on,
+                        "false-refusals" => f.false_rejections = if on { size } else { 0.0 },
+                        "ageing" => f.pace_loss_per_second = if on { size } else { 0.0 },
+                        "reports-late" => {
+                            f.extra_report_delay = if on { (size * 1e6) as u64 } else { 0 }
+                        }
+                        "neighbour" => f.foreign_load = if on { size } else { 0.0 },
+                        "repeats" => f.duplicates_messages = on,
+                        "lies" => f.reports_unknown_attempts = on,
                         other => unreachable!("the table of a day has no fault '{other}'"),
                     });
                 }
--- a/crates/kernel/src/report.rs
+++ b/crates/kernel/src/report.rs
@@ -91,7 +91,7 @@
                 .find(|n| n.name == name)
                 .map_or(0, |n| n.rack)
         };
-        let ledger = shared.ledger.borrow();
+        let ledger = shared.start_log.borrow();
         let starts: Vec<Started> = ledger
             .starts
             .iter()
@@ -102,14 +102,14 @@
                 node: s.node.clone(),
                 rack: rack(&s.node),
                 task: s.task,
-                repeat: s.repeat,
+                repeat: s.idempotency,
             })
             .collect();
         let mut verdict = judge(events, &starts, &figures(&script.config, stall, travel));
-        for (at, node) in &ledger.fallen {
-            let what = format!("{node} fell over");
+        for crash in &ledger.crashes {
+            let what = format!("{} fell over", crash.node);
             verdict.violations.push(peppercove_audit::Violation {
-                at: *at,
+                at: crash.at,
                 rule: 4,
                 description: what,
             });
--- a/crates/kernel/src/scenario.rs
+++ b/crates/kernel/src/scenario.rs
@@ -3,7 +3,7 @@
 use peppercove::{DedupScope, Idempotency};
 use peppercove_config::schema::{Attribute, Document, Element, Occurrence, Problem, ValueKind};
 use peppercove_config::{Config, ConfigError, embedded_default};
-use peppercove_standins::node_model::{EvictionPolicy, NodeSpec};
+use peppercove_standins::node_model::{EvictionPolicy, NodeSpec, ShareRange};
 use std::path::Path;
 use std::time::Duration;
 
@@ -640,35 +640,38 @@
         zone: 0,
         cores: module.node_kinds[kind].cores,
         memory: module.node_kinds[kind].memory,
-        accepts_cores: module.cores_overcommit,
-        accepts_memory: module.memory_overcommit,
+        cores_overcommit: module.cores_overcommit,
+        memory_overcommit: module.memory_overcommit,
         preempts: module.allows_preemption,
-        admit: group.micros("admit"),
-        line: group.count("line") as usize,
-        starts: group.count("starts") as usize,
-        start_time: group.micros("start"),
-        setup: group.number("setup"),
-        kept: group.count("kept") as usize,
-        cold_from: group.number("cold-from"),
-        cold_for: group.micros("cold-for"),
-        fall_multiple: module.overload_multiple,
-        fall_window: module.overload_window,
-        cold_bears: module.slow_start_budget,
-        report_every: group.micros("report-every"),
+        admission_time: group.micros("admit"),
+        admission_queue_limit: group.count("line") as usize,
+        concurrent_starts: group.count("starts") as usize,
+        cached_start_time: group.micros("start"),
+        uncached_start_factor: group.number("setup"),
+        program_cache_limit: group.count("kept") as usize,
+        slow_start_pace: group.number("cold-from"),
+        slow_start_window: group.micros("cold-for"),
+        overload_factor: module.overload_multiple,
+        overload_window: module.overload_window,
+        slow_start_budget: module.slow_start_budget,
+        report_interval: group.micros("report-every"),
         report_delay: group.micros("report-late"),
-        counts_used: module.load_basis == peppercove::LoadBasis::Used,
-        uses: (group.number("uses-least"), group.number("uses-most")),
-        drain: match group.word("drain") {
+        reports_usage: module.load_basis == peppercove::LoadBasis::Used,
+        usage_share: ShareRange {
+            min: group.number("uses-least"),
+            max: group.number("uses-most"),
+        },
+        eviction: match group.word("drain") {
             "none" => EvictionPolicy::None,
             "paced" => EvictionPolicy::Paced(200_000),
             _ => EvictionPolicy::AtOnce,
         },
-        life: 2_000_000,
-        key_group: match group_of(module) {
+        default_run_time: 2_000_000,
+        dedup_group: match group_of(module) {
             Some(DedupScope::Rack) => (group.count("first-rack") + i % group.count("racks")) as u32,
             Some(DedupScope::Zone | DedupScope::All) | None => 0,
         },
-        key_window: module
+        dedup_window: module
             .classes
             .iter()
             .map(|c| window_of(c.idempotency))
--- a/crates/kernel/src/simulator.rs
+++ b/crates/kernel/src/simulator.rs
@@ -21,7 +21,7 @@
 use peppercove_protocol::list::FromList;
 use peppercove_protocol::node::{FromNode, ProcessIdentity, ToNode};
 use peppercove_standins::node_model::{FleetState, NodeModel};
-use peppercove_standins::node_registry::{Facts, NodeRegistry};
+use peppercove_standins::node_registry::{NodeRegistry, NodeSnapshot};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -203,7 +203,7 @@
                 [127, 0, 1 + (i >> 16) as u8, 1].into(),
                 port.wrapping_add(1),
             );
-            roster.add(address, Facts::of(&model));
+            roster.add(address, NodeSnapshot::of(&model));
             by_id.insert(node_id_of(address), i);
             let links = BTreeMap::new();
             stations.push(Station {
@@ -265,7 +265,7 @@
         for seat in 0..self.seats.len() {
             self.start(seat);
         }
-        self.at(self.roster.next(), Happens::Publish);
+        self.at(self.roster.next_publication(), Happens::Publish);
         // The fleet gets to know itself before the day begins, as on sockets.
         let begin = 1_000_000;
         self.end = begin + self.script.length.as_micros() as Micros;
--- a/crates/kernel/src/simulator/faults.rs
+++ b/crates/kernel/src/simulator/faults.rs
@@ -5,7 +5,7 @@
 use peppercove::Micros;
 use peppercove_protocol::list::NodeState;
 use peppercove_standins::node_model::{ClassFault, Faults};
-use peppercove_standins::node_registry::Facts;
+use peppercove_standins::node_registry::NodeSnapshot;
 
 impl World<'_> {
     pub(super) fn fault(&mut self, index: usize, begins: bool) {
@@ -55,7 +55,7 @@
 
     fn list_says(&mut self, node: usize, to: NodeState) {
         let station = &self.stations[node];
-        let (address, facts) = (station.address, Facts::of(&station.model));
+        let (address, facts) = (station.address, NodeSnapshot::of(&station.model));
         self.roster.change(self.now, address, to, facts);
     }
 
@@ -84,8 +84,8 @@
                 self.list_breaks();
             }
             ("list-down", false) => self.list_down -= 1,
-            ("list-stale", true) => self.roster.late += (size * 1e6) as Micros,
-            ("list-stale", false) => self.roster.late -= (size * 1e6) as Micros,
+            ("list-stale", true) => self.roster.delay += (size * 1e6) as Micros,
+            ("list-stale", false) => self.roster.delay -= (size * 1e6) as Micros,
             ("burst", true) => self.rate *= size,
             ("burst", false) => self.rate /= size,
             ("controller-killed", true) => hit.iter().for_each(|seat| self.kill(*seat)),
@@ -114,7 +114,7 @@
                 for &node in hit {
                     let now = self.now;
                     let station = &mut self.stations[node];
-                    let life = station.model.life() + 1;
+                    let life = station.model.incarnation() + 1;
                     station.model.restart(now, life);
                     station.dead = false;
                     self.list_says(node, NodeState::Ready);
@@ -151,17 +151,25 @@
     let size = if on { fault.size } else { 0.0 };
     match kind {
         "hang" => faults.hangs = on,
-        "answers-lost" => faults.loses = size,
+        "answers-lost" => faults.message_loss = size,
         "never-confirms" => faults.never_confirms = on,
-        "class-error" if on => drop(faults.fails.insert(fault.class, ClassFault::Error)),
-        "class-silence" if on => drop(faults.fails.insert(fault.class, ClassFault::Silence)),
-        "class-error" | "class-silence" => drop(faults.fails.remove(&fault.class)),
-        "false-refusals" => faults.refuses = size,
-        "ageing" => faults.ages = size,
-        "reports-late" => faults.late = (size * 1e6) as Micros,
-        "neighbour" => faults.neighbour = size,
-        "repeats" => faults.repeats = on,
-        "lies" => faults.lies = on,
+        "class-error" if on => drop(
+            faults
+                .failing_classes
+                .insert(fault.class, ClassFault::Error),
+        ),
+        "class-silence" if on => drop(
+            faults
+                .failing_classes
+                .insert(fault.class, ClassFault::Silence),
+        ),
+        "class-error" | "class-silence" => drop(faults.failing_classes.remove(&fault.class)),
+        "false-refusals" => faults.false_rejections = size,
+        "ageing" => faults.pace_loss_per_second = size,
+        "reports-late" => faults.extra_report_delay = (size * 1e6) as Micros,
+        "neighbour" => faults.foreign_load = size,
+        "repeats" => faults.duplicates_messages = on,
+        "lies" => faults.reports_unknown_attempts = on,
         other => unreachable!("the table of a day has no fault '{other}'"),
     }
 }
--- a/crates/kernel/src/simulator/listing.rs
+++ b/crates/kernel/src/simulator/listing.rs
@@ -6,7 +6,7 @@
 use peppercove_core::Input;
 use peppercove_exchange::node_list_input;
 use peppercove_protocol::list::FromList;
-use peppercove_standins::node_registry::Facts;
+use peppercove_standins::node_registry::NodeSnapshot;
 
 /// A controller's subscription.
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,7 +25,7 @@
             stations
                 .iter()
                 .find(|s| s.address == address)
-                .map(|s| Facts::of(&s.model))
+                .map(|s| NodeSnapshot::of(&s.model))
         };
         let news = self.roster.publish(self.now, look);
         if let Some(news) = news.filter(|_| self.list_down == 0) {
@@ -37,7 +37,7 @@
             }
         }
         // The list looks at the clock every few milliseconds.
-        let next = self.roster.next().max(self.now + 5_000);
+        let next = self.roster.next_publication().max(self.now + 5_000);
         self.at(next, Happens::Publish);
     }
 
@@ -75,7 +75,7 @@
         let generation = process.core.nodes().generation;
         let news = self
             .roster
-            .news(now, (generation > 0).then_some(generation));
+            .update(now, (generation > 0).then_some(generation));
         self.tell_list(seat, life, Some(news));
     }
 
--- a/crates/kernel/src/simulator/wire.rs
+++ b/crates/kernel/src/simulator/wire.rs
@@ -121,7 +121,7 @@
         let hello = Handshake::hello(config, life);
         let late = config.network.connect_timeout.as_micros() as Micros;
         let wire = self.wires.len();
-        let node_life = self.stations[node].model.life();
+        let node_life = self.stations[node].model.incarnation();
         self.wires.push(Wire {
             seat,
             life,
@@ -260,7 +260,7 @@
         // A process that has died since it was dialled answers nothing, and its successor knows nothing of the link. A
         // dead node that still greeted, with nothing on it, made copies look as if they had never run.
         let station = &self.stations[node];
-        if station.dead || station.model.life() != self.wires[wire].node_life {
+        if station.dead || station.model.incarnation() != self.wires[wire].node_life {
             return self.end_dies(wire, true);
         }
         if self.process(seat, life).is_none() && matches!(message, ToNode::Offer { .. }) {
@@ -276,7 +276,7 @@
             let now = self.now;
             let said = self.stations[node]
                 .model
-                .greet(now, &controller, wire as u64);
+                .handshake(now, &controller, wire as u64);
             let old = self.stations[node]
                 .links
                 .insert(controller.name.clone(), wire);
@@ -299,29 +299,8 @@
         {
             return;
         }
-        self.node_acts(node, |model, now| match message {
-            ToNode::Hello { .. } => Vec::new(),
-            ToNode::Offer {
-                attempt,
-                expires_in,
-                task: work,
-            } => model.offer(now, &controller, attempt, expires_in, work),
-            ToNode::CancelAttempt { attempt } => model.withdraw(now, &controller, attempt),
-            ToNode::Adopt {
-                incarnation: life,
-                attempt,
-                new_attempt: named,
-            } => model.adopt(now, &controller, life, attempt, named),
-            ToNode::AcknowledgeEnd { attempt } => {
-                model.noted(&controller, attempt);
-                Vec::new()
-            }
-            ToNode::Discard {
-                incarnation: life,
-                attempt,
-            } => model.discard(now, &controller, life, attempt),
-            ToNode::Control { attempt, action } => model.control(now, &controller, attempt, action),
-            ToNode::Probe { nonce } => model.probe(now, &controller, nonce),
+        self.node_acts(node, |model, now| {
+            model.on_message(now, &controller, message)
         });
     }
 
@@ -487,7 +466,7 @@
         let name = self.seats[w.seat].config.name.clone();
         if self.stations[node].links.get(&name) == Some(&wire) {
             self.stations[node].links.remove(&name);
-            self.node_acts(node, |model, now| model.part(now, &name, wire as u64));
+            self.node_acts(node, |model, now| model.disconnect(now, &name, wire as u64));
         }
     }
 
@@ -502,13 +481,17 @@
         let now = self.now;
         let station: &mut Station = &mut self.stations[node];
         let said = act(&mut station.model, now);
-        for (to, message) in said {
-            if let Some(wire) = self.stations[node].links.get(&to).copied() {
+        for Outgoing {
+            controller,
+            message,
+        } in said
+        {
+            if let Some(wire) = self.stations[node].links.get(&controller).copied() {
                 self.send_from_node(wire, message);
             }
         }
         let station = &mut self.stations[node];
-        if station.model.is_fallen() && !station.dead {
+        if station.model.has_crashed() && !station.dead {
             station.dead = true;
             self.links_die(node);
         }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,9 @@
-//! Stand-ins for what a controller talks to: nodes with faults, and the node list. Only for tests and experiments.
+//! Fakes of what a controller talks to: nodes with faults, the node list, and a receiver of pushed metrics. Only for
+//! tests and experiments.
 //!
-//! [`node_model`] is the behaviour of one node without sockets; [`node`] puts it behind one; [`list`] is the node list.
-//! They share the frames with the controller and nothing else. Everything binds to loopback, port 0.
+//! [`node_model`] is the behaviour of one node without sockets, [`node`] puts it behind one. [`node_registry`] is the
+//! node list without sockets, [`list`] puts it behind one. They share the frames with the controller and nothing else.
+//! Everything binds to loopback, port 0.
 
 pub mod list;
 pub mod node;
@@ -9,12 +11,15 @@
 pub mod node_registry;
 pub mod receiver;
 
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Instant;
+use tokio::net::TcpListener;
 
-/// The longest that a stand-in's queue of messages to one controller may grow.
-pub(crate) const QUEUE: usize = 8192;
+/// Messages to one controller that are queued at most.
+pub(crate) const MAX_QUEUED_MESSAGES: usize = 8192;
 
-/// The time of all stand-ins of one run, from its beginning.
+/// The time that all fakes of one run share, from its beginning.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
@@ -35,3 +40,14 @@
         tokio::time::Instant::from_std(self.0 + std::time::Duration::from_micros(at))
     }
 }
+
+/// Listens on a free port of loopback.
+async fn listen_on_loopback() -> io::Result<(TcpListener, SocketAddrV4)> {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
+    match listener.local_addr()? {
+        SocketAddr::V4(address) => Ok((listener, address)),
+        SocketAddr::V6(address) => Err(io::Error::other(format!(
+            "listening on {address}, where an IPv4 address was expected"
+        ))),
+    }
+}
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -1,16 +1,16 @@
-//! The node list: whole lists, changes, generations, lateness, and being out of reach.
+//! A fake node list: the node registry behind a listening socket on loopback.
 
 use crate::node::FakeNode;
 use crate::node_model::Micros;
-use crate::node_registry::{Facts, NodeRegistry};
-use crate::{Clock, QUEUE};
+use crate::node_registry::{NodeRegistry, NodeSnapshot};
+use crate::{Clock, MAX_QUEUED_MESSAGES, listen_on_loopback};
 use futures_util::{SinkExt, StreamExt};
 use peppercove_protocol::codec::{MAX_LIST_FRAME_BYTES, MessageCodec};
 use peppercove_protocol::list::{FromList, NodeState, ToList};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
-use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -18,29 +18,36 @@
 use tokio::task::spawn_local;
 use tokio_util::codec::Framed;
 
-/// What is wrong with the list now, and how late it is.
+/// Interval at which due changes are looked for.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Wait after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
+
+/// Faults of the list that are active now.
 #[derive(Clone, Debug)]
-pub struct Trouble {
-    /// Changes are told this late.
-    pub late: Micros,
-    /// It answers nobody, and subscriptions break.
+pub struct ListFaults {
+    /// Time from a change to its publication, in microseconds.
+    pub delay: Micros,
+    /// Out of reach: it answers nobody, and watches break.
     pub down: bool,
 }
 
 struct State {
     nodes: BTreeMap<SocketAddrV4, FakeNode>,
-    roster: NodeRegistry,
+    registry: NodeRegistry,
     watchers: Vec<mpsc::Sender<FromList>>,
-    down: bool,
+    is_down: bool,
 }
 
 struct Inner {
     clock: Clock,
     state: RefCell<State>,
-    down: watch::Sender<u64>,
+    /// All connections break when this changes.
+    outages: watch::Sender<u64>,
 }
 
-/// A stand-in node list on loopback.
+/// A fake node list on loopback.
 #[derive(Clone)]
 pub struct FakeNodeList {
     inner: Rc<Inner>,
@@ -48,117 +55,140 @@
 }
 
 impl FakeNodeList {
-    /// Starts a list that tells changes `late` and refreshes free room every `refresh`; within a `LocalSet`.
+    /// Starts a list that publishes changes after `delay` (microseconds) and looks at free resources every
+    /// `refresh_interval`. Must be called within a `LocalSet`.
     ///
     /// # Errors
-    /// Where no port can be had.
-    pub async fn start(clock: Clock, late: Micros, refresh: Duration) -> io::Result<FakeNodeList> {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        let SocketAddr::V4(address) = listener.local_addr()? else {
-            return Err(io::Error::other("an IPv4 address was expected"));
-        };
-        let roster = NodeRegistry::new(late, refresh.as_micros() as Micros);
+    /// If no port is free.
+    pub async fn start(
+        clock: Clock,
+        delay: Micros,
+        refresh_interval: Duration,
+    ) -> io::Result<FakeNodeList> {
+        let (listener, address) = listen_on_loopback().await?;
         let state = State {
             nodes: BTreeMap::new(),
-            roster,
+            registry: NodeRegistry::new(delay, refresh_interval.as_micros() as Micros),
             watchers: Vec::new(),
-            down: false,
+            is_down: false,
         };
         let inner = Rc::new(Inner {
             clock,
             state: RefCell::new(state),
-            down: watch::Sender::new(0),
+            outages: watch::Sender::new(0),
         });
-        spawn_local(accept(inner.clone(), listener));
-        spawn_local(publish(inner.clone()));
+        spawn_local(accept_connections(inner.clone(), listener));
+        spawn_local(publish_changes(inner.clone()));
         Ok(FakeNodeList { inner, address })
     }
 
-    /// Where it listens.
+    /// Address that the list listens on.
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
 
-    /// Version of what it tells now.
+    /// Version of the published entries.
     pub fn generation(&self) -> u64 {
-        self.inner.state.borrow().roster.generation()
+        self.inner.state.borrow().registry.generation()
     }
 
-    /// Adds a node that controllers reach at `address`, at once.
+    /// Adds a node that controllers reach at `address`; published at once.
     pub fn add(&self, node: &FakeNode, address: SocketAddrV4) {
         let mut state = self.inner.state.borrow_mut();
         state.nodes.insert(address, node.clone());
-        state.roster.add(address, node.read(Facts::of));
+        state.registry.add(address, node.read(NodeSnapshot::of));
     }
 
-    /// Something is to be told of a node: its state, or that it came up again.
-    pub fn change(&self, node: &str, to: NodeState) {
+    /// A node changed its state or was restarted; published after the delay. Unknown names are ignored.
+    pub fn change(&self, node: &str, state: NodeState) {
         let now = self.inner.clock.now();
-        let mut state = self.inner.state.borrow_mut();
-        let found = state.nodes.iter().find(|(_, n)| n.name() == node);
-        if let Some((address, facts)) = found.map(|(a, n)| (*a, n.read(Facts::of))) {
-            state.roster.change(now, address, to, facts);
+        let mut list = self.inner.state.borrow_mut();
+        let found = list.nodes.iter().find(|(_, other)| other.name() == node);
+        if let Some((address, node)) = found {
+            let (address, snapshot) = (*address, node.read(NodeSnapshot::of));
+            list.registry.change(now, address, state, snapshot);
         }
     }
 
-    /// Changes what is wrong with the list.
-    pub fn change_faults(&self, change: impl FnOnce(&mut Trouble)) {
+    /// Changes the active faults.
+    pub fn change_faults(&self, change: impl FnOnce(&mut ListFaults)) {
         let mut state = self.inner.state.borrow_mut();
-        let mut trouble = Trouble {
-            late: state.roster.late,
-            down: state.down,
+        let mut faults = ListFaults {
+            delay: state.registry.delay,
+            down: state.is_down,
         };
-        change(&mut trouble);
-        (state.roster.late, state.down) = (trouble.late, trouble.down);
-        if trouble.down {
+        change(&mut faults);
+        state.registry.delay = faults.delay;
+        state.is_down = faults.down;
+        if faults.down {
             state.watchers.clear();
             drop(state);
-            self.inner.down.send_modify(|n| *n += 1);
+            self.inner.outages.send_modify(|outages| *outages += 1);
         }
     }
 }
 
-async fn publish(inner: Rc<Inner>) {
-    let mut tick = tokio::time::interval(Duration::from_millis(5));
-    tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
+async fn publish_changes(inner: Rc<Inner>) {
+    let mut interval = tokio::time::interval(PUBLISH_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     loop {
-        tick.tick().await;
+        interval.tick().await;
         let now = inner.clock.now();
         let mut state = inner.state.borrow_mut();
         let State {
             nodes,
-            roster,
+            registry,
             watchers,
-            down,
+            is_down,
         } = &mut *state;
-        let news = roster.publish(now, |address| {
-            nodes.get(&address).map(|n| n.read(Facts::of))
-        });
-        if let Some(news) = news.filter(|_| !*down) {
-            watchers.retain(|w| w.try_send(news.clone()).is_ok());
+        let look_up = |address| {
+            let node: &FakeNode = nodes.get(&address)?;
+            Some(node.read(NodeSnapshot::of))
+        };
+        let update = registry.publish(now, look_up);
+        if let Some(update) = update.filter(|_| !*is_down) {
+            watchers.retain(|watcher| watcher.try_send(update.clone()).is_ok());
         }
     }
 }
 
-async fn accept(inner: Rc<Inner>, listener: TcpListener) {
+async fn accept_connections(inner: Rc<Inner>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if inner.state.borrow().down => drop(stream),
+            Ok((stream, _)) if inner.state.borrow().is_down => drop(stream),
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
                 spawn_local(serve(inner.clone(), stream));
             }
-            Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
+        }
+    }
+}
+
+impl Inner {
+    /// Answers a request of a controller; one that watches is sent further updates through `updates`.
+    fn answer(&self, request: ToList, updates: &mpsc::Sender<FromList>) -> FromList {
+        let now = self.clock.now();
+        let mut state = self.state.borrow_mut();
+        match request {
+            ToList::Hello { .. } => FromList::Failed,
+            ToList::Fetch => state.registry.update(now, None),
+            ToList::Watch { after } => {
+                let update = state.registry.update(now, after);
+                let watchers = &mut state.watchers;
+                watchers.retain(|watcher| !watcher.same_channel(updates));
+                watchers.push(updates.clone());
+                update
+            }
         }
     }
 }
 
+/// Serves one controller until either end closes the connection.
 async fn serve(inner: Rc<Inner>, stream: TcpStream) {
-    let mut down = inner.down.subscribe();
-    let mut link = Framed::new(
-        stream,
-        MessageCodec::<ToList, FromList>::new(MAX_LIST_FRAME_BYTES),
-    );
+    let mut outages = inner.outages.subscribe();
+    let codec = MessageCodec::<ToList, FromList>::new(MAX_LIST_FRAME_BYTES);
+    let mut link = Framed::new(stream, codec);
     let Some(Ok(ToList::Hello { version, .. })) = link.next().await else {
         return;
     };
@@ -167,34 +197,23 @@
     {
         return;
     }
-    let (sender, mut queue) = mpsc::channel(QUEUE);
+    let (updates, mut queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
     loop {
-        tokio::select! {
-            call = link.next() => {
-                let Some(Ok(call)) = call else { return };
-                let now = inner.clock.now();
-                let news = match call {
-                    ToList::Hello { .. } => FromList::Failed,
-                    ToList::Fetch => inner.state.borrow().roster.news(now, None),
-                    ToList::Watch { after } => {
-                        let mut state = inner.state.borrow_mut();
-                        let news = state.roster.news(now, after);
-                        state.watchers.retain(|w| !w.same_channel(&sender));
-                        state.watchers.push(sender.clone());
-                        news
-                    }
-                };
-                if link.send(&news).await.is_err() {
-                    return;
-                }
-            }
-            news = queue.recv() => {
-                let Some(news) = news else { return };
-                if link.send(&news).await.is_err() {
-                    return;
-                }
-            }
-            _ = down.changed() => return,
+        let message = tokio::select! {
+            request = link.next() => match request {
+                Some(Ok(request)) => inner.answer(request, &updates),
+                Some(Err(_)) | None => return,
+            },
+            update = queue.recv() => match update {
+                Some(update) => update,
+                // The list has dropped its watchers.
+                None => return,
+            },
+            // The list went out of reach.
+            _ = outages.changed() => return,
+        };
+        if link.send(&message).await.is_err() {
+            return;
         }
     }
 }
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -1,15 +1,16 @@
-//! A node model behind a socket.
+//! A fake node: the node model behind a listening socket on loopback.
 
 use crate::node_model::{Faults, FleetState, NodeModel, NodeSpec, Outgoing};
-use crate::{Clock, QUEUE};
+use crate::{Clock, MAX_QUEUED_MESSAGES, listen_on_loopback};
 use futures_util::{SinkExt, StreamExt};
 use peppercove_protocol::codec::{MAX_NODE_FRAME_BYTES, MessageCodec};
 use peppercove_protocol::node::{FromNode, ProcessIdentity, ToNode};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
-use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc, watch};
@@ -18,31 +19,43 @@
 
 type Link = Framed<TcpStream, MessageCodec<ToNode, FromNode>>;
 
-/// What a connection's writer is told.
-enum Say {
-    Message(Box<FromNode>),
-    /// Close in the middle of a frame.
-    Cut,
-    /// Another link of the same controller has taken its place.
-    Replaced,
+/// Command to the task that serves a link.
+enum LinkCommand {
+    /// Send a message.
+    Send(Box<FromNode>),
+    /// Close the link in the middle of a frame.
+    CloseMidFrame,
+    /// Close the link: the same controller has opened a newer one.
+    Replace,
 }
 
+/// Beginning of a frame that is longer than what follows.
+const PARTIAL_FRAME: [u8; 7] = [0, 0, 1, 0, 7, 7, 7];
+
+/// Wait after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
+
+/// State of a fake node.
 struct State {
     model: NodeModel,
-    links: BTreeMap<String, (u64, mpsc::Sender<Say>)>,
-    /// Links so far: each has a number.
-    greeted: u64,
-    dead: bool,
+    /// The newest link of each controller, by its name.
+    links: BTreeMap<String, mpsc::Sender<LinkCommand>>,
+    /// Number of the newest link.
+    last_link: u64,
+    is_dead: bool,
 }
 
+/// What the handles and tasks of a fake node share.
 struct Inner {
     clock: Clock,
     state: RefCell<State>,
+    /// The next wake-up of the model may have changed.
     wake: Notify,
+    /// All links break when this changes.
     epoch: watch::Sender<u64>,
 }
 
-/// One stand-in node that listens on loopback. Dropping it does not end it; its runtime does.
+/// A fake node that listens on loopback. It lives as long as its runtime, not as long as this handle.
 #[derive(Clone)]
 pub struct FakeNode {
     inner: Rc<Inner>,
@@ -51,36 +64,32 @@
 }
 
 impl FakeNode {
-    /// Starts a node; must be called within a `LocalSet`.
+    /// Starts a node. Must be called within a `LocalSet`.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port is free.
     pub async fn start(
         spec: NodeSpec,
-        shared: FleetState,
+        fleet: FleetState,
         clock: Clock,
         seed: u64,
     ) -> io::Result<FakeNode> {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        let SocketAddr::V4(address) = listener.local_addr()? else {
-            return Err(io::Error::other("an IPv4 address was expected"));
-        };
+        let (listener, address) = listen_on_loopback().await?;
         let name = spec.name.clone();
-        let model = NodeModel::new(spec, shared, 1, seed);
-        let state = RefCell::new(State {
-            model,
+        let state = State {
+            model: NodeModel::new(spec, fleet, 1, seed),
             links: BTreeMap::new(),
-            greeted: 0,
-            dead: false,
-        });
+            last_link: 0,
+            is_dead: false,
+        };
         let inner = Rc::new(Inner {
             clock,
-            state,
+            state: RefCell::new(state),
             wake: Notify::new(),
             epoch: watch::Sender::new(0),
         });
-        spawn_local(accept(inner.clone(), listener));
-        spawn_local(keep_time(inner.clone()));
+        spawn_local(accept_links(inner.clone(), listener));
+        spawn_local(run_timers(inner.clone()));
         Ok(FakeNode {
             inner,
             address,
@@ -88,104 +97,156 @@
         })
     }
 
-    /// Where it listens.
+    /// Address that the node listens on.
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
 
-    /// Its name.
+    /// Name of the node.
     pub fn name(&self) -> &str {
         &self.name
     }
 
     /// Reads the model.
-    pub fn read<T>(&self, f: impl FnOnce(&NodeModel) -> T) -> T {
-        f(&self.inner.state.borrow().model)
+    pub fn read<T>(&self, read: impl FnOnce(&NodeModel) -> T) -> T {
+        read(&self.inner.state.borrow().model)
     }
 
-    /// Its process is gone.
+    /// The process has been killed or has crashed.
     pub fn is_dead(&self) -> bool {
-        self.inner.state.borrow().dead
+        self.inner.state.borrow().is_dead
     }
 
-    /// Changes what is wrong with it.
+    /// Changes the active faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         let now = self.inner.clock.now();
-        let mut faults = self.read(|m| m.faults().clone());
+        let mut faults = self.read(|model| model.faults().clone());
         change(&mut faults);
         self.inner.act(|model| model.set_faults(now, faults));
     }
 
-    /// It drains.
+    /// The node drains from now on.
     pub fn drain(&self) {
         let now = self.inner.clock.now();
         self.inner.act(|model| model.drain(now));
     }
 
-    /// It forgets this share of its idle programs.
+    /// Removes this share of the unused programs from the cache.
     pub fn flush(&self, share: f64) {
         self.inner.state.borrow_mut().model.flush(share);
     }
 
-    /// Its process is killed: links break and everything on it is gone.
+    /// Kills the process: its links break and its state is lost.
     pub fn kill(&self) {
         let now = self.inner.clock.now();
         let mut state = self.inner.state.borrow_mut();
         state.model.die(now);
-        state.dead = true;
+        state.is_dead = true;
         state.links.clear();
         drop(state);
-        self.inner.epoch.send_modify(|e| *e += 1);
+        self.inner.break_links();
     }
 
-    /// Its process starts anew, cold.
+    /// Starts the process again under the same address; it warms up.
     pub fn restart(&self) {
         let now = self.inner.clock.now();
         let mut state = self.inner.state.borrow_mut();
-        let life = state.model.life() + 1;
-        state.model.restart(now, life);
-        state.dead = false;
+        let incarnation = state.model.incarnation() + 1;
+        state.model.restart(now, incarnation);
+        state.is_dead = false;
         state.links.clear();
         drop(state);
-        self.inner.epoch.send_modify(|e| *e += 1);
+        self.inner.break_links();
         self.inner.wake.notify_one();
     }
 
-    /// All its links break; with `midway` in the middle of a frame.
-    pub fn cut(&self, midway: bool) {
-        let state = self.inner.state.borrow();
-        if midway {
-            for (_, link) in state.links.values() {
-                let _ = link.try_send(Say::Cut);
-            }
-        } else {
-            drop(state);
-            self.inner.epoch.send_modify(|e| *e += 1);
+    /// Breaks all links.
+    pub fn disconnect(&self) {
+        self.inner.break_links();
+    }
+
+    /// Breaks all links, each in the middle of a frame to the controller.
+    pub fn disconnect_mid_frame(&self) {
+        for link in self.inner.state.borrow().links.values() {
+            let _ = link.try_send(LinkCommand::CloseMidFrame);
         }
     }
 }
 
 impl Inner {
-    fn act(&self, f: impl FnOnce(&mut NodeModel) -> Vec<Outgoing>) {
+    fn break_links(&self) {
+        self.epoch.send_modify(|epoch| *epoch += 1);
+    }
+
+    /// Lets the model act, and sends its messages.
+    fn act(&self, act: impl FnOnce(&mut NodeModel) -> Vec<Outgoing>) {
         let mut state = self.state.borrow_mut();
-        let out = f(&mut state.model);
-        for (to, message) in out {
-            if let Some((_, link)) = state.links.get(&to) {
+        for outgoing in act(&mut state.model) {
+            if let Some(link) = state.links.get(&outgoing.controller) {
                 // A controller that does not read loses its own messages.
-                let _ = link.try_send(Say::Message(Box::new(message)));
+                let _ = link.try_send(LinkCommand::Send(Box::new(outgoing.message)));
             }
         }
-        if state.model.is_fallen() && !state.dead {
-            state.dead = true;
+        if state.model.has_crashed() && !state.is_dead {
+            state.is_dead = true;
             state.links.clear();
             drop(state);
-            self.epoch.send_modify(|e| *e += 1);
+            self.break_links();
         }
         self.wake.notify_one();
     }
+
+    /// Makes the handshake on a new link. Returns its number, or `None` if the node is dead.
+    fn open_link(
+        &self,
+        controller: &ProcessIdentity,
+        commands: &mpsc::Sender<LinkCommand>,
+    ) -> Option<u64> {
+        let mut state = self.state.borrow_mut();
+        if state.is_dead {
+            return None;
+        }
+        let now = self.clock.now();
+        state.last_link += 1;
+        let link = state.last_link;
+        for message in state.model.handshake(now, controller, link) {
+            let _ = commands.try_send(LinkCommand::Send(Box::new(message)));
+        }
+        let older = state
+            .links
+            .insert(controller.name.clone(), commands.clone());
+        // Messages go to the newer link from now on: the older one must not seem to be alive.
+        if let Some(older) = older {
+            let _ = older.try_send(LinkCommand::Replace);
+        }
+        Some(link)
+    }
+
+    fn close_link(
+        &self,
+        controller: &ProcessIdentity,
+        link: u64,
+        commands: &mpsc::Sender<LinkCommand>,
+    ) {
+        let now = self.clock.now();
+        let mut state = self.state.borrow_mut();
+        let newest = state.links.get(&controller.name);
+        if newest.is_some_and(|newest| newest.same_channel(commands)) {
+            state.links.remove(&controller.name);
+            state.model.disconnect(now, &controller.name, link);
+        }
+    }
+
+    fn on_message(&self, from: &ProcessIdentity, link: u64, message: ToNode) {
+        let now = self.clock.now();
+        if self.state.borrow().model.is_current(&from.name, link) {
+            self.act(|model| model.on_message(now, from, message));
+        }
+    }
 }
 
-async fn keep_time(inner: Rc<Inner>) {
+/// Calls the model whenever something in it is due.
+async fn run_timers(inner: Rc<Inner>) {
     loop {
         let next = inner.state.borrow().model.next_wake();
         let sleep = async {
@@ -197,125 +258,75 @@
         tokio::select! {
             () = sleep => {
                 let now = inner.clock.now();
-                if inner.state.borrow().dead {
+                if inner.state.borrow().is_dead {
                     inner.wake.notified().await;
                 } else {
                     inner.act(|model| model.tick(now));
                 }
             }
+            // The model has acted meanwhile: its next wake-up may be another one.
             () = inner.wake.notified() => {}
         }
     }
 }
 
-async fn accept(inner: Rc<Inner>, listener: TcpListener) {
+async fn accept_links(inner: Rc<Inner>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             // A dead process accepts nothing; the port is kept so that it can come back under its address.
-            Ok((stream, _)) if inner.state.borrow().dead => drop(stream),
+            Ok((stream, _)) if inner.state.borrow().is_dead => drop(stream),
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                spawn_local(serve(
-                    inner.clone(),
-                    Framed::new(stream, MessageCodec::new(MAX_NODE_FRAME_BYTES)),
-                ));
+                let link = Framed::new(stream, MessageCodec::new(MAX_NODE_FRAME_BYTES));
+                spawn_local(serve(inner.clone(), link));
             }
-            Err(_) => tokio::time::sleep(std::time::Duration::from_millis(10)).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-async fn serve(inner: Rc<Inner>, mut link: Link) {
+/// Serves one link until either end closes it.
+async fn serve(inner: Rc<Inner>, mut stream: Link) {
     let mut epoch = inner.epoch.subscribe();
-    let Some(Ok(ToNode::Hello {
-        version,
-        controller,
-    })) = link.next().await
-    else {
+    let Some(controller) = read_hello(&mut stream).await else {
         return;
     };
-    if version != peppercove_protocol::VERSION {
+    let (commands, mut queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
+    let Some(link) = inner.open_link(&controller, &commands) else {
         return;
-    }
-    let (sender, mut queue) = mpsc::channel(QUEUE);
-    let number;
-    {
-        let mut state = inner.state.borrow_mut();
-        if state.dead {
-            return;
-        }
-        let now = inner.clock.now();
-        state.greeted += 1;
-        number = state.greeted;
-        for message in state.model.greet(now, &controller, number) {
-            let _ = sender.try_send(Say::Message(Box::new(message)));
-        }
-        let new = (controller.incarnation, sender.clone());
-        // Two links of one controller: what is said goes to the newer, and the older must not seem to stand.
-        if let Some((_, old)) = state.links.insert(controller.name.clone(), new) {
-            let _ = old.try_send(Say::Replaced);
-        }
-    }
+    };
     loop {
         tokio::select! {
-            message = link.next() => match message {
-                Some(Ok(message)) => take(&inner, &controller, number, message),
-                _ => break,
+            message = stream.next() => match message {
+                Some(Ok(message)) => inner.on_message(&controller, link, message),
+                Some(Err(_)) | None => break,
             },
-            say = queue.recv() => match say {
-                Some(Say::Message(message)) => {
-                    if link.send(&*message).await.is_err() {
+            command = queue.recv() => match command {
+                Some(LinkCommand::Send(message)) => {
+                    if stream.send(&*message).await.is_err() {
                         break;
                     }
                 }
-                Some(Say::Cut) => {
-                    let _ = link.get_mut().write_all(&[0, 0, 1, 0, 7, 7, 7]).await;
+                Some(LinkCommand::CloseMidFrame) => {
+                    let _ = stream.get_mut().write_all(&PARTIAL_FRAME).await;
                     break;
                 }
-                Some(Say::Replaced) | None => break,
+                Some(LinkCommand::Replace) | None => break,
             },
+            // All links of the node break.
             _ = epoch.changed() => break,
         }
     }
-    let now = inner.clock.now();
-    let mut state = inner.state.borrow_mut();
-    if state
-        .links
-        .get(&controller.name)
-        .is_some_and(|(_, s)| s.same_channel(&sender))
-    {
-        state.links.remove(&controller.name);
-        state.model.part(now, &controller.name, number);
-    }
+    inner.close_link(&controller, link, &commands);
 }
 
-fn take(inner: &Inner, from: &ProcessIdentity, link: u64, message: ToNode) {
-    let now = inner.clock.now();
-    if !inner.state.borrow().model.is_current(&from.name, link) {
-        return;
+/// Reads the first message of a link: the identity of the controller, if it speaks this version.
+async fn read_hello(stream: &mut Link) -> Option<ProcessIdentity> {
+    match stream.next().await {
+        Some(Ok(ToNode::Hello {
+            version,
+            controller,
+        })) if version == peppercove_protocol::VERSION => Some(controller),
+        _ => None,
     }
-    inner.act(|model| match message {
-        ToNode::Hello { .. } => Vec::new(),
-        ToNode::Offer {
-            attempt,
-            expires_in,
-            task: work,
-        } => model.offer(now, from, attempt, expires_in, work),
-        ToNode::CancelAttempt { attempt } => model.withdraw(now, from, attempt),
-        ToNode::Adopt {
-            incarnation: life,
-            attempt,
-            new_attempt: named,
-        } => model.adopt(now, from, life, attempt, named),
-        ToNode::AcknowledgeEnd { attempt } => {
-            model.noted(from, attempt);
-            Vec::new()
-        }
-        ToNode::Discard {
-            incarnation: life,
-            attempt,
-        } => model.discard(now, from, life, attempt),
-        ToNode::Control { attempt, action } => model.control(now, from, attempt, action),
-        ToNode::Probe { nonce } => model.probe(now, from, nonce),
-    });
 }
--- /dev/null
+++ b/crates/standins/src/node_model/connections.rs
@@ -0,0 +1,107 @@
+//! Links of controllers to the node: handshake, which link is the newest, and what a broken link drops.
+
+use super::output::Outgoing;
+use super::task::{Task, TaskId};
+use super::{Micros, NodeModel};
+use peppercove_protocol::node::{FromNode, ProcessIdentity};
+
+/// The newest link of a controller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Connection {
+    /// Incarnation of the controller that made the handshake.
+    pub(super) incarnation: u64,
+    /// Number of the link, given by the caller.
+    pub(super) link: u64,
+}
+
+impl NodeModel {
+    /// A controller has opened a link, which replaces all its earlier ones. Returns the messages that complete the
+    /// handshake: a welcome that counts the known tasks, then one message for each.
+    pub fn handshake(
+        &mut self,
+        now: Micros,
+        controller: &ProcessIdentity,
+        link: u64,
+    ) -> Vec<FromNode> {
+        let connection = Connection {
+            incarnation: controller.incarnation,
+            link,
+        };
+        self.connections.insert(controller.name.clone(), connection);
+        // Tasks that were not started are dropped: the controller takes what is not listed now as never started.
+        self.drop_unstarted(now, &controller.name);
+        let mut known = self.live_tasks_of(controller);
+        let mut ended = Vec::new();
+        for (id, task) in self.completed.of_controller(&controller.name) {
+            if id.incarnation != controller.incarnation {
+                // Another incarnation does not know the attempt, but must learn that the task has run.
+                known.push(FromNode::KnownTask {
+                    incarnation: id.incarnation,
+                    attempt: id.attempt,
+                    task: task.offered.clone(),
+                    ended: Some(task.exit),
+                });
+            } else if !task.is_acknowledged {
+                ended.push(FromNode::Ended {
+                    attempt: id.attempt,
+                    end: task.exit,
+                    load: None,
+                });
+            }
+        }
+        let mut messages = vec![FromNode::Welcome {
+            version: peppercove_protocol::VERSION,
+            node: ProcessIdentity {
+                name: self.spec.name.clone(),
+                incarnation: self.incarnation,
+            },
+            known_tasks: (known.len() + ended.len()) as u32,
+            is_complete: !self.completed.has_forgotten(&controller.name),
+        }];
+        messages.extend(ended);
+        messages.extend(known);
+        messages
+    }
+
+    fn live_tasks_of(&self, controller: &ProcessIdentity) -> Vec<FromNode> {
+        let is_live = |(id, task): &(&TaskId, &Task)| {
+            id.controller == controller.name && !task.state.is_before_start()
+        };
+        let live = self.tasks.iter().filter(is_live);
+        live.map(|(id, task)| FromNode::KnownTask {
+            incarnation: id.incarnation,
+            attempt: id.attempt,
+            task: task.offered.clone(),
+            ended: None,
+        })
+        .collect()
+    }
+
+    /// The link is the newest of its controller. Messages on an older link must be ignored: an offer that was long
+    /// under way would start after the controller was told that it never did.
+    pub fn is_current(&self, controller: &str, link: u64) -> bool {
+        self.connections
+            .get(controller)
+            .is_some_and(|newest| newest.link == link)
+    }
+
+    /// The link of a controller broke: its tasks that were not started are dropped, the others run on.
+    pub fn disconnect(&mut self, now: Micros, controller: &str, link: u64) -> Vec<Outgoing> {
+        if self.is_current(controller, link) {
+            self.connections.remove(controller);
+            self.drop_unstarted(now, controller);
+        }
+        self.advance(now)
+    }
+
+    fn drop_unstarted(&mut self, now: Micros, controller: &str) {
+        let is_dropped = |(id, task): &(&TaskId, &Task)| {
+            id.controller == controller && task.state.is_before_start()
+        };
+        let dropped = self.tasks.iter().filter(is_dropped);
+        let dropped: Vec<TaskId> = dropped.map(|(id, _)| id.clone()).collect();
+        for id in dropped {
+            self.remove(now, &id);
+        }
+    }
+}
--- a/crates/standins/src/node_registry.rs
+++ b/crates/standins/src/node_registry.rs
@@ -1,202 +1,245 @@
-//! What a node list knows and tells, without sockets or clock: lines, their lateness, and changes for watchers.
+//! What a node list knows and publishes, without sockets or clock: entries, their delay, and changes for watchers.
 
-use crate::node_model::{Micros, NodeModel};
+use crate::node_model::{Micros, NodeModel, Resources};
 use peppercove_protocol::list::{FromList, ListEntry, NodeState, Scope};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// Changes remembered for watchers that come back.
-const CHANGES: usize = 10_000;
+/// Changes that are kept for watchers that reconnect; a watcher further behind gets the full list.
+const MAX_CHANGES: usize = 10_000;
 
-/// What the list sees of a node when it looks.
+/// What the list sees of a node when it looks at it.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct NodeSnapshot {
     name: String,
     kind: u8,
     rack: u16,
     zone: u8,
-    life: u64,
+    incarnation: u64,
     started: Option<Micros>,
-    free: (f64, f64),
+    free: Resources,
 }
 
-impl Facts {
-    /// Of a node's model.
-    pub fn of(model: &NodeModel) -> Facts {
+impl NodeSnapshot {
+    /// The present state of a node.
+    pub fn of(model: &NodeModel) -> NodeSnapshot {
         let spec = model.spec();
-        Facts {
+        NodeSnapshot {
             name: spec.name.clone(),
             kind: spec.kind,
             rack: spec.rack,
             zone: spec.zone,
-            life: model.life(),
+            incarnation: model.incarnation(),
             started: model.started(),
             free: model.free(),
         }
     }
 }
 
+/// An entry of the list. Its age is filled in when it is sent.
 #[derive(Clone, Debug)]
-struct Told {
-    line: ListEntry,
+struct Entry {
+    listed: ListEntry,
     started: Option<Micros>,
 }
 
-/// The list: what is so, what has been told, and what waits to be told.
+impl Entry {
+    fn new(address: SocketAddrV4, state: NodeState, node: NodeSnapshot) -> Entry {
+        let listed = ListEntry {
+            address,
+            name: node.name,
+            state,
+            kind: node.kind,
+            rack: node.rack,
+            zone: node.zone,
+            incarnation: node.incarnation,
+            age: None,
+            free_cores: Some(node.free.cores),
+            free_memory: Some(node.free.memory),
+        };
+        Entry {
+            listed,
+            started: node.started,
+        }
+    }
+
+    fn with_age(&self, now: Micros) -> ListEntry {
+        ListEntry {
+            age: self.started.map(|at| now.saturating_sub(at)),
+            ..self.listed.clone()
+        }
+    }
+
+    /// Only the free resources have changed.
+    fn differs_in_free_resources_only(&self, newer: &Entry) -> bool {
+        let (old, new) = (&self.listed, &newer.listed);
+        let differs = old.free_cores != new.free_cores || old.free_memory != new.free_memory;
+        differs && old.incarnation == new.incarnation && old.state == new.state
+    }
+}
+
+/// A change that has not been published yet.
+#[derive(Debug)]
+struct PendingChange {
+    due: Micros,
+    entry: Entry,
+}
+
+/// A change that was published with this version of the list.
+#[derive(Debug)]
+struct PublishedChange {
+    generation: u64,
+    entry: Entry,
+}
+
+/// A node list: the real states of the nodes, the published entries, and the changes that are still to be published.
 #[derive(Debug, Default)]
 pub struct NodeRegistry {
     states: BTreeMap<SocketAddrV4, NodeState>,
-    pending: VecDeque<(Micros, Told)>,
-    told: BTreeMap<SocketAddrV4, Told>,
-    changes: VecDeque<(u64, Told)>,
+    pending: VecDeque<PendingChange>,
+    published: BTreeMap<SocketAddrV4, Entry>,
+    changes: VecDeque<PublishedChange>,
     generation: u64,
-    refreshed: Micros,
-    refresh: Micros,
-    /// Changes are told this late.
-    pub late: Micros,
+    last_refresh: Micros,
+    refresh_interval: Micros,
+    /// Time from a change to its publication, in microseconds.
+    pub delay: Micros,
 }
 
 impl NodeRegistry {
-    /// A list that tells changes `late` and looks at free room every `refresh`.
-    pub fn new(late: Micros, refresh: Micros) -> NodeRegistry {
+    /// An empty list that publishes changes after `delay` and looks at free resources every `refresh_interval`, both
+    /// in microseconds.
+    pub fn new(delay: Micros, refresh_interval: Micros) -> NodeRegistry {
         NodeRegistry {
-            late,
-            refresh,
+            delay,
+            refresh_interval,
             ..NodeRegistry::default()
         }
     }
 
-    /// Version of what it tells now.
+    /// Version of the published entries.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Adds a node that controllers reach at `address`, at once.
-    pub fn add(&mut self, address: SocketAddrV4, facts: Facts) {
+    /// Adds a node that controllers reach at `address`; published at once.
+    pub fn add(&mut self, address: SocketAddrV4, node: NodeSnapshot) {
         self.states.insert(address, NodeState::Ready);
-        let told = line(address, NodeState::Ready, facts);
-        self.tell(vec![told]);
+        let entry = Entry::new(address, NodeState::Ready, node);
+        self.publish_entries(vec![entry]);
     }
 
-    /// Something is to be told of a node: its state, or that it came up again.
-    pub fn change(&mut self, now: Micros, address: SocketAddrV4, to: NodeState, facts: Facts) {
-        self.states.insert(address, to);
-        self.pending
-            .push_back((now + self.late, line(address, to, facts)));
+    /// A node changed its state or was restarted; published after the delay.
+    pub fn change(
+        &mut self,
+        now: Micros,
+        address: SocketAddrV4,
+        state: NodeState,
+        node: NodeSnapshot,
+    ) {
+        self.states.insert(address, state);
+        self.pending.push_back(PendingChange {
+            due: now + self.delay,
+            entry: Entry::new(address, state, node),
+        });
     }
 
-    /// When there is something to publish.
-    pub fn next(&self) -> Micros {
-        let pending = self.pending.iter().map(|(at, _)| *at).min();
-        pending
-            .unwrap_or(Micros::MAX)
-            .min(self.refreshed + self.refresh)
+    /// Time of the next [`NodeRegistry::publish`].
+    pub fn next_publication(&self) -> Micros {
+        let pending = self.pending.iter().map(|change| change.due).min();
+        let refresh = self.last_refresh + self.refresh_interval;
+        pending.unwrap_or(Micros::MAX).min(refresh)
     }
 
-    /// Time has passed: what became due is told, and gone through for those who watch.
+    /// Publishes the changes that are due and refreshes free resources. Returns what watchers are to be sent.
     pub fn publish(
         &mut self,
         now: Micros,
-        look: impl Fn(SocketAddrV4) -> Option<Facts>,
+        look_up: impl Fn(SocketAddrV4) -> Option<NodeSnapshot>,
     ) -> Option<FromList> {
         let before = self.generation;
         let mut due = Vec::new();
-        while self.pending.front().is_some_and(|(at, _)| *at <= now) {
-            due.extend(self.pending.pop_front().map(|(_, told)| told));
+        while let Some(change) = self.pending.pop_front_if(|change| change.due <= now) {
+            due.push(change.entry);
         }
-        self.tell(due);
-        if now >= self.refreshed + self.refresh {
-            self.refreshed = now;
-            // Free room is as late as everything else; what the list has not told of a node's life stays untold.
-            for (address, old) in &self.told {
-                let (Some(state), Some(facts)) = (self.states.get(address), look(*address)) else {
-                    continue;
-                };
-                let new = line(*address, *state, facts);
-                let moved = old.line.free_cores != new.line.free_cores
-                    || old.line.free_memory != new.line.free_memory;
-                if moved
-                    && old.line.incarnation == new.line.incarnation
-                    && old.line.state == new.line.state
-                {
-                    self.pending.push_back((now + self.late, new));
-                }
+        self.publish_entries(due);
+        if now >= self.last_refresh + self.refresh_interval {
+            self.last_refresh = now;
+            self.refresh(now, look_up);
+        }
+        (self.generation > before).then(|| self.update(now, Some(before)))
+    }
+
+    /// Schedules the publication of changed free resources. They are as late as every other change, and a new
+    /// incarnation or state is not published early through them.
+    fn refresh(&mut self, now: Micros, look_up: impl Fn(SocketAddrV4) -> Option<NodeSnapshot>) {
+        for (address, published) in &self.published {
+            let (Some(state), Some(node)) = (self.states.get(address), look_up(*address)) else {
+                continue;
+            };
+            let entry = Entry::new(*address, *state, node);
+            if published.differs_in_free_resources_only(&entry) {
+                let due = now + self.delay;
+                self.pending.push_back(PendingChange { due, entry });
             }
-            let mut pending: Vec<(Micros, Told)> = self.pending.drain(..).collect();
-            pending.sort_by_key(|(at, _)| *at);
-            self.pending = pending.into();
         }
-        (self.generation > before).then(|| self.news(now, Some(before)))
+        // The delay may have changed meanwhile.
+        self.pending
+            .make_contiguous()
+            .sort_by_key(|change| change.due);
     }
 
-    /// All that is told, or what changed after a version.
-    pub fn news(&self, now: Micros, after: Option<u64>) -> FromList {
-        let aged = |t: &Told| ListEntry {
-            age: t.started.map(|at| now.saturating_sub(at)),
-            ..t.line.clone()
-        };
-        let oldest = self
-            .changes
-            .front()
-            .map_or(self.generation + 1, |(g, _)| *g);
+    /// The full list, or what changed after a version if that is still known.
+    pub fn update(&self, now: Micros, after: Option<u64>) -> FromList {
         let generation = self.generation;
-        match after.filter(|a| *a <= generation && *a + 1 >= oldest) {
-            Some(after) => {
-                // The last word on each node, so that a long gap costs a line a node at most.
-                let since = self.changes.iter().filter(|(g, _)| *g > after);
-                let last: BTreeMap<SocketAddrV4, ListEntry> =
-                    since.map(|(_, t)| (t.line.address, aged(t))).collect();
-                FromList::Update {
-                    generation,
-                    scope: Scope::Delta,
-                    entries: last.into_values().collect(),
-                }
-            }
+        let oldest = self.changes.front();
+        let oldest = oldest.map_or(generation + 1, |change| change.generation);
+        let known = after.filter(|after| *after <= generation && *after + 1 >= oldest);
+        let (scope, entries) = match known {
+            Some(after) => (Scope::Delta, self.changed_after(now, after)),
             None => {
-                let lines = self.told.values().map(aged).collect();
-                FromList::Update {
-                    generation,
-                    scope: Scope::Full,
-                    entries: lines,
-                }
+                let entries = self.published.values().map(|entry| entry.with_age(now));
+                (Scope::Full, entries.collect())
             }
+        };
+        FromList::Update {
+            generation,
+            scope,
+            entries,
         }
     }
 
-    fn tell(&mut self, lines: Vec<Told>) {
-        if lines.is_empty() {
+    /// The last change of each node, so that a long gap costs at most one entry a node.
+    fn changed_after(&self, now: Micros, after: u64) -> Vec<ListEntry> {
+        let newer = self
+            .changes
+            .iter()
+            .filter(|change| change.generation > after);
+        let last: BTreeMap<SocketAddrV4, ListEntry> = newer
+            .map(|change| (change.entry.listed.address, change.entry.with_age(now)))
+            .collect();
+        last.into_values().collect()
+    }
+
+    fn publish_entries(&mut self, entries: Vec<Entry>) {
+        if entries.is_empty() {
             return;
         }
         self.generation += 1;
-        for told in &lines {
-            if told.line.state == NodeState::Removed {
-                self.told.remove(&told.line.address);
+        for entry in entries {
+            let address = entry.listed.address;
+            if entry.listed.state == NodeState::Removed {
+                self.published.remove(&address);
             } else {
-                self.told.insert(told.line.address, told.clone());
+                self.published.insert(address, entry.clone());
             }
-            self.changes.push_back((self.generation, told.clone()));
+            self.changes.push_back(PublishedChange {
+                generation: self.generation,
+                entry,
+            });
         }
-        while self.changes.len() > CHANGES {
+        while self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
 }
-
-fn line(address: SocketAddrV4, state: NodeState, facts: Facts) -> Told {
-    let line = ListEntry {
-        address,
-        name: facts.name,
-        state,
-        kind: facts.kind,
-        rack: facts.rack,
-        zone: facts.zone,
-        incarnation: facts.life,
-        age: None,
-        free_cores: Some(facts.free.0),
-        free_memory: Some(facts.free.1),
-    };
-    Told {
-        line,
-        started: facts.started,
-    }
-}
--- a/crates/standins/src/receiver.rs
+++ b/crates/standins/src/receiver.rs
@@ -1,4 +1,4 @@
-//! A receiver of Prometheus remote write, 1.0 and 2.0: as strict as a real one, and as troubled as told.
+//! A fake receiver of Prometheus remote write, 1.0 and 2.0: as strict as a real one, with faults on request.
 
 use peppercove_push::encode::{v1, v2};
 use prost::Message;
@@ -12,33 +12,39 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// What is wrong with the receiver now.
+/// Faults of the receiver that are active now.
 #[derive(Clone, Debug, Default)]
-pub struct Trouble {
-    /// It takes so long for each answer.
+pub struct ReceiverFaults {
+    /// Time that it takes for each response.
     pub slow: Duration,
     /// It closes every connection.
     pub down: bool,
-    /// It answers this status, with `Retry-After` in seconds, and takes nothing.
+    /// It responds with this status, and `Retry-After` in seconds, and stores nothing.
     pub answers: Option<(u16, Option<u64>)>,
-    /// It speaks only this version: 1 or 2.
+    /// It supports this major version of the protocol only: 1 or 2.
     pub only: Option<u8>,
-    /// It refuses every request with a series of this name.
+    /// It rejects every request with a series of this name.
     pub refuses: Option<String>,
 }
 
-/// Labels of a series and its samples: time and value.
-pub type Series = BTreeMap<Vec<(String, String)>, Vec<(i64, f64)>>;
+/// Labels of a series, each with its name and value, in the order in which they were sent.
+type Labels = Vec<(String, String)>;
+
+/// Samples of a series, each with its time in milliseconds and its value.
+type Samples = Vec<(i64, f64)>;
+
+/// Stored samples by the labels of their series.
+pub type Series = BTreeMap<Labels, Samples>;
 
 #[derive(Default)]
 struct State {
-    trouble: Trouble,
+    faults: ReceiverFaults,
     series: Series,
     requests: BTreeMap<u16, u64>,
-    complaints: Vec<String>,
+    protocol_violations: Vec<String>,
 }
 
-/// A stand-in receiver on loopback.
+/// A fake receiver on loopback.
 #[derive(Clone)]
 pub struct Receiver {
     state: Rc<RefCell<State>>,
@@ -46,41 +52,41 @@
 }
 
 impl Receiver {
-    /// Starts it, within a `LocalSet`.
+    /// Starts a receiver. Must be called within a `LocalSet`.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port is free.
     pub async fn start() -> io::Result<Receiver> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let state = Rc::new(RefCell::new(State::default()));
-        let kept = state.clone();
+        let shared = state.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if !kept.borrow().trouble.down {
-                    spawn_local(serve(kept.clone(), stream));
+                if !shared.borrow().faults.down {
+                    spawn_local(serve(shared.clone(), stream));
                 }
             }
         });
         Ok(Receiver { state, address })
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what is wrong with it.
-    pub fn change_faults(&self, change: impl FnOnce(&mut Trouble)) {
-        change(&mut self.state.borrow_mut().trouble);
+    /// Changes the active faults.
+    pub fn change_faults(&self, change: impl FnOnce(&mut ReceiverFaults)) {
+        change(&mut self.state.borrow_mut().faults);
     }
 
-    /// All that it has taken.
+    /// All stored samples.
     pub fn series(&self) -> Series {
         self.state.borrow().series.clone()
     }
 
-    /// The samples of a name, over all series of it.
+    /// Stored samples of all series with this name.
     pub fn samples(&self, name: &str) -> usize {
         let named =
             |labels: &[(String, String)]| labels.iter().any(|(n, v)| n == "__name__" && v == name);
@@ -93,167 +99,249 @@
             .sum()
     }
 
-    /// Samples taken.
+    /// Stored samples.
     pub fn accepted_samples(&self) -> usize {
         self.state.borrow().series.values().map(Vec::len).sum()
     }
 
-    /// Requests by the status that they were answered with.
+    /// Requests by the status of their response.
     pub fn requests(&self) -> BTreeMap<u16, u64> {
         self.state.borrow().requests.clone()
     }
 
-    /// What it found wrong with what it was sent.
+    /// What was wrong with requests.
     pub fn protocol_violations(&self) -> Vec<String> {
-        self.state.borrow().complaints.clone()
+        self.state.borrow().protocol_violations.clone()
     }
 }
 
-async fn serve(state: Rc<RefCell<State>>, mut stream: TcpStream) -> Option<()> {
-    let mut bytes = Vec::new();
-    let (head, length, second) = loop {
+/// Version of the protocol that a request is written in.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Version {
+    V1,
+    V2,
+}
+
+impl Version {
+    fn of_content_type(content_type: &str) -> Version {
+        if content_type.contains("io.prometheus.write.v2.Request") {
+            Version::V2
+        } else {
+            Version::V1
+        }
+    }
+
+    fn major(self) -> u8 {
+        match self {
+            Version::V1 => 1,
+            Version::V2 => 2,
+        }
+    }
+
+    /// Value of the version header of such requests.
+    fn header(self) -> &'static str {
+        match self {
+            Version::V1 => "0.1.0",
+            Version::V2 => "2.0.0",
+        }
+    }
+
+    /// Status of the response to a request that was stored.
+    fn success_status(self) -> u16 {
+        match self {
+            Version::V1 => 200,
+            Version::V2 => 204,
+        }
+    }
+}
+
+/// Parsed headers of a request.
+struct Head {
+    /// Length of the request line and the headers, in bytes.
+    length: usize,
+    /// `None` if it is missing or no number.
+    body_length: Option<usize>,
+    version: Version,
+    /// The version header and the encoding fit the content type.
+    is_consistent: bool,
+}
+
+impl Head {
+    /// `None` if the headers are not complete yet.
+    fn parse(bytes: &[u8]) -> Option<Head> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut request = httparse::Request::new(&mut headers);
-        if let Ok(httparse::Status::Complete(head)) = request.parse(&bytes) {
-            let header = |name: &str| {
-                let found = request
-                    .headers
-                    .iter()
-                    .find(|h| h.name.eq_ignore_ascii_case(name));
-                found
-                    .and_then(|h| std::str::from_utf8(h.value).ok())
-                    .unwrap_or_default()
-                    .to_owned()
-            };
-            let second = header("content-type").contains("io.prometheus.write.v2.Request");
-            let versions = if second { "2.0.0" } else { "0.1.0" };
-            if header("x-prometheus-remote-write-version") != versions
-                || header("content-encoding") != "snappy"
-            {
-                state
-                    .borrow_mut()
-                    .complaints
-                    .push("headers and message do not agree".into());
-            }
-            break (
-                head,
-                header("content-length").parse::<usize>().ok()?,
-                second,
-            );
+        let Ok(httparse::Status::Complete(length)) = request.parse(bytes) else {
+            return None;
+        };
+        let header = |name: &str| {
+            let found = request
+                .headers
+                .iter()
+                .find(|header| header.name.eq_ignore_ascii_case(name));
+            found
+                .and_then(|header| std::str::from_utf8(header.value).ok())
+                .unwrap_or_default()
+        };
+        let version = Version::of_content_type(header("content-type"));
+        let is_consistent = header("x-prometheus-remote-write-version") == version.header()
+            && header("content-encoding") == "snappy";
+        Some(Head {
+            length,
+            body_length: header("content-length").parse().ok(),
+            version,
+            is_consistent,
+        })
+    }
+}
+
+/// Serves one request; `None` if the connection ended before its response.
+async fn serve(state: Rc<RefCell<State>>, mut stream: TcpStream) -> Option<()> {
+    let mut bytes = Vec::new();
+    let head = loop {
+        if let Some(head) = Head::parse(&bytes) {
+            break head;
         }
         if stream.read_buf(&mut bytes).await.ok()? == 0 {
             return None;
         }
     };
-    while bytes.len() < head + length {
+    if !head.is_consistent {
+        let violation = "headers and message do not agree".into();
+        state.borrow_mut().protocol_violations.push(violation);
+    }
+    let end = head.length + head.body_length?;
+    while bytes.len() < end {
         if stream.read_buf(&mut bytes).await.ok()? == 0 {
             return None;
         }
     }
-    let trouble = state.borrow().trouble.clone();
-    tokio::time::sleep(trouble.slow).await;
-    let (status, after) = match trouble.answers {
-        Some((status, after)) => (status, after),
-        None if trouble.only.is_some_and(|only| (only == 2) != second) => (415, None),
-        None => (
-            take(&mut state.borrow_mut(), &bytes[head..head + length], second),
-            None,
-        ),
+    let faults = state.borrow().faults.clone();
+    tokio::time::sleep(faults.slow).await;
+    let is_unsupported = |only: u8| only != head.version.major();
+    let (status, retry_after) = match faults.answers {
+        Some((status, retry_after)) => (status, retry_after),
+        None if faults.only.is_some_and(is_unsupported) => (415, None),
+        None => {
+            let body = &bytes[head.length..end];
+            (store(&mut state.borrow_mut(), body, head.version), None)
+        }
     };
     *state.borrow_mut().requests.entry(status).or_insert(0) += 1;
-    let after = after
-        .map(|s| format!("Retry-After: {s}\r\n"))
-        .unwrap_or_default();
-    let answer = format!(
-        "HTTP/1.1 {status} Answer\r\n{after}Content-Length: 0\r\nConnection: close\r\n\r\n"
+    let retry_after = retry_after.map(|seconds| format!("Retry-After: {seconds}\r\n"));
+    let retry_after = retry_after.unwrap_or_default();
+    let response = format!(
+        "HTTP/1.1 {status} Answer\r\n{retry_after}Content-Length: 0\r\nConnection: close\r\n\r\n"
     );
-    stream.write_all(answer.as_bytes()).await.ok()
+    stream.write_all(response.as_bytes()).await.ok()
 }
 
-/// Checks a batch as a whole, then takes it as a whole.
-fn take(state: &mut State, body: &[u8], second: bool) -> u16 {
-    let decoded = snap::raw::Decoder::new()
-        .decompress_vec(body)
-        .ok()
-        .and_then(|b| decode(&b, second));
-    let Some(batch) = decoded else {
-        state.complaints.push("the body is no batch".into());
+/// Checks a whole batch, then stores all of it or nothing. Returns the status of the response.
+fn store(state: &mut State, body: &[u8], version: Version) -> u16 {
+    let decompressed = snap::raw::Decoder::new().decompress_vec(body).ok();
+    let batch = decompressed.and_then(|bytes| decode(&bytes, version));
+    let Some(batch) = batch else {
+        state
+            .protocol_violations
+            .push("the body is no batch".into());
         return 400;
     };
-    let mut wrong = Vec::new();
+    let mut violations = Vec::new();
     for (labels, samples) in &batch {
         let name = labels
             .iter()
-            .find(|(n, _)| n == "__name__")
-            .map(|(_, v)| v.as_str())
+            .find(|(label, _)| label == "__name__")
+            .map(|(_, value)| value.as_str())
             .unwrap_or_default();
-        if state.trouble.refuses.as_deref() == Some(name) {
+        if state.faults.refuses.as_deref() == Some(name) {
             return 400;
         }
-        if name.is_empty()
-            || !labels.is_sorted_by(|a, b| a.0 < b.0)
-            || labels.iter().any(|(_, v)| v.is_empty())
-        {
-            wrong.push(format!("labels of {name}: {labels:?}"));
-        }
+        violations.extend(check_labels(name, labels));
         let stored = state.series.get(labels).map_or(&[][..], Vec::as_slice);
-        let mut last = stored.last().map_or(i64::MIN, |(at, _)| *at);
-        for (at, value) in samples {
-            // The very same sample again is what a sender makes whose answer was lost: a real receiver bears it.
-            if stored
-                .iter()
-                .rev()
-                .any(|(t, v)| t == at && v.to_bits() == value.to_bits())
-            {
-                continue;
-            }
-            if *at <= last {
-                wrong.push(format!("{name} at {at} comes after {last}"));
-            }
-            last = *at;
-        }
+        violations.extend(check_order(name, stored, samples));
     }
-    if !wrong.is_empty() {
-        state.complaints.extend(wrong);
+    if !violations.is_empty() {
+        state.protocol_violations.extend(violations);
         return 400;
     }
     for (labels, samples) in batch {
         let series = state.series.entry(labels).or_default();
-        let last = series.last().map_or(i64::MIN, |(at, _)| *at);
+        let last = last_time(series);
         series.extend(samples.into_iter().filter(|(at, _)| *at > last));
     }
-    if second { 204 } else { 200 }
+    version.success_status()
 }
 
-type Batch = Vec<(Vec<(String, String)>, Vec<(i64, f64)>)>;
+/// A series has a name, and its labels are sorted and none is empty.
+fn check_labels(name: &str, labels: &Labels) -> Option<String> {
+    let is_sorted = labels.is_sorted_by(|a, b| a.0 < b.0);
+    let has_empty = labels.iter().any(|(_, value)| value.is_empty());
+    (name.is_empty() || !is_sorted || has_empty).then(|| format!("labels of {name}: {labels:?}"))
+}
 
-fn decode(bytes: &[u8], second: bool) -> Option<Batch> {
-    let samples = |s: &[v1::Sample]| s.iter().map(|s| (s.timestamp, s.value)).collect();
-    if !second {
-        let request = v1::WriteRequest::decode(bytes).ok()?;
-        let labels = |l: &[v1::Label]| {
-            l.iter()
-                .map(|l| (l.name.clone(), l.value.clone()))
-                .collect()
+/// Samples of a series come in the order of their times.
+fn check_order(name: &str, stored: &[(i64, f64)], samples: &[(i64, f64)]) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut last = last_time(stored);
+    for (at, value) in samples {
+        // A sender repeats the very same sample where the response was lost: real receivers accept that.
+        let is_stored = |(stored_at, stored): &(i64, f64)| {
+            stored_at == at && stored.to_bits() == value.to_bits()
         };
-        return Some(
-            request
-                .timeseries
-                .iter()
-                .map(|t| (labels(&t.labels), samples(&t.samples)))
-                .collect(),
-        );
+        if stored.iter().rev().any(is_stored) {
+            continue;
+        }
+        if *at <= last {
+            violations.push(format!("{name} at {at} comes after {last}"));
+        }
+        last = *at;
+    }
+    violations
+}
+
+fn last_time(samples: &[(i64, f64)]) -> i64 {
+    samples.last().map_or(i64::MIN, |(at, _)| *at)
+}
+
+/// Series of one request, each with its samples.
+type Batch = Vec<(Labels, Samples)>;
+
+fn decode(bytes: &[u8], version: Version) -> Option<Batch> {
+    match version {
+        Version::V1 => decode_v1(bytes),
+        Version::V2 => decode_v2(bytes),
     }
+}
+
+fn decode_v1(bytes: &[u8]) -> Option<Batch> {
+    let request = v1::WriteRequest::decode(bytes).ok()?;
+    let batch = request.timeseries.iter().map(|series| {
+        let labels = series.labels.iter();
+        let labels = labels.map(|label| (label.name.clone(), label.value.clone()));
+        (labels.collect(), samples_of(&series.samples))
+    });
+    Some(batch.collect())
+}
+
+fn decode_v2(bytes: &[u8]) -> Option<Batch> {
     let request = v2::Request::decode(bytes).ok()?;
-    let text = |place: u32| request.symbols.get(place as usize).cloned();
-    let labels = |refs: &[u32]| -> Option<Vec<(String, String)>> {
-        refs.chunks(2)
-            .map(|p| Some((text(p[0])?, text(*p.get(1)?)?)))
+    let symbol = |index: u32| request.symbols.get(index as usize).cloned();
+    let labels = |references: &[u32]| -> Option<Labels> {
+        let pairs = references.chunks(2);
+        pairs
+            .map(|pair| Some((symbol(pair[0])?, symbol(*pair.get(1)?)?)))
             .collect()
     };
-    request
+    let batch = request
         .timeseries
         .iter()
-        .map(|t| Some((labels(&t.labels_refs)?, samples(&t.samples))))
+        .map(|series| Some((labels(&series.labels_refs)?, samples_of(&series.samples))));
+    batch.collect()
+}
+
+fn samples_of(samples: &[v1::Sample]) -> Samples {
+    let samples = samples.iter();
+    samples
+        .map(|sample| (sample.timestamp, sample.value))
         .collect()
 }
