--- a/crates/metrics/tests/names.rs
+++ b/crates/metrics/tests/names.rs
@@ -1,14 +1,14 @@
 //! Names, kinds and labels of all figures, as commit 0ad3387 had them: dashboards and alert rules of others use them.
 
-use peppercove_metrics::{FAMILIES, Kind};
+use peppercove_metrics::{FAMILIES, MetricKind};
 
 #[test]
 fn names_kinds_and_labels_are_those_of_0ad3387() {
     let line = |family: &peppercove_metrics::Family| {
         let kind = match family.kind {
-            Kind::Counter => "counter",
-            Kind::Gauge => "gauge",
-            Kind::Histogram => "histogram",
+            MetricKind::Counter => "counter",
+            MetricKind::Gauge => "gauge",
+            MetricKind::Histogram => "histogram",
         };
         format!("{} {kind} {}", family.name, family.labels.join(","))
     };
