--- a/src/adapter_protocol/records.rs
+++ b/src/adapter_protocol/records.rs
@@ -20,7 +20,7 @@
     pub kinds: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// A connection that is not up within this time counts as unreachable; 0 if it is not told.
+    /// A connection that is not up within this time counts as unreachable; 0 if it is not known.
     pub dial_timeout: Micros,
 }
 
@@ -133,7 +133,7 @@
         rack,
         zone,
         started_at,
-        // All schedulers are told the same start time here, so that it names the incarnation as
+        // All schedulers get the same start time here, so that it names the incarnation as
         // well.
         incarnation: started_at,
         free_cores: Some(free_cores),
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -5,7 +5,7 @@
 /// Something to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Subscribe to the node list, or ask for it.
+    /// Subscribe to the node list, or request it.
     WatchNodes,
     /// Send a task to a node: the next attempt of its request.
     Dispatch {
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,4 +1,4 @@
-//! Events: what a scheduler is told.
+//! Events: the input of a scheduler.
 
 use super::{
     AttemptOutcome, EndReason, ListUpdateKind, LoadReport, NodeEntry, NodeId, PlacementRequest,
@@ -11,7 +11,7 @@
 /// [`Action::Dispatch`](super::Action::Dispatch).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the node list.
+    /// An update of the node list.
     NodeList {
         /// How it relates to the list already known.
         kind: ListUpdateKind,
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! What the decision module is told and what it answers with.
+//! The input and output of the decision module.
 //!
 //! These types carry facts and instructions only; no decision is made here. All of them are
 //! re-exported at the root of the crate.
--- a/src/api/node.rs
+++ b/src/api/node.rs
@@ -1,4 +1,4 @@
-//! What schedulers are told of nodes: the node list and load reports.
+//! What schedulers know of nodes: the node list and load reports.
 
 use super::{Micros, NodeId};
 use serde::{Deserialize, Serialize};
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! What a scheduler is told when it starts.
+//! The settings with which a scheduler starts.
 
 use super::{Micros, Resources};
 
@@ -72,6 +72,41 @@
     pub max_per_domain: u32,
 }
 
+impl TaskClass {
+    /// An idempotent class, one with idempotency keys and a topology spread, and a non-idempotent
+    /// one.
+    fn samples() -> Vec<TaskClass> {
+        let class = TaskClass {
+            latency_objective: 1_000_000,
+            deadline: 5_000_000,
+            idempotency: Idempotency::Idempotent,
+            weight: 1.0,
+            late_weight: 0.5,
+            start_seconds: 5.0,
+            saturation_start: 0.9,
+            saturation_span: 0.1,
+            priority: 0,
+            node_kind: None,
+            topology_spread: TopologySpread::Off,
+            max_per_domain: 1,
+        };
+        let keyed = TaskClass {
+            idempotency: Idempotency::Keyed {
+                scope: DedupScope::Rack,
+                window: 4_000_000,
+            },
+            topology_spread: TopologySpread::Rack,
+            max_per_domain: 2,
+            ..class
+        };
+        let non_idempotent = TaskClass {
+            idempotency: Idempotency::NonIdempotent,
+            ..class
+        };
+        vec![class, keyed, non_idempotent]
+    }
+}
+
 /// A kind of node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeKind {
@@ -113,7 +148,7 @@
     Running,
 }
 
-/// All that a scheduler is told when it starts.
+/// The settings with which a scheduler starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Schedulers that share the nodes, this one included.
@@ -154,7 +189,7 @@
     pub can_probe: bool,
     /// Messages to other schedulers are allowed.
     pub peer_messages: bool,
-    /// The node list must be asked for.
+    /// The node list must be requested.
     pub is_list_polled: bool,
     /// Without a subscription, the list is taken as known for this long after it was last polled.
     pub poll_interval: Micros,
@@ -192,38 +227,11 @@
 impl Settings {
     /// Settings of a small made-up cluster, for examples and tests.
     pub fn sample() -> Settings {
-        let class = TaskClass {
-            latency_objective: 1_000_000,
-            deadline: 5_000_000,
-            idempotency: Idempotency::Idempotent,
-            weight: 1.0,
-            late_weight: 0.5,
-            start_seconds: 5.0,
-            saturation_start: 0.9,
-            saturation_span: 0.1,
-            priority: 0,
-            node_kind: None,
-            topology_spread: TopologySpread::Off,
-            max_per_domain: 1,
-        };
-        let keyed = TaskClass {
-            idempotency: Idempotency::Keyed {
-                scope: DedupScope::Rack,
-                window: 4_000_000,
-            },
-            topology_spread: TopologySpread::Rack,
-            max_per_domain: 2,
-            ..class.clone()
-        };
-        let non_idempotent = TaskClass {
-            idempotency: Idempotency::NonIdempotent,
-            ..class.clone()
-        };
         Settings {
             schedulers: 2,
             own_index: 0,
             own_zone: 0,
-            classes: vec![class, keyed, non_idempotent],
+            classes: TaskClass::samples(),
             node_kinds: vec![NodeKind {
                 cores: 16.0,
                 memory: 32.0,
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,8 +1,7 @@
 //! New requests, and running tasks that this scheduler takes over.
 
 use super::Scheduler;
-use super::dispatch::AttemptStart;
-use super::request::{RequestState, TrackedRequest};
+use super::request::{AttemptStart, RequestState, TrackedRequest};
 use crate::api::{Action, NodeId, PlacementRequest};
 
 impl Scheduler {
--- a/src/scheduler/attempt_end.rs
+++ b/src/scheduler/attempt_end.rs
@@ -83,8 +83,8 @@
         self.continue_request(request, end);
     }
 
-    /// What the end tells of the node and the class. `has_no_contact` if the node has not been
-    /// heard of since the attempt was sent.
+    /// Learns about the node and the class. `has_no_contact` if no message of the node has arrived
+    /// since the attempt was sent.
     fn learn_from_end(
         &mut self,
         end: &AttemptEnd,
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -3,24 +3,10 @@
 use super::Scheduler;
 use super::backoff::BackoffScope;
 use super::node::Node;
-use super::request::{Attempt, RequestState};
+use super::request::{Attempt, AttemptStart, RequestState};
 use super::start_estimate::PendingStart;
 use crate::api::{Action, NodeId, PlacementRequest, RequestId};
 
-/// How an attempt comes to be.
-#[derive(Clone, Copy)]
-pub(super) enum AttemptStart {
-    /// It is sent to the node.
-    Dispatched {
-        /// How long its start is expected to take, in microseconds.
-        estimate: f64,
-        /// The node has the program.
-        has_program: bool,
-    },
-    /// Its task already runs there.
-    AlreadyRunning,
-}
-
 impl Scheduler {
     /// Sends a task to a node that is feasible for it.
     pub(super) fn dispatch(&mut self, id: RequestId, node_id: NodeId) {
@@ -83,36 +69,15 @@
         node.load
             .add_own(spec.resources(), now, self.settings.poll_interval);
         node.programs.add_task(spec.service, now);
-        let (had_program, is_starting) = match start {
-            AttemptStart::Dispatched {
-                estimate,
-                has_program,
-            } => {
-                node.pending_starts.insert(
-                    spec.id,
-                    PendingStart {
-                        sent_at: now,
-                        estimate,
-                    },
-                );
-                node.unanswered.insert(spec.id, now);
-                self.awaited_nodes.insert(node_id);
-                (has_program, true)
-            }
-            AttemptStart::AlreadyRunning => (true, false),
-        };
-        self.services.add(spec.service, node_id);
-        Attempt {
-            node: node_id,
-            rack: node.entry.rack,
-            zone: node.entry.zone,
-            sent_at: now,
-            had_program,
-            is_open: true,
-            is_starting,
-            may_have_run: false,
-            has_failed: false,
+        if let AttemptStart::Dispatched { estimate, .. } = start {
+            let sent_at = now;
+            node.pending_starts
+                .insert(spec.id, PendingStart { sent_at, estimate });
+            node.unanswered.insert(spec.id, sent_at);
+            self.awaited_nodes.insert(node_id);
         }
+        self.services.add(spec.service, node_id);
+        Attempt::new(&node.entry, now, start)
     }
 
     /// Takes off what [`Scheduler::open_attempt`] added. The program stays for a while.
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -11,7 +11,7 @@
 const PROBE_CHANCE: f64 = 0.25;
 
 impl Scheduler {
-    /// Something was heard of a node.
+    /// A message of a node has arrived.
     pub(super) fn on_contact(&mut self, id: NodeId) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Nothing was heard of the node for longer than its first unanswered attempt may take.
+    /// No message of the node has arrived for longer than its first unanswered attempt may take.
     fn is_overdue(&self, node: &Node) -> bool {
         let Some(first_sent_at) = node.unanswered.values().copied().min() else {
             return false;
--- a/src/scheduler/load_estimate.rs
+++ b/src/scheduler/load_estimate.rs
@@ -20,7 +20,7 @@
 const MAX_USAGE_RATIO: f64 = 2.0;
 /// A node that is emptier than this share says little of what tasks use.
 const MIN_REQUESTED_SHARE: f64 = 0.25;
-/// How old a report is when it arrives is not told; it is taken to be this part of the shortest
+/// The age of a report when it arrives is not known; it is assumed to be this part of the shortest
 /// objective.
 const OBJECTIVES_PER_REPORT_AGE: Micros = 2;
 /// Keeps divisions by a capacity defined.
@@ -31,7 +31,7 @@
 pub(super) struct NodeLoad {
     own: Resources,
     own_past: VecDeque<PastLoad>,
-    /// `None` until a list or report tells of it.
+    /// `None` until a list or report shows it.
     foreign: Option<Resources>,
     /// Use beyond what requested resources explain: neighbours, hungry services. May be negative.
     unaccounted: Resources,
@@ -97,7 +97,7 @@
     /// Learns foreign load from the requested resources of the node at some earlier time.
     ///
     /// Race: an observation lacks the attempts made since, and would erase them if it replaced the
-    /// estimate. Own load is known exactly, so an observation only tells what was foreign then: its
+    /// estimate. Own load is known exactly, so an observation only shows what was foreign then: its
     /// total less own load at that time. That time is not known exactly, so neither is own load
     /// then; the new figure gets the weight of the part that others have in it, squared, since the
     /// old figure holds that error too.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -7,7 +7,8 @@
 //! the node's load at once and dispatched without waiting. `docs/design.md` says what was changed,
 //! and why.
 //!
-//! One module for each decision, with the state that it owns, in the order of a task's life:
+//! One module for each decision, with the state that it owns, in the order in which a task meets
+//! them:
 //!
 //! | module | decides |
 //! | --- | --- |
@@ -89,7 +90,7 @@
 /// Later times are taken for this one, so that sums of a time and a few durations cannot overflow.
 const LATEST_TIME: Micros = Micros::MAX / 4;
 
-/// One scheduler's decisions: it is told what happened and answers with what to do.
+/// One scheduler: a state machine from events to actions.
 ///
 /// It does no input or output and reads no clock. The same settings, seed and events give the same
 /// actions.
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -26,7 +26,7 @@
     pub(super) pending_starts: BTreeMap<RequestId, PendingStart>,
     /// Attempts that it has not answered, by when they were sent.
     pub(super) unanswered: BTreeMap<RequestId, Micros>,
-    /// When anything was last heard of it.
+    /// When the last message of it arrived.
     pub(super) last_contact: Micros,
     pub(super) backoffs: Backoffs,
     /// Errors since the last placement, by the work that they came to.
--- a/src/scheduler/node_list.rs
+++ b/src/scheduler/node_list.rs
@@ -8,7 +8,8 @@
 
 /// Pauses between failed calls double at most this often.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// How old a list is when it arrives is not told; it is taken to be this part of the poll interval.
+/// The age of a list when it arrives is not known; it is assumed to be this part of the poll
+/// interval.
 const POLL_INTERVAL_PER_LIST_AGE: Micros = 4;
 
 impl ListUpdateKind {
--- a/src/scheduler/preferred_nodes.rs
+++ b/src/scheduler/preferred_nodes.rs
@@ -44,8 +44,8 @@
         self.by_class[usize::from(class)].round() as usize
     }
 
-    /// How many tasks a service has is not told: preferred nodes that are often late are too many
-    /// for it.
+    /// The number of a service's tasks is not known: preferred nodes that are often late are too
+    /// many for it.
     ///
     /// `nodes` is the number of all nodes.
     pub(super) fn learn(&mut self, class: u16, is_timely: bool, nodes: usize) {
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -10,7 +10,7 @@
 /// that the wait does not count, and seldom enough that a long queue does not take all the time
 /// there is.
 const SCANS_PER_OBJECTIVE: Micros = 32;
-/// Worth of the service that follows a start, in worths of a start in time.
+/// Value of the service that follows a start, relative to that of a start in time.
 const SERVICE_PER_START: f64 = 2.0;
 /// Batches of events that may pass before a decision takes effect.
 const TICKS_TO_SPARE: Micros = 2;
@@ -83,8 +83,8 @@
     /// Answers the queued requests that can no longer be placed, and tries the others.
     ///
     /// Many tasks are queued where capacity is short. Tried with each batch of events, they would
-    /// take all the time there is, and answers would be late; they are tried after news, at most so
-    /// often.
+    /// take all the time there is, and answers would be late; they are tried after changes, at most
+    /// so often.
     pub(super) fn process_queue(&mut self) {
         while let Some(request) = self.queue.pop_expired(self.now) {
             if self.is_queued(request) {
@@ -127,8 +127,8 @@
         ranked
     }
 
-    /// What a placement is worth for the capacity that it takes. Worth grows with size, so that
-    /// only class and timeliness tell.
+    /// Value of a placement for the capacity that it takes. Value grows with size, so that
+    /// only class and timeliness count.
     fn value(&self, id: RequestId) -> f64 {
         let Some(request) = self.requests.get(&id) else {
             return 0.0;
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -1,6 +1,6 @@
 //! A request and its attempts.
 
-use crate::api::{Micros, NodeId, PlacementRequest};
+use crate::api::{Micros, NodeEntry, NodeId, PlacementRequest};
 
 /// Where a request stands.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -72,3 +72,37 @@
     /// It has ended with an error.
     pub(super) has_failed: bool,
 }
+
+impl Attempt {
+    pub(super) fn new(entry: &NodeEntry, sent_at: Micros, start: AttemptStart) -> Attempt {
+        let (had_program, is_starting) = match start {
+            AttemptStart::Dispatched { has_program, .. } => (has_program, true),
+            AttemptStart::AlreadyRunning => (true, false),
+        };
+        Attempt {
+            node: entry.node,
+            rack: entry.rack,
+            zone: entry.zone,
+            sent_at,
+            had_program,
+            is_open: true,
+            is_starting,
+            may_have_run: false,
+            has_failed: false,
+        }
+    }
+}
+
+/// How an attempt comes to be.
+#[derive(Clone, Copy)]
+pub(super) enum AttemptStart {
+    /// It is sent to the node.
+    Dispatched {
+        /// How long its start is expected to take, in microseconds.
+        estimate: f64,
+        /// The node has the program.
+        has_program: bool,
+    },
+    /// Its task already runs there.
+    AlreadyRunning,
+}
