--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,7 +1,7 @@
 //! New requests, and running tasks that this scheduler takes over.
 
 use super::Scheduler;
-use super::request::{AttemptStart, RequestState, TrackedRequest};
+use super::request::{AttemptStart, TrackedRequest};
 use crate::api::{Action, NodeId, PlacementRequest};
 
 impl Scheduler {
@@ -18,9 +18,8 @@
         if self.requests.contains_key(&spec.id) {
             return;
         }
-        let deadline = self.now.saturating_add(spec.deadline_in);
-        let request = TrackedRequest::new(spec, self.now, deadline, RequestState::Queued);
-        self.requests.insert(spec.id, request);
+        self.requests
+            .insert(spec.id, TrackedRequest::queued(spec, self.now));
         if !self.try_place(spec.id, None) {
             self.enqueue(spec.id);
         }
@@ -30,7 +29,7 @@
         if !spec.is_valid(&self.settings) || self.requests.contains_key(&spec.id) {
             return;
         }
-        let mut request = TrackedRequest::new(spec, self.now, self.now, RequestState::Placed);
+        let mut request = TrackedRequest::placed(spec, self.now);
         let attempt = self.open_attempt(spec, node, AttemptStart::AlreadyRunning);
         // Invariant: a task counts once. Lists and reports already count it, as foreign load;
         // counted as own load besides, nodes would look full after a restart of this scheduler.
--- a/src/scheduler/attempt_end.rs
+++ b/src/scheduler/attempt_end.rs
@@ -2,10 +2,8 @@
 
 use super::Scheduler;
 use super::backoff::BackoffScope;
-use super::request::{Attempt, RequestState, TrackedRequest};
-use crate::api::{
-    AttemptOutcome, EndReason, NodeId, PlacementRequest, RequestId, ResourceKind, Resources,
-};
+use super::request::{Attempt, TrackedRequest};
+use crate::api::{AttemptOutcome, EndReason, NodeId, RequestId};
 
 /// What is reported of an attempt's end.
 pub(super) struct AttemptEnd {
@@ -97,7 +95,7 @@
         if end.outcome == AttemptOutcome::Completed || was_preempted {
             self.headroom.learn(spec.class, was_preempted);
         }
-        let was_in_flight = request.state == RequestState::Dispatched;
+        let was_in_flight = request.is_dispatched();
         match end.outcome {
             AttemptOutcome::Rejected => self.on_rejected(node, spec, end.reason),
             AttemptOutcome::TimedOut | AttemptOutcome::Unreachable if has_no_contact => {
@@ -121,13 +119,8 @@
     /// Retries a request, answers it, or forgets it.
     fn continue_request(&mut self, mut request: TrackedRequest, end: &AttemptEnd) {
         let id = end.request;
-        let is_unplaced = !end.is_final && request.state == RequestState::Dispatched;
-        if is_unplaced {
-            request.state = RequestState::Queued;
-        } else if end.is_final {
-            request.state = RequestState::Completed;
-        }
-        if request.state == RequestState::Completed && !request.has_open_attempt() {
+        let is_unplaced = request.end_attempt(end.is_final);
+        if request.is_completed() && !request.has_open_attempt() {
             return;
         }
         let is_hopeless = request.attempts.len() >= self.settings.max_attempts as usize
@@ -140,80 +133,4 @@
             self.enqueue(id);
         }
     }
-
-    /// An error keeps the like of the task away from the node.
-    ///
-    /// A task that no node can run fails wherever it is sent, and a few of them would close a whole
-    /// cluster to their class. What fails on a second node speaks against the task: neither node
-    /// backs off, unless another error came there since its last placement.
-    fn on_error(&mut self, node: NodeId, request: &TrackedRequest) {
-        let scope = BackoffScope::of_tasks(&request.spec);
-        if let Some(known) = self.nodes.get_mut(&node) {
-            *known.errors.entry(scope).or_insert(0) += 1;
-        }
-        let failed = request.attempts.iter().filter(|attempt| attempt.has_failed);
-        let mut failed_elsewhere = failed
-            .map(|attempt| attempt.node)
-            .filter(|other| *other != node)
-            .peekable();
-        let is_first_node = failed_elsewhere.peek().is_none();
-        for other in failed_elsewhere {
-            if self.has_single_error(other, scope)
-                && let Some(known) = self.nodes.get_mut(&other)
-            {
-                known.backoffs.remove(scope);
-            }
-        }
-        if is_first_node || !self.has_single_error(node, scope) {
-            self.back_off(node, scope);
-        }
-    }
-
-    /// At most one error came to this work on the node since its last placement; false if it is not
-    /// known.
-    fn has_single_error(&self, node: NodeId, scope: BackoffScope) -> bool {
-        let node = self.nodes.get(&node);
-        node.is_some_and(|node| node.errors.get(&scope).is_none_or(|errors| *errors <= 1))
-    }
-
-    /// A rejection marks the node as full, or keeps the like of the task away from it.
-    ///
-    /// A table that is wrong about one node would send it everything that is queued, and each
-    /// attempt would be rejected at once.
-    fn on_rejected(&mut self, node: NodeId, spec: &PlacementRequest, reason: EndReason) {
-        match reason {
-            EndReason::InsufficientCores => self.on_insufficient(node, spec, ResourceKind::Cores),
-            EndReason::InsufficientMemory => self.on_insufficient(node, spec, ResourceKind::Memory),
-            // It looks at attempts too slowly, or drains before the list says so.
-            EndReason::QueueFull | EndReason::Ineligible => {
-                self.back_off(node, BackoffScope::QueueFull);
-            }
-            // For no reason that the table could show.
-            EndReason::Unknown | EndReason::Evicted | EndReason::Preempted | EndReason::Drained => {
-                self.back_off(node, BackoffScope::of_tasks(spec))
-            }
-        }
-    }
-
-    /// The node has less of a resource free than the task requests: between nothing and that, so
-    /// half of it in the mean. The rest must be foreign load.
-    fn on_insufficient(&mut self, node: NodeId, spec: &PlacementRequest, kind: ResourceKind) {
-        /// Part of the requested amount that is taken to be free.
-        const FREE_PARTS: f64 = 2.0;
-        let until = self.now + self.shortest_objective();
-        let overcommit = self.settings.overcommit();
-        let Some(node) = self.nodes.get_mut(&node) else {
-            return;
-        };
-        let size = spec.resources();
-        let before = node.load.foreign();
-        let accepted = overcommit[kind] * node.capacity[kind];
-        node.load
-            .raise_foreign(kind, accepted, size[kind] / FREE_PARTS);
-        self.mean_foreign_load.replace(before, node.load.foreign());
-        let mut rejected = Resources::ZERO;
-        rejected[kind] = size[kind];
-        node.rejected_size.set(rejected, until);
-        node.load.set_observed_at(self.now);
-    }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use super::backoff::BackoffScope;
 use super::node::Node;
-use super::request::{Attempt, AttemptStart, RequestState};
+use super::request::{Attempt, AttemptStart};
 use super::start_estimate::PendingStart;
 use crate::api::{Action, NodeId, PlacementRequest, RequestId};
 
@@ -23,8 +23,7 @@
             has_program,
         };
         let attempt = self.open_attempt(&request.spec, node_id, start);
-        request.attempts.push(attempt);
-        request.state = RequestState::Dispatched;
+        request.dispatch(attempt);
         self.requests.insert(id, request);
         self.begin_trial(node_id, tasks);
         self.actions.push(Action::Dispatch {
--- a/src/scheduler/load_estimate.rs
+++ b/src/scheduler/load_estimate.rs
@@ -5,21 +5,12 @@
 //! learned over all nodes, plus the unaccounted load of the node.
 
 use super::Scheduler;
-use crate::api::{
-    LoadBasis, LoadReport, Micros, NodeId, PlacementRequest, ResourceKind, Resources, Settings,
-};
+use super::usage_estimate::{UsageRatio, Utilization};
+use crate::api::{LoadBasis, LoadReport, Micros, NodeId, ResourceKind, Resources};
 use std::collections::VecDeque;
 
 /// Weight of a new sample of unaccounted load: about the last ten samples count.
 const UNACCOUNTED_LEARNING_RATE: f64 = 0.1;
-/// Weight of a new sample of the usage ratio: use varies from task to task, so that about forty
-/// count.
-const USAGE_LEARNING_RATE: f64 = 0.025;
-/// A task that uses more than this multiple of what it requested is an exception that teaches
-/// nothing more.
-const MAX_USAGE_RATIO: f64 = 2.0;
-/// A node that is emptier than this share says little of what tasks use.
-const MIN_REQUESTED_SHARE: f64 = 0.25;
 /// The age of a report when it arrives is not known; it is assumed to be this part of the shortest
 /// objective.
 const OBJECTIVES_PER_REPORT_AGE: Micros = 2;
@@ -62,7 +53,7 @@
     /// Resources expected to be in use.
     pub(super) fn expected_use(&self, mean_foreign: Resources, ratio: UsageRatio) -> Resources {
         let requested = self.requested(mean_foreign);
-        let used = |kind| requested[kind] * ratio.0[kind] + self.unaccounted[kind];
+        let used = |kind| requested[kind] * ratio.get(kind) + self.unaccounted[kind];
         Resources::from_fn(used).at_least_zero()
     }
 
@@ -131,9 +122,11 @@
         self.observed_at = at;
     }
 
-    fn learn_unaccounted(&mut self, kind: ResourceKind, used: f64, expected: f64) {
-        self.unaccounted[kind] +=
-            UNACCOUNTED_LEARNING_RATE * (used - expected - self.unaccounted[kind]);
+    /// Learns unaccounted load from the resources in use, and those expected to be in use without
+    /// it.
+    pub(super) fn learn_unaccounted(&mut self, kind: ResourceKind, used: f64, expected: f64) {
+        let unaccounted = &mut self.unaccounted[kind];
+        *unaccounted += UNACCOUNTED_LEARNING_RATE * (used - expected - *unaccounted);
     }
 
     fn set_own(&mut self, own: Resources, now: Micros, retention: Micros) {
@@ -195,107 +188,37 @@
     }
 }
 
-/// Used resources per requested ones, learned over all nodes.
-#[derive(Clone, Copy)]
-pub(super) struct UsageRatio(Resources);
-
-impl UsageRatio {
-    /// Before any use is seen: a node that has all that it accepts requested is taken to use all it
-    /// has.
-    pub(super) fn new(settings: &Settings) -> UsageRatio {
-        UsageRatio(
-            settings
-                .overcommit()
-                .map(|overcommit| 1.0 / overcommit.max(1.0)),
-        )
-    }
-
-    /// Memory that a task of this size is expected to use.
-    pub(super) fn expected_memory(self, spec: &PlacementRequest) -> f64 {
-        spec.memory * self.0.memory
-    }
-
-    pub(super) fn learn(&mut self, kind: ResourceKind, used: f64, requested: f64) {
-        if used.is_finite() && requested > 0.0 && used >= 0.0 {
-            let ratio = (used / requested).min(MAX_USAGE_RATIO);
-            self.0[kind] += USAGE_LEARNING_RATE * (ratio - self.0[kind]);
-        }
-    }
-}
-
-/// Shares of a node's resources in use, where reported.
-#[derive(Clone, Copy)]
-struct Utilization {
-    cores: Option<f64>,
-    memory: Option<f64>,
-}
-
-impl Utilization {
-    fn get(self, kind: ResourceKind) -> Option<f64> {
-        match kind {
-            ResourceKind::Cores => self.cores,
-            ResourceKind::Memory => self.memory,
-        }
-    }
-}
-
-fn used_share(free: Option<f64>, capacity: f64) -> Option<f64> {
-    free.map(|free| 1.0 - free / capacity.max(MIN_CAPACITY))
-}
-
 impl Scheduler {
-    pub(super) fn on_load_report(&mut self, node: NodeId, report: &LoadReport) {
+    pub(super) fn on_load_report(&mut self, id: NodeId, report: &LoadReport) {
         self.queue.note_capacity_change();
-        let report_age = self.shortest_objective() / OBJECTIVES_PER_REPORT_AGE;
-        let observed_at = self.now.saturating_sub(report_age);
         let mean_foreign = self.mean_foreign_load.get();
-        let Some(known) = self.nodes.get_mut(&node) else {
+        let Some(node) = self.nodes.get(&id) else {
             return;
         };
-        let (capacity, requested) = (known.capacity, known.load.requested(mean_foreign));
-        let utilization = match self.settings.load_basis {
-            LoadBasis::Requested => {
-                if let (Some(cores), Some(memory)) = (report.free_cores, report.free_memory) {
-                    let before = known.load.foreign;
-                    let total = capacity - Resources::new(cores, memory);
-                    known
-                        .load
-                        .learn_foreign(total, observed_at, self.settings.schedulers);
-                    known.load.observed_at = observed_at;
-                    self.mean_foreign_load.replace(before, known.load.foreign);
-                }
-                Utilization {
-                    cores: report.cpu_utilization,
-                    memory: None,
-                }
-            }
-            LoadBasis::Used => Utilization {
-                cores: used_share(report.free_cores, capacity.cores).or(report.cpu_utilization),
-                memory: used_share(report.free_memory, capacity.memory),
-            },
+        let requested = node.load.requested(mean_foreign);
+        let utilization = Utilization::reported(report, self.settings.load_basis, node.capacity);
+        self.learn_reported_foreign_load(id, report);
+        self.learn_usage(id, utilization, requested);
+        self.learn_unaccounted_load(id, utilization);
+    }
+
+    /// Learns foreign load from a report of what tasks request.
+    fn learn_reported_foreign_load(&mut self, id: NodeId, report: &LoadReport) {
+        let free = match self.settings.load_basis {
+            LoadBasis::Requested => (report.free_cores, report.free_memory),
+            LoadBasis::Used => return,
         };
-        for kind in ResourceKind::ALL {
-            let is_telling = requested[kind] > capacity[kind] * MIN_REQUESTED_SHARE;
-            if let Some(share) = utilization.get(kind).filter(|_| is_telling) {
-                self.usage_ratio
-                    .learn(kind, share * capacity[kind], requested[kind]);
-            }
-        }
-        self.learn_unaccounted_load(node, utilization);
-    }
-
-    fn learn_unaccounted_load(&mut self, node: NodeId, utilization: Utilization) {
-        let mean_foreign = self.mean_foreign_load.get();
-        let Some(node) = self.nodes.get_mut(&node) else {
-            return;
-        };
-        let (capacity, requested) = (node.capacity, node.load.requested(mean_foreign));
-        for kind in ResourceKind::ALL {
-            if let Some(share) = utilization.get(kind).filter(|share| share.is_finite()) {
-                let expected = requested[kind] * self.usage_ratio.0[kind];
-                node.load
-                    .learn_unaccounted(kind, share * capacity[kind], expected);
-            }
+        let report_age = self.shortest_objective() / OBJECTIVES_PER_REPORT_AGE;
+        let observed_at = self.now.saturating_sub(report_age);
+        if let (Some(cores), Some(memory)) = free
+            && let Some(node) = self.nodes.get_mut(&id)
+        {
+            let before = node.load.foreign;
+            let total = node.capacity - Resources::new(cores, memory);
+            let schedulers = self.settings.schedulers;
+            node.load.learn_foreign(total, observed_at, schedulers);
+            node.load.observed_at = observed_at;
+            self.mean_foreign_load.replace(before, node.load.foreign);
         }
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -27,8 +27,12 @@
 //! | [`timeouts`] | how long an attempt is waited for |
 //! | [`start_estimate`] | how long a start on a node will take |
 //! | [`load_estimate`] | how much of each node is requested and used |
+//! | [`usage_estimate`] | how much of what tasks request they use |
+//! | [`program_cache`] | which programs a node has |
 //! | [`task_reports`] | what placements and reports of tasks change |
 //! | [`attempt_end`] | what the end of an attempt changes |
+//! | [`rejections`] | what a node that rejected a task is taken to lack |
+//! | [`errors`] | whether the node or the task is at fault |
 //! | [`headroom`] | how much capacity a class leaves to higher priorities |
 //! | [`backoff`] | how long a part of the work is kept away from a node |
 //! | [`health`] | when a node counts as unresponsive, and which are probed |
@@ -47,6 +51,7 @@
 mod attempt_end;
 mod backoff;
 mod dispatch;
+mod errors;
 mod filters;
 mod hash;
 mod headroom;
@@ -57,7 +62,9 @@
 mod placement;
 mod preferences;
 mod preferred_nodes;
+mod program_cache;
 mod queue;
+mod rejections;
 mod request;
 mod retries;
 mod sampling;
@@ -67,6 +74,7 @@
 mod task_reports;
 mod timeouts;
 mod topology;
+mod usage_estimate;
 mod wake_timer;
 
 pub use preferred_nodes::preferred_node_rank;
@@ -74,7 +82,7 @@
 use crate::api::{Action, Event, Micros, NodeId, RequestId, Settings, TaskClass};
 use attempt_end::AttemptEnd;
 use headroom::Headroom;
-use load_estimate::{MeanLoad, UsageRatio};
+use load_estimate::MeanLoad;
 use node::Node;
 use node_list::ListWatch;
 use preferred_nodes::PreferredNodeCounts;
@@ -86,6 +94,7 @@
     collections::{BTreeMap, BTreeSet},
 };
 use topology::ServicePlacements;
+use usage_estimate::UsageRatio;
 
 /// Later times are taken for this one, so that sums of a time and a few durations cannot overflow.
 const LATEST_TIME: Micros = Micros::MAX / 4;
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use super::node::Node;
-use super::request::{RequestState, TrackedRequest};
+use super::request::TrackedRequest;
 use crate::api::{Idempotency, Micros, NodeId, PlacementRequest, RequestId, Resources};
 use std::collections::BTreeSet;
 
@@ -108,7 +108,7 @@
     fn is_queued(&self, request: RequestId) -> bool {
         self.requests
             .get(&request)
-            .is_some_and(|request| request.state == RequestState::Queued)
+            .is_some_and(TrackedRequest::is_queued)
     }
 
     /// The highest value first: where capacity is short, the first request takes it.
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -4,7 +4,7 @@
 
 /// Where a request stands.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum RequestState {
+enum RequestState {
     /// It has no attempt in flight.
     Queued,
     /// An attempt is in flight.
@@ -22,27 +22,81 @@
     pub(super) deadline: Micros,
     /// No attempt before this time.
     pub(super) backoff_until: Micros,
-    pub(super) state: RequestState,
+    state: RequestState,
     /// In the order in which they were made: the index is the attempt's number.
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl TrackedRequest {
-    pub(super) fn new(
+    /// A request that has just arrived.
+    pub(super) fn queued(spec: &PlacementRequest, now: Micros) -> TrackedRequest {
+        let deadline = now.saturating_add(spec.deadline_in);
+        TrackedRequest::new(spec, now, deadline, RequestState::Queued)
+    }
+
+    /// The request of a task that already runs; its attempt is to be added.
+    pub(super) fn placed(spec: &PlacementRequest, now: Micros) -> TrackedRequest {
+        TrackedRequest::new(spec, now, now, RequestState::Placed)
+    }
+
+    fn new(
         spec: &PlacementRequest,
         arrived_at: Micros,
         deadline: Micros,
         state: RequestState,
     ) -> TrackedRequest {
-        let (backoff_until, attempts) = (0, Vec::new());
         TrackedRequest {
             spec: spec.clone(),
             arrived_at,
             deadline,
-            backoff_until,
+            backoff_until: 0,
             state,
-            attempts,
+            attempts: Vec::new(),
+        }
+    }
+
+    pub(super) fn is_queued(&self) -> bool {
+        self.state == RequestState::Queued
+    }
+
+    pub(super) fn is_dispatched(&self) -> bool {
+        self.state == RequestState::Dispatched
+    }
+
+    pub(super) fn is_completed(&self) -> bool {
+        self.state == RequestState::Completed
+    }
+
+    /// An attempt is sent.
+    pub(super) fn dispatch(&mut self, attempt: Attempt) {
+        self.attempts.push(attempt);
+        self.state = RequestState::Dispatched;
+    }
+
+    /// An attempt has placed the task; false if the request was not waiting for that.
+    pub(super) fn confirm_placement(&mut self) -> bool {
+        let was_dispatched = self.is_dispatched();
+        if was_dispatched {
+            self.state = RequestState::Placed;
         }
+        was_dispatched
+    }
+
+    /// An attempt has ended, and with it the request if `is_final`. Returns whether the task waits
+    /// for another attempt.
+    pub(super) fn end_attempt(&mut self, is_final: bool) -> bool {
+        let is_unplaced = !is_final && self.is_dispatched();
+        if is_unplaced {
+            self.state = RequestState::Queued;
+        } else if is_final {
+            self.state = RequestState::Completed;
+        }
+        is_unplaced
+    }
+
+    /// The request is answered or cancelled.
+    pub(super) fn complete(&mut self) {
+        self.state = RequestState::Completed;
     }
 
     /// The first attempt that may have started the task.
--- a/src/scheduler/retries.rs
+++ b/src/scheduler/retries.rs
@@ -1,7 +1,7 @@
 //! Whether a request may have another attempt, and its final answer.
 
 use super::Scheduler;
-use super::request::{RequestState, TrackedRequest};
+use super::request::TrackedRequest;
 use crate::api::{Action, DedupScope, Idempotency, Micros, RequestId};
 
 impl Scheduler {
@@ -76,7 +76,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.state = RequestState::Completed;
+        request.complete();
         if !request.has_open_attempt() {
             self.requests.remove(&id);
         }
--- a/src/scheduler/task_reports.rs
+++ b/src/scheduler/task_reports.rs
@@ -2,7 +2,6 @@
 
 use super::Scheduler;
 use super::backoff::BackoffScope;
-use super::request::RequestState;
 use crate::api::{NodeId, PlacementAck, RequestId, ResourceKind, TaskUpdate};
 
 impl Scheduler {
@@ -15,17 +14,17 @@
             self.on_started(id, attempt);
         }
         let first_backoff = self.first_backoff();
-        let request = self.requests.get_mut(&id);
-        let Some(request) = request.filter(|request| request.state == RequestState::Dispatched)
-        else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.state = RequestState::Placed;
+        if !request.confirm_placement() {
+            return;
+        }
         let tasks = BackoffScope::of_tasks(&request.spec);
         if let Some(node) = self.nodes.get_mut(&node_id) {
-            node.errors.remove(&tasks);
-            node.backoffs
-                .shorten([BackoffScope::QueueFull, tasks], first_backoff, self.now);
+            node.errors.clear(tasks);
+            let scopes = [BackoffScope::QueueFull, tasks];
+            node.backoffs.shorten(scopes, first_backoff, self.now);
         }
     }
 
