--- a/tests/scheduler/backoff.rs
+++ b/tests/scheduler/backoff.rs
@@ -6,7 +6,7 @@
 #[test]
 fn an_unresponsive_node_gets_no_tasks_until_it_responds() {
     let mut scheduler = scheduler_with_nodes(Settings::sample(), 2);
-    let first = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].1;
+    let first = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].node;
     let silent = scheduler.handle(
         5 * SECOND,
         &[attempt_ended(
@@ -24,11 +24,11 @@
     );
     let non_idempotent: Vec<Event> = (10..30).map(|i| Event::Place(task(i, 2, i))).collect();
     let dispatched = dispatches(&scheduler.handle(5 * SECOND, &non_idempotent));
-    assert!(!dispatched.is_empty() && dispatched.iter().all(|(_, node)| *node != first));
+    assert!(!dispatched.is_empty() && dispatched.iter().all(|d| d.node != first));
     // After the backoff a single task that may run twice is sent as a trial.
     let trials: Vec<Event> = (40..60).map(|i| Event::Place(task(i, 0, 1))).collect();
     let dispatched = dispatches(&scheduler.handle(9 * SECOND, &trials));
-    assert!(dispatched.iter().filter(|(_, node)| *node == first).count() <= 1);
+    assert!(dispatched.iter().filter(|d| d.node == first).count() <= 1);
 }
 
 #[test]
@@ -42,7 +42,7 @@
         (AttemptOutcome::Lost, EndReason::Unknown),
     ] {
         let mut scheduler = scheduler_with_nodes(Settings::sample(), 2);
-        let bad = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].1;
+        let bad = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].node;
         // It answers others meanwhile, so it is not unresponsive.
         let placed = |i| Event::Placed {
             request: RequestId(i),
@@ -52,19 +52,19 @@
         for i in 100..120 {
             let dispatched =
                 dispatches(&scheduler.handle(SECOND + i, &[Event::Place(task(i, 2, i))]));
-            if dispatched[0].1 == bad {
+            if dispatched[0].node == bad {
                 scheduler.handle(SECOND + i, &[placed(i)]);
             }
         }
         let failed = scheduler.handle(2 * SECOND, &[attempt_ended(1, 0, bad, outcome, reason)]);
         assert!(
-            dispatches(&failed).iter().all(|(_, node)| *node != bad),
+            dispatches(&failed).iter().all(|d| d.node != bad),
             "{outcome:?}: the same task again"
         );
         let like: Vec<Event> = (200..220).map(|i| Event::Place(task(i, 0, i))).collect();
         let dispatched = dispatches(&scheduler.handle(2 * SECOND, &like));
         assert!(
-            dispatched.iter().all(|(_, node)| *node != bad),
+            dispatched.iter().all(|d| d.node != bad),
             "{outcome:?}: {dispatched:?}"
         );
         let others: Vec<Event> = (300..310)
@@ -79,7 +79,7 @@
             .collect();
         let dispatched = dispatches(&scheduler.handle(2 * SECOND, &others));
         assert!(
-            dispatched.iter().any(|(_, node)| *node == bad),
+            dispatched.iter().any(|d| d.node == bad),
             "{outcome:?}: another tenant, {dispatched:?}"
         );
         // After the backoff a single trial is sent; its success ends the backoff.
@@ -94,15 +94,15 @@
         let dispatched = dispatches(&scheduler.handle(5 * SECOND, &trials));
         let trials: Vec<u64> = dispatched
             .iter()
-            .filter(|b| b.1 == bad)
-            .map(|b| b.0)
+            .filter(|d| d.node == bad)
+            .map(|d| d.request)
             .collect();
         assert_eq!(trials.len(), 1, "{outcome:?}: {dispatched:?}");
         let mut events = vec![placed(trials[0])];
         events.extend((500..520).map(small));
         let dispatched = dispatches(&scheduler.handle(5 * SECOND + 1, &events));
         assert!(
-            dispatched.iter().filter(|b| b.1 == bad).count() > 1,
+            dispatched.iter().filter(|d| d.node == bad).count() > 1,
             "{outcome:?}: {dispatched:?}"
         );
     }
@@ -114,7 +114,7 @@
     let mut scheduler = scheduler_with_nodes(Settings::sample(), 3);
     let mut at = SECOND;
     let dispatched = dispatches(&scheduler.handle(at, &[Event::Place(task(1, 0, 1))]));
-    let mut tried = vec![dispatched[0].1];
+    let mut tried = vec![dispatched[0].node];
     for attempt in 0..2 {
         at += 1_000;
         let node = tried[usize::from(attempt)];
@@ -130,10 +130,10 @@
         ));
         assert_eq!(dispatched.len(), 1, "another node is tried");
         assert!(
-            !tried.contains(&dispatched[0].1) || attempt > 0,
+            !tried.contains(&dispatched[0].node) || attempt > 0,
             "{tried:?} {dispatched:?}"
         );
-        tried.push(dispatched[0].1);
+        tried.push(dispatched[0].node);
     }
     let small = |i| {
         Event::Place(PlacementRequest {
@@ -145,7 +145,7 @@
     let others: Vec<Event> = (100..160).map(small).collect();
     let used: Vec<u64> = dispatches(&scheduler.handle(at + 1, &others))
         .iter()
-        .map(|b| b.1)
+        .map(|d| d.node)
         .collect();
     for node in &tried[..2] {
         assert!(
@@ -155,7 +155,13 @@
     }
     // A second task that fails there, with no placement between, speaks against the node.
     let there = dispatches(&scheduler.handle(at + 2, &(200..230).map(small).collect::<Vec<_>>()));
-    let on = |m: u64| there.iter().find(|b| b.1 == m).map(|b| b.0).expect("used");
+    let on = |m: u64| {
+        there
+            .iter()
+            .find(|d| d.node == m)
+            .map(|d| d.request)
+            .expect("used")
+    };
     scheduler.handle(
         at + 3,
         &[attempt_ended(
@@ -167,7 +173,7 @@
         )],
     );
     let after = dispatches(&scheduler.handle(at + 4, &(300..360).map(small).collect::<Vec<_>>()));
-    assert!(after.iter().all(|b| b.1 != tried[0]), "{after:?}");
+    assert!(after.iter().all(|d| d.node != tried[0]), "{after:?}");
 }
 
 #[test]
@@ -192,7 +198,15 @@
             let dispatched = dispatches(&scheduler.handle(now, &events));
             events = dispatched
                 .iter()
-                .map(|b| attempt_ended(b.0, 0, 0, AttemptOutcome::Rejected, EndReason::QueueFull))
+                .map(|b| {
+                    attempt_ended(
+                        b.request,
+                        0,
+                        0,
+                        AttemptOutcome::Rejected,
+                        EndReason::QueueFull,
+                    )
+                })
                 .collect();
             sent.extend(dispatched.iter().map(|_| now));
             if events.is_empty() {
--- a/tests/scheduler/invalid_input.rs
+++ b/tests/scheduler/invalid_input.rs
@@ -112,8 +112,14 @@
         ];
         events.extend((1..4).map(|n| Event::Place(task(i + n, (n % 3) as u16, n))));
         let dispatched = dispatches(&scheduler.handle(now, &events));
-        let end = |b: &(u64, u64)| {
-            attempt_ended(b.0, 0, b.1, AttemptOutcome::TimedOut, EndReason::Unknown)
+        let end = |b: &Dispatched| {
+            attempt_ended(
+                b.request,
+                0,
+                b.node,
+                AttemptOutcome::TimedOut,
+                EndReason::Unknown,
+            )
         };
         scheduler.handle(now, &dispatched.iter().map(end).collect::<Vec<Event>>());
         scheduler.handle(
--- a/tests/scheduler/load_estimate.rs
+++ b/tests/scheduler/load_estimate.rs
@@ -54,7 +54,7 @@
         ];
         dispatches(&scheduler.handle(now, &events))
             .iter()
-            .any(|b| b.0 == version)
+            .any(|d| d.request == version)
     };
     assert!(
         !dispatched(&mut scheduler, 20, 3 * SECOND),
@@ -86,7 +86,7 @@
     let events: Vec<Event> = (0..6).map(|i| Event::Place(task(i, 0, i))).collect();
     let dispatched = dispatches(&scheduler.handle(2 * SECOND, &events));
     assert!(
-        dispatched.len() == 6 && dispatched.iter().all(|(_, node)| *node == 1),
+        dispatched.len() == 6 && dispatched.iter().all(|d| d.node == 1),
         "{dispatched:?}"
     );
 }
--- a/tests/scheduler/node_list.rs
+++ b/tests/scheduler/node_list.rs
@@ -76,7 +76,7 @@
     for i in 0..20 {
         let dispatched =
             dispatches(&scheduler.handle(2 * SECOND + i, &[Event::Place(task(i, 0, i))]));
-        assert!(dispatched.iter().all(|(_, node)| *node == 0));
+        assert!(dispatched.iter().all(|d| d.node == 0));
     }
     // A list older than the known one changes nothing.
     scheduler.handle(
@@ -88,5 +88,5 @@
         )],
     );
     let dispatched = dispatches(&scheduler.handle(3 * SECOND, &[Event::Place(task(99, 2, 9))]));
-    assert!(dispatched.iter().all(|(_, node)| *node == 0));
+    assert!(dispatched.iter().all(|d| d.node == 0));
 }
--- a/tests/scheduler/preferences.rs
+++ b/tests/scheduler/preferences.rs
@@ -8,7 +8,7 @@
 fn tasks_of_a_service_go_to_the_node_that_has_its_program() {
     // Found on santander-main: most keyed tasks started where the program was not.
     let mut scheduler = scheduler_with_nodes(Settings::sample(), 6);
-    let preferred = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].1;
+    let preferred = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].node;
     let event = Event::Placed {
         request: RequestId(1),
         attempt: 0,
@@ -19,7 +19,7 @@
         let now = (i + 1) * SECOND;
         assert_eq!(
             dispatches(&scheduler.handle(now, &[Event::Place(task(i, 0, 1))])),
-            [(i, preferred)]
+            [Dispatched::new(i, preferred)]
         );
         let node = NodeId(preferred);
         scheduler.handle(
@@ -44,7 +44,7 @@
             node_list(ListUpdateKind::Full, 1, entries.clone()),
             Event::Place(task(seed, 0, service)),
         ];
-        dispatches(&scheduler.handle(SECOND, &events))[0].1
+        dispatches(&scheduler.handle(SECOND, &events))[0].node
     };
     for service in 0..10 {
         let preferred: BTreeSet<u64> = (0..60).map(|seed| place(seed, service)).collect();
@@ -66,7 +66,7 @@
             let now = (2 + 10 * i) * SECOND;
             let dispatched =
                 dispatches(&scheduler.handle(now, &[Event::Place(task(i, 0, 1_000 + i))]));
-            let (request, node) = (RequestId(i), NodeId(dispatched[0].1));
+            let (request, node) = (RequestId(i), NodeId(dispatched[0].node));
             scheduler.handle(
                 now + took,
                 &[Event::Placed {
@@ -86,7 +86,7 @@
                 )],
             );
         }
-        dispatches(&scheduler.handle(900 * SECOND, &[Event::Place(task(99, 0, 77))]))[0].1
+        dispatches(&scheduler.handle(900 * SECOND, &[Event::Place(task(99, 0, 77))]))[0].node
     };
     let preferred = |took| {
         (0..60)
@@ -126,7 +126,7 @@
     );
     assert_eq!(
         dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))])),
-        [(1, 0)]
+        [Dispatched::new(1, 0)]
     );
     // While a node drains, all of them are used.
     entries.push(NodeEntry {
@@ -135,5 +135,5 @@
     });
     scheduler.handle(SECOND, &[node_list(ListUpdateKind::Full, 2, entries)]);
     let dispatched = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(2, 2, 2))]));
-    assert_ne!(dispatched[0].1, 0);
+    assert_ne!(dispatched[0].node, 0);
 }
--- a/tests/scheduler/queue.rs
+++ b/tests/scheduler/queue.rs
@@ -41,7 +41,7 @@
     };
     assert_eq!(
         dispatches(&scheduler.handle(SECOND, &[Event::Place(node_sized.clone())])),
-        [(1, 0)]
+        [Dispatched::new(1, 0)]
     );
     let low = PlacementRequest {
         id: RequestId(2),
@@ -69,7 +69,7 @@
         .concat()
         .iter()
         .filter_map(|a| dispatches(std::slice::from_ref(a)).pop())
-        .map(|b| b.0)
+        .map(|d| d.request)
         .collect();
     assert_eq!(order[0], 3);
 }
@@ -82,7 +82,7 @@
         deadline_in: 10 * SECOND,
         ..task(1, 1, 1)
     };
-    let node = dispatches(&scheduler.handle(SECOND, &[Event::Place(keyed)]))[0].1;
+    let node = dispatches(&scheduler.handle(SECOND, &[Event::Place(keyed)]))[0].node;
     let lost = attempt_ended(1, 0, node, AttemptOutcome::Lost, EndReason::Unknown);
     assert!(
         dispatches(&scheduler.handle(SECOND + 1, &[lost])).is_empty(),
--- a/tests/scheduler/retries.rs
+++ b/tests/scheduler/retries.rs
@@ -11,7 +11,7 @@
         is_retry: true,
         ..task(1, 0, 1)
     };
-    let mut at = dispatches(&scheduler.handle(SECOND, &[Event::Place(late)]))[0].1;
+    let mut at = dispatches(&scheduler.handle(SECOND, &[Event::Place(late)]))[0].node;
     let mut sent = vec![SECOND];
     let mut events = vec![attempt_ended(
         1,
@@ -23,8 +23,8 @@
     for now in (SECOND..6 * SECOND).step_by(50_000) {
         let dispatched = dispatches(&scheduler.handle(now, &events));
         events = vec![Event::Timer(0)];
-        if let Some((_, node)) = dispatched.first() {
-            at = *node;
+        if let Some(first) = dispatched.first() {
+            at = first.node;
             events = vec![attempt_ended(
                 1,
                 sent.len() as u16,
@@ -41,7 +41,7 @@
         "{sent:?}"
     );
     // A first request within its latency objective is retried at once.
-    let at = dispatches(&scheduler.handle(10 * SECOND, &[Event::Place(task(2, 0, 2))]))[0].1;
+    let at = dispatches(&scheduler.handle(10 * SECOND, &[Event::Place(task(2, 0, 2))]))[0].node;
     let rejected = attempt_ended(
         2,
         0,
@@ -74,7 +74,7 @@
 #[test]
 fn a_cancelled_request_gets_no_further_attempt() {
     let mut scheduler = scheduler_with_nodes(Settings::sample(), 2);
-    let at = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].1;
+    let at = dispatches(&scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]))[0].node;
     scheduler.handle(SECOND, &[Event::RequestCancelled(RequestId(1))]);
     let after = scheduler.handle(
         2 * SECOND,
--- a/tests/scheduler/sampling.rs
+++ b/tests/scheduler/sampling.rs
@@ -19,7 +19,7 @@
             Event::Place(task(1, 0, seed)),
         ];
         let dispatched = dispatches(&scheduler.handle(SECOND, &events));
-        *counts.entry(dispatched[0].1).or_insert(0) += 1;
+        *counts.entry(dispatched[0].node).or_insert(0) += 1;
     }
     counts
 }
@@ -71,7 +71,7 @@
                 Event::Place(task(1, 0, seed)),
             ],
         ));
-        assert_ne!(dispatched[0].1, 3);
+        assert_ne!(dispatched[0].node, 3);
     }
 }
 
--- a/tests/scheduler/support.rs
+++ b/tests/scheduler/support.rs
@@ -61,9 +61,22 @@
     }
 }
 
-pub fn dispatches(actions: &[Action]) -> Vec<(u64, u64)> {
-    let dispatch = |a: &Action| match a {
-        Action::Dispatch { request, node, .. } => Some((request.0, node.0)),
+/// A task that was sent to a node.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Dispatched {
+    pub request: u64,
+    pub node: u64,
+}
+
+impl Dispatched {
+    pub fn new(request: u64, node: u64) -> Dispatched {
+        Dispatched { request, node }
+    }
+}
+
+pub fn dispatches(actions: &[Action]) -> Vec<Dispatched> {
+    let dispatch = |action: &Action| match action {
+        Action::Dispatch { request, node, .. } => Some(Dispatched::new(request.0, node.0)),
         _ => None,
     };
     actions.iter().filter_map(dispatch).collect()
