--- a/tests/scheduler/load_estimate.rs
+++ b/tests/scheduler/load_estimate.rs
@@ -114,3 +114,54 @@
         "four of sixteen cores are free"
     );
 }
+
+#[test]
+fn a_list_from_before_a_takeover_does_not_count_the_running_tasks_again() {
+    // Lists arrive with a delay: at the time of the second one the tasks ran already, and were not
+    // this scheduler's yet.
+    let mut scheduler = Scheduler::new(Settings::sample(), 3);
+    let used = NodeEntry {
+        free_cores: Some(4.0),
+        free_memory: Some(8.0),
+        ..node_entry(1, 1)
+    };
+    let mut events = vec![node_list(ListUpdateKind::Cached, 1, vec![used.clone()])];
+    events.extend((1..=12).map(|i| Event::RunningTask {
+        request: task(i, 0, 1),
+        node: NodeId(1),
+    }));
+    scheduler.handle(SECOND, &events);
+    let mut events = vec![node_list(ListUpdateKind::Full, 2, vec![used])];
+    events.extend((20..24).map(|i| Event::Place(task(i, 0, 1))));
+    let dispatched = dispatches(&scheduler.handle(SECOND + 1, &events));
+    assert_eq!(dispatched.len(), 4, "four of sixteen cores are free");
+}
+
+#[test]
+fn a_size_that_a_node_rejected_is_held_back_for_one_latency_objective() {
+    let mut scheduler = scheduler_with_nodes(Settings::sample(), 1);
+    scheduler.handle(SECOND, &[Event::Place(task(1, 0, 1))]);
+    let rejected = attempt_ended(
+        1,
+        0,
+        0,
+        AttemptOutcome::Rejected,
+        EndReason::InsufficientCores,
+    );
+    // The report that follows was made before the rejection.
+    let idle = LoadReport {
+        free_cores: Some(16.0),
+        free_memory: Some(32.0),
+        ..LoadReport::default()
+    };
+    let probed = Event::Probed {
+        node: NodeId(0),
+        answered: true,
+        load: Some(idle),
+    };
+    let events = [rejected, probed, Event::Place(task(2, 0, 2))];
+    assert!(dispatches(&scheduler.handle(SECOND, &events)).is_empty());
+    let later = 2 * SECOND;
+    assert!(dispatches(&scheduler.handle(later - 1, &[Event::Timer(0)])).is_empty());
+    assert!(!dispatches(&scheduler.handle(later + 40_000, &[Event::Timer(0)])).is_empty());
+}
