--- a/crates/exchange/src/node_messages.rs
+++ b/crates/exchange/src/node_messages.rs
@@ -134,50 +134,63 @@
     pub reply: Option<ToNode>,
 }
 
+impl From<Input> for DecodedMessage {
+    /// A message that is not to be answered.
+    fn from(input: Input) -> DecodedMessage {
+        DecodedMessage {
+            input: Some(input),
+            reply: None,
+        }
+    }
+}
+
 /// Decodes a message of a node whose handshake is complete.
 pub fn decode_message(node: NodeId, message: FromNode) -> DecodedMessage {
-    let mut reply = None;
-    let (attempt, update, load) = match message {
-        FromNode::Accepted { attempt, load } => (attempt, AttemptUpdate::Accepted, load),
-        FromNode::Running { attempt, load } => (attempt, AttemptUpdate::Running, load),
+    let updated = |attempt, update, load| attempt_updated(node, attempt, update, load);
+    match message {
+        FromNode::Accepted { attempt, load } => {
+            updated(attempt, AttemptUpdate::Accepted, load).into()
+        }
+        FromNode::Running { attempt, load } => {
+            updated(attempt, AttemptUpdate::Running, load).into()
+        }
         FromNode::Rejected {
             attempt,
             reason,
             load,
-        } => (attempt, AttemptUpdate::Rejected(end_reason(reason)), load),
-        FromNode::Ended { attempt, end, load } => {
-            // The node keeps an end until it is acknowledged; it may have been reported on a connection that broke.
-            reply = Some(ToNode::AcknowledgeEnd { attempt });
-            (attempt, attempt_update(end), load)
-        }
+        } => updated(attempt, AttemptUpdate::Rejected(end_reason(reason)), load).into(),
+        // The node keeps an end until it is acknowledged; it may have been reported on a connection that broke.
+        FromNode::Ended { attempt, end, load } => DecodedMessage {
+            input: Some(updated(attempt, attempt_update(end), load)),
+            reply: Some(ToNode::AcknowledgeEnd { attempt }),
+        },
         FromNode::Measurement {
             attempt,
             measurement,
-        } => (attempt, AttemptUpdate::Task(task_update(measurement)), None),
-        FromNode::ProbeReply { load, .. } => {
-            let input = Input::Probed {
-                node,
-                answered: true,
-                load: load.map(load_report),
-            };
-            return DecodedMessage {
-                input: Some(input),
-                reply,
-            };
+        } => updated(attempt, AttemptUpdate::Task(task_update(measurement)), None).into(),
+        FromNode::ProbeReply { load, .. } => Input::Probed {
+            node,
+            answered: true,
+            load: load.map(load_report),
         }
+        .into(),
         // Out of turn: a node reports what it holds in the handshake.
-        FromNode::Welcome { .. } | FromNode::KnownTask { .. } => return DecodedMessage::default(),
-    };
-    let input = Input::AttemptUpdated {
+        FromNode::Welcome { .. } | FromNode::KnownTask { .. } => DecodedMessage::default(),
+    }
+}
+
+fn attempt_updated(
+    node: NodeId,
+    attempt: AttemptId,
+    update: AttemptUpdate,
+    load: Option<NodeLoad>,
+) -> Input {
+    Input::AttemptUpdated {
         node,
         request: request_id_of(attempt),
         attempt: attempt.number,
         update,
         load: load.map(load_report),
-    };
-    DecodedMessage {
-        input: Some(input),
-        reply,
     }
 }
 
