--- a/crates/core/src/attempt_log/completions.rs
+++ b/crates/core/src/attempt_log/completions.rs
@@ -39,6 +39,7 @@
 }
 
 impl Completions {
+    /// An empty memory: tasks are remembered for `retention` microseconds, `capacity` of them in full.
     pub(super) fn new(retention: Micros, capacity: usize) -> Completions {
         Completions {
             retention,
@@ -47,6 +48,7 @@
         }
     }
 
+    /// What is known of a task; `None` where it is not known to have run.
     pub(super) fn get(&self, task: TaskKey) -> Option<Recall> {
         let detailed = self.detailed.get(&task).copied().map(Recall::Detailed);
         detailed.or_else(|| self.names_only.contains(&task).then_some(Recall::NameOnly))
--- a/crates/core/src/attempt_log/open_copies.rs
+++ b/crates/core/src/attempt_log/open_copies.rs
@@ -72,6 +72,7 @@
         self.orphaned_until == Some(UNTIL_NODE_REPORTS)
     }
 
+    /// Its node reported it as running.
     pub(super) fn is_running(&self) -> bool {
         self.knowledge == Knowledge::Running
     }
@@ -119,6 +120,8 @@
 }
 
 impl OpenCopies {
+    /// An empty table. Clients wait `retry_delay`, and copies at a removed node stay open for `node_retention` (both in
+    /// microseconds).
     pub(super) fn new(retry_delay: Micros, node_retention: Micros) -> OpenCopies {
         OpenCopies {
             retry_delay,
@@ -128,18 +131,22 @@
         }
     }
 
+    /// The retry delay given to clients, in microseconds.
     pub(super) fn retry_delay(&self) -> Micros {
         self.retry_delay
     }
 
+    /// Copies that no request waits for.
     pub(super) fn orphan_count(&self) -> usize {
         self.orphan_count
     }
 
+    /// The copy is open.
     pub(super) fn contains(&self, copy: TaskCopy) -> bool {
         self.copies.contains_key(&copy)
     }
 
+    /// All open copies, in order of their ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&TaskCopy, &OpenCopy)> {
         self.copies.iter()
     }
@@ -157,6 +164,7 @@
             .filter(move |(copy, _)| copy.attempt.node == node)
     }
 
+    /// Opens a copy that is about to be sent to a node of that incarnation.
     pub(super) fn insert(&mut self, copy: TaskCopy, node_incarnation: u64, spec: TaskSpec) {
         let replaced = self
             .copies
@@ -167,6 +175,7 @@
         self.by_task.entry(spec.task).or_default().insert(copy);
     }
 
+    /// Closes a copy and returns what was known of it.
     pub(super) fn remove(&mut self, copy: TaskCopy) -> Option<OpenCopy> {
         let open = self.copies.remove(&copy)?;
         self.orphan_count -= usize::from(open.is_orphan());
--- a/crates/core/src/engine/admission.rs
+++ b/crates/core/src/engine/admission.rs
@@ -34,6 +34,7 @@
 }
 
 impl<D: Decide> Core<D> {
+    /// A client submits a job: it is accepted, found again by its key or its task, or rejected.
     pub(super) fn on_submit(&mut self, ticket: u64, submission: Submission) {
         if let Some(job) = self.jobs.by_key(&submission.session, &submission.key) {
             self.outputs.push(Output::Accepted { ticket, job });
@@ -88,8 +89,8 @@
     /// The job's task ran to its end on a node before the job was answered.
     pub(super) fn answer_completed(&mut self, job: JobId, node: NodeId, end: TaskEnd) {
         self.answer_job(job, Answer::Placed(node));
-        if let Some(j) = self.jobs.get_mut(job) {
-            j.end = Some(end);
+        if let Some(known_job) = self.jobs.get_mut(job) {
+            known_job.end = Some(end);
         }
         self.finish_job(job, JobState::Done);
     }
--- a/crates/core/src/engine/adoption.rs
+++ b/crates/core/src/engine/adoption.rs
@@ -63,8 +63,9 @@
         }
         let job = self.jobs.add_unclaimed(submission);
         let request = self.adopt(job, copy);
-        if let Some(j) = self.jobs.get_mut(job) {
-            (j.answer, j.state) = (Some(Answer::Placed(copy.attempt.node)), JobState::Running);
+        if let Some(known_job) = self.jobs.get_mut(job) {
+            known_job.answer = Some(Answer::Placed(copy.attempt.node));
+            known_job.state = JobState::Running;
         }
         self.flush_journal();
         self.outputs.push(Output::adopt(copy, request));
@@ -83,11 +84,11 @@
         let (id, node) = (self.requests.next_id(), copy.attempt.node);
         self.counters.adopted += 1;
         self.release_orphan(copy);
-        let Some(j) = self.jobs.get_mut(job) else {
+        let Some(known_job) = self.jobs.get_mut(job) else {
             return id;
         };
-        j.request = Some(id);
-        let request = placement_request(&j.submission, id, 0);
+        known_job.request = Some(id);
+        let request = placement_request(&known_job.submission, id, 0);
         let present = AttemptId::new(node, id, 0);
         self.record_previous_id(copy, present);
         self.log_adopted(copy, present, TaskSpec::from(&request));
@@ -148,8 +149,9 @@
             return;
         }
         let job = self.jobs.add(submission, JobState::Queued);
-        if let Some(j) = self.jobs.get_mut(job) {
-            (j.answer, j.end) = (Some(Answer::Placed(copy.attempt.node)), Some(end));
+        if let Some(known_job) = self.jobs.get_mut(job) {
+            known_job.answer = Some(Answer::Placed(copy.attempt.node));
+            known_job.end = Some(end);
         }
         self.finish_job(job, JobState::after(end));
     }
--- a/crates/core/src/engine/attempt_updates.rs
+++ b/crates/core/src/engine/attempt_updates.rs
@@ -9,6 +9,7 @@
 use peppercove::{AttemptOutcome, EndReason, LoadReport, PlacementAck, TaskUpdate};
 
 impl<D: Decide> Core<D> {
+    /// A node reports on an attempt.
     pub(super) fn on_attempt_updated(
         &mut self,
         attempt: AttemptId,
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -18,6 +18,7 @@
 }
 
 impl AttemptEnd {
+    /// An end with all that its node reported.
     pub(super) fn new(
         outcome: AttemptOutcome,
         reason: EndReason,
@@ -57,6 +58,7 @@
 }
 
 impl AttemptEndCounts {
+    /// Counts one more end.
     pub(super) fn count(&mut self, outcome: AttemptOutcome, reason: EndReason) {
         let key = EndKey {
             outcome: outcome as u8,
@@ -66,6 +68,7 @@
         *count += 1;
     }
 
+    /// The counts, in order of outcome and reason.
     pub(super) fn iter(&self) -> impl Iterator<Item = (AttemptOutcome, EndReason, u64)> + '_ {
         self.counts.values().copied()
     }
@@ -152,6 +155,7 @@
         }
     }
 
+    /// The timeout of an attempt has passed: it is cancelled if it is still in flight.
     pub(super) fn on_attempt_timeout(&mut self, request: RequestId, number: u16) {
         let Some(attempt) = self.requests.in_flight(request, number) else {
             return;
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -47,13 +47,13 @@
 
     /// Gives false where the node is not known.
     fn set_connected(&mut self, node: NodeId, incarnation: u64) -> bool {
-        let Some(n) = self.nodes.get_mut(node) else {
+        let Some(known_node) = self.nodes.get_mut(node) else {
             return false;
         };
-        n.link = ConnectionState::Connected;
-        n.reported_incarnation = Some(incarnation);
+        known_node.link = ConnectionState::Connected;
+        known_node.reported_incarnation = Some(incarnation);
         // The list names the new incarnation seconds later; until then all controllers would overload a cold node.
-        if let Some(entry) = n.on_restart(self.now, incarnation) {
+        if let Some(entry) = known_node.on_restart(self.now, incarnation) {
             let version = self.nodes.generation;
             self.report_node_list(ListUpdateKind::Incremental, version, vec![entry]);
         }
@@ -84,12 +84,13 @@
         }
     }
 
+    /// The connection to a node broke: what was in flight there is lost, what is placed there may go on.
     pub(super) fn on_node_disconnected(&mut self, node: NodeId) {
-        let Some(n) = self.nodes.get_mut(node) else {
+        let Some(known_node) = self.nodes.get_mut(node) else {
             return;
         };
-        if n.link == ConnectionState::Connected {
-            n.link = ConnectionState::Disconnected(self.now);
+        if known_node.link == ConnectionState::Connected {
+            known_node.link = ConnectionState::Disconnected(self.now);
             let unreachable_at = self.now.saturating_add(self.limits.unreachable_timeout);
             self.timers
                 .schedule(unreachable_at, Timer::NodeUnreachable(node));
--- a/crates/core/src/engine/job_control.rs
+++ b/crates/core/src/engine/job_control.rs
@@ -8,15 +8,16 @@
 use peppercove::RequestId;
 
 impl<D: Decide> Core<D> {
+    /// A client acts on a job.
     pub(super) fn on_control(&mut self, ticket: u64, job: JobId, control: Control) {
-        let Some(j) = self.jobs.get(job) else {
+        let Some(known_job) = self.jobs.get(job) else {
             self.outputs.push(Output::Rejected {
                 ticket,
                 reason: Rejection::NoSuchJob,
             });
             return;
         };
-        let (state, request) = (j.state, j.request);
+        let (state, request) = (known_job.state, known_job.request);
         let is_accepted = match control {
             Control::Hold => state == JobState::Queued && self.hold(job, request),
             Control::Release => state == JobState::OnHold && self.release(job),
@@ -46,8 +47,9 @@
             return false;
         };
         self.cancel_pending(request);
-        if let Some(j) = self.jobs.get_mut(job) {
-            (j.state, j.request) = (JobState::OnHold, None);
+        if let Some(known_job) = self.jobs.get_mut(job) {
+            known_job.state = JobState::OnHold;
+            known_job.request = None;
         }
         true
     }
@@ -68,8 +70,8 @@
             return false;
         };
         self.outputs.push(Output::control_task(attempt, control));
-        if let Some(j) = self.jobs.get_mut(job) {
-            j.state = if control == Control::Suspend {
+        if let Some(known_job) = self.jobs.get_mut(job) {
+            known_job.state = if control == Control::Suspend {
                 JobState::Suspended
             } else {
                 JobState::Running
--- a/crates/core/src/engine/module_actions.rs
+++ b/crates/core/src/engine/module_actions.rs
@@ -6,6 +6,7 @@
 use peppercove::{Action, NodeId, RequestId};
 
 impl<D: Decide> Core<D> {
+    /// Carries out one action of the module.
     pub(super) fn carry_out(&mut self, action: Action) {
         match action {
             Action::WatchNodes => self.outputs.push(Output::Watch),
--- a/crates/core/src/engine/module_events.rs
+++ b/crates/core/src/engine/module_events.rs
@@ -7,6 +7,7 @@
 use peppercove::{Event, ListUpdateKind, LoadReport, NodeEntry, NodeId, TaskUpdate};
 
 impl<D: Decide> Core<D> {
+    /// An update of the node list.
     pub(super) fn report_node_list(
         &mut self,
         kind: ListUpdateKind,
@@ -20,6 +21,7 @@
         });
     }
 
+    /// An attempt placed its task.
     pub(super) fn report_placed(&mut self, attempt: AttemptId) {
         self.events.push(Event::Placed {
             request: attempt.request,
@@ -52,6 +54,7 @@
         });
     }
 
+    /// An update of a running task.
     pub(super) fn report_task_update(&mut self, attempt: AttemptId, update: TaskUpdate) {
         self.events.push(Event::TaskUpdated {
             request: attempt.request,
--- a/crates/core/src/engine/node_list.rs
+++ b/crates/core/src/engine/node_list.rs
@@ -7,6 +7,7 @@
 use peppercove::{ListUpdateKind, NodeId};
 
 impl<D: Decide> Core<D> {
+    /// Takes in an update of the node list: connections follow it.
     pub(super) fn on_node_list(
         &mut self,
         kind: ListUpdateKind,
@@ -34,11 +35,11 @@
         for (copy, spec) in self.attempt_log.on_node_listed(node) {
             self.track_orphan(copy, spec);
         }
-        if let Some(n) = self.nodes.get(node) {
+        if let Some(known_node) = self.nodes.get(node) {
             self.outputs.push(Output::Connect {
                 node,
-                address: n.address,
-                name: n.name.clone(),
+                address: known_node.address,
+                name: known_node.name.clone(),
             });
         }
     }
--- a/crates/core/src/engine/orphans.rs
+++ b/crates/core/src/engine/orphans.rs
@@ -90,6 +90,7 @@
         }
     }
 
+    /// Stops a copy that no request waits for.
     pub(super) fn stop_orphan(&mut self, attempt: AttemptId) {
         self.counters.orphans_stopped += 1;
         self.outputs
--- a/crates/core/src/engine/placed_tasks.rs
+++ b/crates/core/src/engine/placed_tasks.rs
@@ -28,6 +28,7 @@
 }
 
 impl<D: Decide> Core<D> {
+    /// A node reports on a placed task.
     pub(super) fn on_placed_update(
         &mut self,
         attempt: AttemptId,
@@ -118,8 +119,8 @@
     }
 
     fn finish_ended(&mut self, job: JobId, end: TaskEnd) {
-        if let Some(j) = self.jobs.get_mut(job) {
-            j.end = Some(end);
+        if let Some(known_job) = self.jobs.get_mut(job) {
+            known_job.end = Some(end);
         }
         self.finish_job(job, JobState::after(end));
     }
--- a/crates/core/src/engine/request_table.rs
+++ b/crates/core/src/engine/request_table.rs
@@ -21,10 +21,12 @@
         RequestId(self.next_id - 1)
     }
 
+    /// A request.
     pub(super) fn get(&self, request: RequestId) -> Option<&RequestEntry> {
         self.entries.get(&request)
     }
 
+    /// A request, to be changed; its state goes through [`RequestTable::transition`].
     pub(super) fn get_mut(&mut self, request: RequestId) -> Option<&mut RequestEntry> {
         self.entries.get_mut(&request)
     }
@@ -87,6 +89,7 @@
         self.get(request)?.attempts.get(usize::from(number))
     }
 
+    /// An attempt, to be changed.
     pub(super) fn attempt_mut(&mut self, request: RequestId, number: u16) -> Option<&mut Attempt> {
         self.get_mut(request)?.attempts.get_mut(usize::from(number))
     }
--- a/crates/core/src/engine/requests.rs
+++ b/crates/core/src/engine/requests.rs
@@ -9,35 +9,37 @@
 
 /// The request for a submission's task, as the module is given it.
 pub(super) fn placement_request(
-    s: &Submission,
+    submission: &Submission,
     id: RequestId,
     deadline_in: Micros,
 ) -> PlacementRequest {
     PlacementRequest {
         id,
-        task: s.task,
-        service: s.service,
-        class: s.class,
-        tenant: s.tenant,
-        cores: s.cores,
-        memory: s.memory,
+        task: submission.task,
+        service: submission.service,
+        class: submission.class,
+        tenant: submission.tenant,
+        cores: submission.cores,
+        memory: submission.memory,
         deadline_in,
-        expected_duration: s.expected_duration,
-        is_retry: s.is_retry,
+        expected_duration: submission.expected_duration,
+        is_retry: submission.is_retry,
     }
 }
 
 impl<D: Decide> Core<D> {
     /// Requests a placement for a job's task from the module.
     pub(super) fn request_placement(&mut self, job: JobId) {
-        let Some(j) = self.jobs.get_mut(job) else {
+        let Some(known_job) = self.jobs.get_mut(job) else {
             return;
         };
         let id = self.requests.next_id();
-        (j.request, j.state, j.requested_at) = (Some(id), JobState::Queued, self.now);
-        let deadline_in = j.submission.deadline_in;
+        known_job.request = Some(id);
+        known_job.state = JobState::Queued;
+        known_job.requested_at = self.now;
+        let deadline_in = known_job.submission.deadline_in;
         let module_deadline_in = deadline_in.saturating_sub(self.limits.deadline_margin);
-        let request = placement_request(&j.submission, id, module_deadline_in);
+        let request = placement_request(&known_job.submission, id, module_deadline_in);
         let deadline = self.now.saturating_add(deadline_in);
         self.timers.schedule(deadline, Timer::Deadline(id));
         self.requests.insert(RequestEntry {
@@ -63,6 +65,7 @@
         result.is_ok()
     }
 
+    /// Forgets a request that is completed and has no attempt in flight.
     pub(super) fn forget_if_done(&mut self, request: RequestId) {
         if self.requests.remove_if_done(request) {
             self.migrating.remove(&request);
@@ -95,12 +98,12 @@
 
     /// The one place where a job's request is answered.
     pub(super) fn answer_job(&mut self, job: JobId, answer: Answer) {
-        let Some(j) = self.jobs.get_mut(job) else {
+        let Some(known_job) = self.jobs.get_mut(job) else {
             return;
         };
         // A task that was migrated or came again was answered when it was first placed.
-        if j.answer.is_none() {
-            j.answer = Some(answer);
+        if known_job.answer.is_none() {
+            known_job.answer = Some(answer);
             match answer {
                 Answer::Placed(_) => self.counters.placed += 1,
                 Answer::Rejected(_) => self.counters.requests_rejected += 1,
@@ -110,13 +113,14 @@
             self.outputs.push(Output::Answered { job, answer });
         }
         match answer {
-            Answer::Placed(_) => j.state = JobState::Running,
+            Answer::Placed(_) => known_job.state = JobState::Running,
             Answer::Rejected(_) | Answer::Failed | Answer::Cancelled => {
                 self.finish_job(job, JobState::Failed)
             }
         }
     }
 
+    /// A job reached its final state.
     pub(super) fn finish_job(&mut self, job: JobId, state: JobState) {
         self.jobs.finish(job, state);
         self.outputs.push(Output::Finished(job));
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -60,6 +60,7 @@
         self.jobs.get(&id)
     }
 
+    /// A job, to be changed.
     pub(crate) fn get_mut(&mut self, id: JobId) -> Option<&mut Job> {
         self.jobs.get_mut(&id)
     }
@@ -168,7 +169,8 @@
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.state.is_final()) else {
             return;
         };
-        (job.state, job.request) = (state, None);
+        job.state = state;
+        job.request = None;
         if self.by_task.get(&job.submission.task) == Some(&id) {
             self.by_task.remove(&job.submission.task);
         }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -123,6 +123,7 @@
 }
 
 impl Job {
+    /// A job as it is accepted.
     pub(super) fn new(id: JobId, submission: Submission, state: JobState) -> Job {
         Job {
             id,
--- a/crates/core/src/nodes.rs
+++ b/crates/core/src/nodes.rs
@@ -84,8 +84,10 @@
             incarnation,
             started_at: now,
         };
-        (self.line.started_at, self.line.incarnation) = (now, incarnation);
-        (self.line.free_cores, self.line.free_memory) = (None, None);
+        self.line.started_at = now;
+        self.line.incarnation = incarnation;
+        self.line.free_cores = None;
+        self.line.free_memory = None;
         Some(self.line.clone())
     }
 
@@ -118,6 +120,7 @@
         self.nodes.get(&id)
     }
 
+    /// A node, to be changed.
     pub(crate) fn get_mut(&mut self, id: NodeId) -> Option<&mut Node> {
         self.nodes.get_mut(&id)
     }
