--- a/crates/core/src/engine/input.rs
+++ b/crates/core/src/engine/input.rs
@@ -40,7 +40,7 @@
 }
 
 /// What a node reports of one attempt.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AttemptUpdate {
     /// It is accepted.
     Accepted,
--- a/crates/exchange/src/handshake.rs
+++ b/crates/exchange/src/handshake.rs
@@ -170,7 +170,13 @@
                 None
             }
             // An end that was not acknowledged counts among what the node has to send.
-            other => Some(decode_message(self.node, other)),
+            message @ (FromNode::Ended { .. }
+            | FromNode::Accepted { .. }
+            | FromNode::Running { .. }
+            | FromNode::Rejected { .. }
+            | FromNode::Measurement { .. }
+            | FromNode::ProbeReply { .. }
+            | FromNode::Welcome { .. }) => Some(decode_message(self.node, message)),
         }
     }
 
