--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -6,16 +6,16 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Why a configuration cannot be used.
+/// Why a configuration is not valid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is not the JSON that is wanted.
+    /// It is not JSON, or lacks a field.
     #[error("configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// The settings in it cannot be used.
+    /// The settings of the decision module in it are not valid.
     #[error("configuration: {0}")]
     Settings(#[from] ProtocolError),
-    /// A value that makes no sense.
+    /// A value that is out of range or cannot be parsed.
     #[error("configuration: {key}: {problem}")]
     Value {
         /// The key.
@@ -23,20 +23,21 @@
         /// What is wrong.
         problem: String,
     },
-    /// The environment says something else.
+    /// The environment disagrees.
     #[error("configuration: {key} is {file}, but {variable} says {environment}")]
     Differs {
         /// The key.
         key: &'static str,
-        /// What the file says.
+        /// The value in the file.
         file: String,
         /// The variable of the environment.
         variable: &'static str,
-        /// What it says.
+        /// Its value.
         environment: String,
     },
 }
 
+/// The file, with the platform's names.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -48,7 +49,7 @@
     settings: serde_json::Value,
 }
 
-/// What the controller may use.
+/// Resources that the controller may use.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
     /// Cores.
@@ -69,108 +70,106 @@
     pub entries: Vec<EndpointEvent>,
 }
 
-/// A configuration that was read and checked.
+/// A configuration that was read and validated.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the controller.
     pub name: String,
-    /// Where owners connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
     /// Seed of random numbers.
     pub seed: u64,
-    /// What it may use.
+    /// Resources that it may use.
     pub limits: Limits,
-    /// Where the journal service is.
+    /// Where the journal service listens.
     pub journal: SocketAddr,
-    /// Its events so far.
+    /// The journal service's events up to the start.
     pub known: InitialEndpoints,
     /// The decision module's settings.
     pub settings: Settings,
-    /// The names and shapes around them.
+    /// The names and record layouts that belong to the settings.
     pub shape: RecordSchema,
 }
 
-/// Fewest descriptors with which a controller can serve: its listener, the journal, logs, and a few connections.
-const LEAST_SOCKETS: usize = 64;
+/// Fewest descriptors with which a controller can serve: its listener, the journal service, logs, a few connections.
+const MIN_SOCKETS: usize = 64;
 
 impl Config {
-    /// Reads a configuration and holds it against the environment, where that names the same things.
+    /// Reads a configuration. `name` and `listen` are the values in the environment, which must agree with it where they
+    /// are set.
     ///
     /// # Errors
-    /// [`ConfigError`] names what is missing or wrong.
+    /// [`ConfigError`] says what is missing or wrong.
     pub fn parse(
         text: &str,
         name: Option<&str>,
         listen: Option<&str>,
     ) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text)?;
-        let differs = |key, file: &str, variable, environment: Option<&str>| match environment {
-            Some(e) if e != file => Err(ConfigError::Differs {
-                key,
-                file: file.into(),
-                variable,
-                environment: e.into(),
-            }),
-            _ => Ok(()),
-        };
-        differs("name", &file.name, "LB_NAME", name)?;
-        differs("listen", &file.listen.to_string(), "LB_LISTEN", listen)?;
-        let wrong = |key, problem: &str| ConfigError::Value {
-            key,
-            problem: problem.into(),
-        };
-        let seed =
-            u64::from_str_radix(&file.seed, 16).map_err(|e| wrong("seed", &e.to_string()))?;
-        if file.limits.sockets < LEAST_SOCKETS {
-            let problem = format!(
-                "{} are too few, {LEAST_SOCKETS} are needed",
-                file.limits.sockets
-            );
-            return Err(wrong("limits.sockets", &problem));
+        check_environment("name", &file.name, "LB_NAME", name)?;
+        check_environment("listen", &file.listen.to_string(), "LB_LISTEN", listen)?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|error| invalid_value("seed", error.to_string()))?;
+        if file.limits.sockets < MIN_SOCKETS {
+            let sockets = file.limits.sockets;
+            let problem = format!("{sockets} are too few, {MIN_SOCKETS} are needed");
+            return Err(invalid_value("limits.sockets", problem));
         }
         let (mut settings, shape) = read_settings(&serde_json::to_vec(&file.settings)?)?;
         if settings.classes.is_empty() || shape.classes.iter().any(String::is_empty) {
-            return Err(wrong(
-                "settings.classes",
-                "each class needs a name, and one class is needed",
-            ));
+            let problem = "each class needs a name, and one class is needed";
+            return Err(invalid_value("settings.classes", problem.to_owned()));
         }
-        let [first, most] = endpoint_watch::ask_again(settings.drain_grace, dial_timeout(&shape));
-        settings.poll_backoff = [
-            settings.poll_backoff[0].min(first),
-            settings.poll_backoff[1].min(most),
-        ];
-        let File {
-            name,
-            listen,
-            limits,
-            journal,
-            known,
-            ..
-        } = file;
+        let delays = endpoint_watch::retry_delays(settings.drain_grace, dial_timeout(&shape));
+        let [first, max] = settings.poll_backoff;
+        settings.poll_backoff = [first.min(delays.first), max.min(delays.max)];
         Ok(Config {
-            name,
-            listen,
+            name: file.name,
+            listen: file.listen,
             seed,
-            limits,
-            journal,
-            known,
+            limits: file.limits,
+            journal: file.journal,
+            known: file.known,
             settings,
             shape,
         })
     }
 
-    /// How long a connection may take to come up.
+    /// How long a connection may take to be established.
     pub fn dial_timeout(&self) -> Micros {
         dial_timeout(&self.shape)
     }
 }
 
-/// The settings may leave it out; a link of the data centre is up within far less.
-fn dial_timeout(shape: &RecordSchema) -> Micros {
-    if shape.dial_timeout > 0 {
-        shape.dial_timeout
+/// The environment agrees with the file, or does not set the variable.
+fn check_environment(
+    key: &'static str,
+    file: &str,
+    variable: &'static str,
+    environment: Option<&str>,
+) -> Result<(), ConfigError> {
+    match environment {
+        Some(environment) if environment != file => Err(ConfigError::Differs {
+            key,
+            file: file.to_owned(),
+            variable,
+            environment: environment.to_owned(),
+        }),
+        Some(_) | None => Ok(()),
+    }
+}
+
+fn invalid_value(key: &'static str, problem: String) -> ConfigError {
+    ConfigError::Value { key, problem }
+}
+
+/// Taken where the settings give no dial time-out; connections in the data centre are established within far less.
+const DEFAULT_DIAL_TIMEOUT: Micros = 1_000_000;
+
+fn dial_timeout(schema: &RecordSchema) -> Micros {
+    if schema.dial_timeout > 0 {
+        schema.dial_timeout
     } else {
-        1_000_000
+        DEFAULT_DIAL_TIMEOUT
     }
 }
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -1,77 +1,99 @@
-//! Lines of the journal service, and the list events in them.
+//! Lines of the journal service, and the updates of the list of nodes in them.
+//!
+//! The service answers a call with lines: numbers, which say how many events there are, and events in JSON. The fields
+//! of events have the platform's names.
 
 use bytes::BytesMut;
 use peppercove::{Micros, NodeStatus};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Longest line in bytes, by the memory in MB. A whole list is one line of some 160 bytes a host, and must fit in however
-/// many hosts there are; what never ends must not fill the memory. An eighth holds a hundred times the hosts whose tables
-/// fit into the rest.
+/// The service sends a number every second; without a complete line for this long it is silent.
+pub const SILENCE_TIMEOUT: Micros = 2_200_000;
+
+/// What the service would send counts as received this long after it closed the connection.
+const KNOWN_AFTER_CLOSE: Micros = 2_000_000;
+/// What the service would send counts as received this long after it became silent.
+const KNOWN_AFTER_SILENCE: Micros = 4_000_000;
+/// The service is not called more often than this while it is down, however slowly connections are established.
+const MIN_RETRY_DELAY: Micros = 100_000;
+/// Nor is it the first time, however short the drain grace.
+const MIN_FIRST_RETRY_DELAY: Micros = MIN_RETRY_DELAY / 4;
+
+/// Fewest bytes that a line may have, whatever the memory.
+const MIN_MAX_LINE_BYTES: usize = 1 << 20;
+
+/// Longest line in bytes, for a memory in MB.
+///
+/// A full list is one line of some 160 bytes a node, and must fit however many nodes there are; a line that never ends
+/// must not fill the memory. An eighth of it holds a hundred times the nodes whose tables fit into the rest.
 pub fn max_line_bytes(memory_mb: u64) -> usize {
-    usize::try_from(memory_mb.saturating_mul(1 << 20) / 8)
+    let eighth = memory_mb.saturating_mul(1 << 20) / 8;
+    usize::try_from(eighth)
         .unwrap_or(usize::MAX)
-        .max(1 << 20)
+        .max(MIN_MAX_LINE_BYTES)
 }
 
-/// A number comes every second; without a whole line for this long the service is silent.
-pub const SILENT: Micros = 2_200_000;
-/// What the service would tell counts as told so long after it broke off, and so long after it went silent.
-const TOLD: [Micros; 2] = [2_000_000, 4_000_000];
-
-/// Longest waits before a call that failed is made again, the first time and however often it failed, where connections
-/// take so long to come up. Danger: what the service tells meanwhile counts as told. Of a connection that the network
-/// resets it does at once, so that the first wait leaves most of a drain's grace; a service that breaks off or goes silent
-/// has the page's times.
-pub fn ask_again(drain_grace: Micros, dial_timeout: Micros) -> [Micros; 2] {
-    let [broken, silent] = TOLD;
-    let most = broken
-        .min(silent - SILENT)
-        .saturating_sub(dial_timeout)
-        .max(SOONEST);
-    [(drain_grace / 4).clamp(SOONEST / 4, most), most]
+/// Longest delays before a call that failed is made again, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RetryDelays {
+    /// The first time.
+    pub first: Micros,
+    /// However often it failed.
+    pub max: Micros,
 }
 
-/// A service that is down is not called without pause, however slowly connections come up and however short the grace.
-const SOONEST: Micros = 100_000;
+/// Longest delays before a call that failed is made again, where a connection takes up to `dial_timeout`.
+///
+/// What the service would send meanwhile counts as received. After a reset by the network it does so at once, so the
+/// first delay leaves most of the grace that draining nodes have; after a close or silence of the service the platform
+/// gives the times above.
+pub fn retry_delays(drain_grace: Micros, dial_timeout: Micros) -> RetryDelays {
+    let max = KNOWN_AFTER_CLOSE
+        .min(KNOWN_AFTER_SILENCE - SILENCE_TIMEOUT)
+        .saturating_sub(dial_timeout)
+        .max(MIN_RETRY_DELAY);
+    let first = (drain_grace / 4).clamp(MIN_FIRST_RETRY_DELAY, max);
+    RetryDelays { first, max }
+}
 
-/// Why the journal service's bytes could not be read. The connection is of no further use.
+/// Why the journal service's bytes cannot be decoded. The connection is of no further use.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointWatchError {
-    /// No line ends within the bound.
+    /// No line ends within the limit.
     #[error("a line longer than {0} bytes")]
-    Endless(usize),
-    /// A whole line that is neither a number nor an event.
+    LineTooLong(usize),
+    /// A complete line that is neither a number nor an event.
     #[error("a line that is no event: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// One event of the list, numbered.
+/// One event, numbered.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointEvent {
-    /// Its number; in the configuration's list it may be left out of all but the last.
+    /// Its number. Events in a configuration may leave it out, but for the last.
     #[serde(default)]
     pub pos: u64,
-    /// What it tells of hosts; absent where it tells of something else.
+    /// The update of the list of nodes; absent where the event is about something else.
     #[serde(default)]
     pub hosts: Option<NodeListUpdate>,
 }
 
-/// What an event tells of hosts.
+/// An update of the list of nodes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct NodeListUpdate {
-    /// The whole list, not what has changed.
+    /// The update names all nodes that there are, not only those that have changed.
     #[serde(default)]
     pub full: bool,
-    /// The hosts.
+    /// The nodes.
     #[serde(default)]
     pub servers: Vec<NodeUpdate>,
 }
 
-/// What an event tells of one host; what is left out stands as told before.
+/// An update of one node; what is left out stays as it was.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct NodeUpdate {
-    /// Its id: names the machine, whatever address it has.
+    /// Its name, whatever address it has.
     pub id: String,
     /// Where it listens.
     #[serde(default)]
@@ -79,32 +101,32 @@
     /// Name of its zone.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Name of its kind.
+    /// Name of its kind of node.
     #[serde(default)]
     pub kind: Option<String>,
     /// Its rack.
     #[serde(default)]
     pub cell: Option<u16>,
-    /// State of its life.
+    /// Whether it accepts tasks.
     #[serde(default)]
     pub state: Option<NodeLifecycle>,
-    /// Unix millisecond of a late start, or 0.
+    /// When it was started, in milliseconds since the Unix epoch, where that was late; else 0.
     #[serde(default)]
     pub started_ms: Option<u64>,
-    /// Cores and memory that nobody has asked for.
+    /// Cores and memory that no task has requested.
     #[serde(default)]
     pub room: Option<[f64; 2]>,
 }
 
-/// State of a host's life.
+/// Whether a node accepts tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeLifecycle {
-    /// Takes tasks.
+    /// It accepts tasks.
     Active,
-    /// Takes nothing new.
+    /// It accepts no new tasks.
     Leaving,
-    /// Gone.
+    /// It has left.
     Left,
 }
 
@@ -118,80 +140,80 @@
     }
 }
 
-/// One line.
+/// One line of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchLine {
-    /// The last number there is.
+    /// The number of the last event that there is.
     Last(u64),
     /// An event.
     Event(EndpointEvent),
 }
 
-/// Takes whole lines off the bytes of one connection.
+/// Decodes the lines of one connection.
 #[derive(Debug)]
 pub struct LineDecoder {
-    longest: usize,
-    /// Bytes at the front in which no line ends.
+    max_line_bytes: usize,
+    /// Bytes at the front of the buffer in which no line ends. Invariant: each byte is searched once. A full list comes
+    /// in many reads, and searched from its start at each it would cost the square of its length.
     searched: usize,
 }
 
 impl LineDecoder {
-    /// No line is longer than so many bytes.
-    pub fn new(longest: usize) -> LineDecoder {
+    /// A decoder of lines that are no longer than so many bytes.
+    pub fn new(max_line_bytes: usize) -> LineDecoder {
         LineDecoder {
-            longest,
+            max_line_bytes,
             searched: 0,
         }
     }
 
-    /// Takes one whole line off the front of `buffer`, to which bytes are only added between two calls; a line without
-    /// its end stays. Danger: a whole list comes in many reads. Looked through from its start at each, it costs the
-    /// square of its length.
+    /// Takes one complete line off the front of `buffer`; `None` where there is none yet. Between two calls the buffer
+    /// may only be appended to.
     ///
     /// # Errors
     /// [`EndpointWatchError`]: the connection is of no further use.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<WatchLine>, EndpointWatchError> {
-        let fresh = buffer.get(self.searched..).unwrap_or_default();
-        let Some(end) = fresh
-            .iter()
-            .position(|b| *b == b'\n')
-            .map(|end| self.searched + end)
-        else {
+        let unsearched = buffer.get(self.searched..).unwrap_or_default();
+        let Some(offset) = unsearched.iter().position(|byte| *byte == b'\n') else {
             self.searched = buffer.len();
-            let endless = buffer.len() > self.longest;
-            return if endless {
-                Err(EndpointWatchError::Endless(self.longest))
-            } else {
-                Ok(None)
-            };
+            if buffer.len() > self.max_line_bytes {
+                return Err(EndpointWatchError::LineTooLong(self.max_line_bytes));
+            }
+            return Ok(None);
         };
+        let end = self.searched + offset;
         self.searched = 0;
         let line = buffer.split_to(end + 1);
-        let text = line[..end].trim_ascii();
-        if text.iter().all(u8::is_ascii_digit) && !text.is_empty() {
-            return Ok(Some(WatchLine::Last(serde_json::from_slice(text)?)));
-        }
-        Ok(Some(WatchLine::Event(serde_json::from_slice(text)?)))
+        decode_line(line[..end].trim_ascii()).map(Some)
+    }
+}
+
+fn decode_line(text: &[u8]) -> Result<WatchLine, EndpointWatchError> {
+    let is_number = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
+    if is_number {
+        Ok(WatchLine::Last(serde_json::from_slice(text)?))
+    } else {
+        Ok(WatchLine::Event(serde_json::from_slice(text)?))
     }
 }
 
-/// What to do about a line, by its number and the last one held.
+/// What to do about a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SequenceCheck {
     /// It is the next event.
     Apply,
-    /// It was told before, or tells that nothing is missing.
+    /// It is an event that was handled before, or says that none is missing.
     Skip,
-    /// Something between is missing: it is to be asked for again.
+    /// An event is missing: the service is to be called again.
     Resync,
 }
 
-/// Holds a line against the last number held.
-pub fn check_sequence(held: u64, line: &WatchLine) -> SequenceCheck {
+/// Compares a line with the number of the last event that was handled.
+pub fn check_sequence(last_handled: u64, line: &WatchLine) -> SequenceCheck {
     match line {
-        WatchLine::Event(entry) if entry.pos <= held => SequenceCheck::Skip,
-        WatchLine::Event(entry) if entry.pos == held + 1 => SequenceCheck::Apply,
-        WatchLine::Last(last) if *last <= held => SequenceCheck::Skip,
+        WatchLine::Event(event) if event.pos <= last_handled => SequenceCheck::Skip,
+        WatchLine::Event(event) if event.pos == last_handled + 1 => SequenceCheck::Apply,
+        WatchLine::Last(last) if *last <= last_handled => SequenceCheck::Skip,
         WatchLine::Event(_) | WatchLine::Last(_) => SequenceCheck::Resync,
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,12 @@
 //! The users' platform without I/O: what a real controller reads, writes and must remember there.
 //!
-//! [`wire`] is the codec of the messages, [`config`] the controller's configuration, [`endpoint_watch`] the lines of the journal
-//! service, and [`PlatformEngine`] the state machine between them and the decision module: it numbers attempts, keeps time-outs
-//! and deadlines, gives each bind one end and each set-up one answer. Time and inputs come in, outputs go out.
+//! [`wire`] is the codec of the messages, [`config`] the controller's configuration, [`endpoint_watch`] the lines of the
+//! journal service, and [`PlatformEngine`] the state machine between them and the decision module. It numbers attempts,
+//! keeps time-outs and deadlines, and gives each dispatch one end and each request one answer. Time and inputs come in,
+//! outputs go out.
 //!
-//! May use: the decision module, the core's `Decide`, `Life`, `Alarms` and `Retry`. Must not know: sockets, clocks,
-//! files, signals. Adds no verdict of its own to the module's.
+//! May use: the decision module, and the core's `Decide`, `RequestState`, `Timers` and `Backoff`. Must not know: sockets,
+//! clocks, files, signals. Adds no verdict of its own to the module's.
 
 pub mod config;
 pub mod endpoint_watch;
--- /dev/null
+++ b/crates/platform/src/wire/tests.rs
@@ -0,0 +1,83 @@
+use super::*;
+use proptest::prelude::*;
+
+/// Worked out by hand from the platform's page: 12 is a release, parameter 17 its cause.
+#[test]
+fn bytes_of_messages_are_as_the_page_has_them() {
+    let release = [
+        0, 13, 12, 0x7f, 0x3a, 0x9c, 0x21, 0xe0, 0xb4, 0xd6, 0x55, 17, 0, 1, 42,
+    ];
+    assert_eq!(
+        Message::release(0x7f3a_9c21_e0b4_d655, 42).encode()[..],
+        release
+    );
+    // 9 of type and task, 8 of the class, 7 of the wait, 4 of the description: 28.
+    let set_up = b"\0\x1c\x01\0\0\0\0\0\0\0\x09\x03\0\x05batch\x04\0\x041500\x12\0\x01\xffnext";
+    let mut cut = BytesMut::from(&set_up[..29]);
+    assert_eq!(
+        decode(&mut cut),
+        Ok(None),
+        "a byte of the description is missing"
+    );
+    let mut whole = BytesMut::from(&set_up[..]);
+    let message = decode(&mut whole).ok().flatten().expect("whole");
+    assert_eq!((message.kind, message.id), (MessageKind::SetUp, 9));
+    assert_eq!(
+        (message.text(3), message.text(4)),
+        (Some("batch"), Some("1500"))
+    );
+    assert_eq!(message.get(18), Some(&b"\xff"[..]));
+    assert_eq!(whole[..], b"next"[..], "what follows stays");
+    assert_eq!(message.encode()[..], set_up[..30]);
+}
+
+#[test]
+fn what_cannot_be_a_message_is_told_before_it_is_whole() {
+    let told = |bytes: &[u8]| decode(&mut BytesMut::from(bytes));
+    assert_eq!(told(&[0, 8]), Err(DecodeError::Length(8)));
+    assert_eq!(told(&[0xff, 0xff]), Err(DecodeError::Length(0xffff)));
+    assert_eq!(
+        told(&[0x3f, 0xff]),
+        Err(DecodeError::Length(0x3fff)),
+        "longest is 16 KiB with its length"
+    );
+    assert_eq!(told(&[0x3f, 0xfe]), Ok(None));
+    assert_eq!(told(&[0x3f, 0xfe, 99]), Err(DecodeError::Type(99)));
+    let overrun = [0, 12, 9, 0, 0, 0, 0, 0, 0, 0, 1, 18, 0, 1];
+    assert_eq!(
+        told(&overrun),
+        Err(DecodeError::Overrun { code: 18, at: 0 })
+    );
+    let cut = [0, 10, 9, 0, 0, 0, 0, 0, 0, 0, 1, 18];
+    assert_eq!(told(&cut), Err(DecodeError::Overrun { code: 18, at: 0 }));
+}
+
+proptest! {
+    #[test]
+    fn any_message_comes_back_whole_from_any_cuts(
+        id: u64, values in prop::collection::vec((any::<u8>(), prop::collection::vec(any::<u8>(), 0..300)), 0..9),
+        cut in 1usize..40,
+    ) {
+        let message = values.iter().fold(Message::new(MessageKind::Note, id), |m, (code, v)| m.with(*code, v));
+        let (mut buffer, mut seen) = (BytesMut::new(), None);
+        for part in message.encode().chunks(cut) {
+            prop_assert!(seen.is_none());
+            buffer.extend_from_slice(part);
+            seen = decode(&mut buffer).expect("valid");
+        }
+        prop_assert_eq!(seen.as_ref(), Some(&message));
+        let back: Vec<(u8, Vec<u8>)> = message.parameters().map(|(c, v)| (c, v.to_vec())).collect();
+        prop_assert_eq!(back, values);
+    }
+
+    #[test]
+    fn arbitrary_bytes_end_or_wait_and_never_hold_more_than_a_message(
+        bytes in prop::collection::vec(any::<u8>(), 0..40_000),
+    ) {
+        let mut buffer = BytesMut::from(&bytes[..]);
+        while let Ok(Some(_)) = decode(&mut buffer) {}
+        if let Ok(None) = decode(&mut buffer) {
+            prop_assert!(buffer.len() < MAX_MESSAGE_BYTES);
+        }
+    }
+}
--- a/crates/platform/tests/feed.rs
+++ b/crates/platform/tests/feed.rs
@@ -2,8 +2,8 @@
 
 use bytes::BytesMut;
 use peppercove_platform::endpoint_watch::{
-    EndpointEvent, EndpointWatchError, LineDecoder, NodeLifecycle, SILENT, SequenceCheck,
-    WatchLine, ask_again, check_sequence, max_line_bytes,
+    EndpointEvent, EndpointWatchError, LineDecoder, NodeLifecycle, RetryDelays, SILENCE_TIMEOUT,
+    SequenceCheck, WatchLine, check_sequence, max_line_bytes, retry_delays,
 };
 
 #[test]
@@ -62,10 +62,10 @@
 #[test]
 fn the_list_is_asked_for_again_before_it_counts_as_having_told() {
     for dial_timeout in [0, 50_000, 250_000, 1_000_000] {
-        let [first, wait] = ask_again(250_000, dial_timeout);
+        let RetryDelays { first, max } = retry_delays(250_000, dial_timeout);
         // The page: 2 s after a break, 4 s after a stop, which is known after the silence.
         assert!(
-            wait + dial_timeout <= 2_000_000,
+            max + dial_timeout <= 2_000_000,
             "after a break, {dial_timeout}"
         );
         assert!(
@@ -73,14 +73,12 @@
             "a connection that was reset leaves most of a drain's grace"
         );
         assert!(
-            SILENT + wait + dial_timeout <= 4_000_000,
+            SILENCE_TIMEOUT + max + dial_timeout <= 4_000_000,
             "after a stop, {dial_timeout}"
         );
     }
-    assert!(
-        ask_again(0, u64::MAX).iter().all(|wait| *wait > 0),
-        "never without a pause"
-    );
+    let RetryDelays { first, max } = retry_delays(0, u64::MAX);
+    assert!(first > 0 && max > 0, "never without a pause");
 }
 
 /// Danger: a bound that does not follow the memory closes every connection that brings a whole list of 13,000 hosts, and
@@ -123,7 +121,7 @@
         buffer.extend_from_slice(&[b'7'; 1 << 10]);
         lines.next(&mut buffer).err()
     });
-    assert!(matches!(end, Some(EndpointWatchError::Endless(_))));
+    assert!(matches!(end, Some(EndpointWatchError::LineTooLong(_))));
     assert!(
         buffer.len() <= (1 << 20) + (1 << 10),
         "no more of it is kept than the bound"
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -3,39 +3,41 @@
 use peppercove::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Wall time at its start, in microseconds since the Unix epoch, and monotonic from then on.
+/// Wall time at the start, in microseconds since the Unix epoch, and monotonic from then on.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    began: Instant,
-    base: Micros,
+    /// The start on the monotonic clock.
+    start: Instant,
+    /// The start in wall time; at least 1.
+    start_time: Micros,
 }
 
 impl Clock {
-    /// A clock that begins now.
+    /// A clock that starts now.
     pub fn start() -> Clock {
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
+        let start_time = u64::try_from(since_epoch.as_micros()).unwrap_or(0);
         Clock {
-            began: Instant::now(),
-            base: u64::try_from(since.as_micros()).unwrap_or(0).max(1),
+            start: Instant::now(),
+            start_time: start_time.max(1),
         }
     }
 
     /// The time now.
     pub fn now(&self) -> Micros {
-        self.base + u64::try_from(self.began.elapsed().as_micros()).unwrap_or(0)
+        self.start_time + u64::try_from(self.start.elapsed().as_micros()).unwrap_or(0)
     }
 
-    /// When it began, on its own scale.
+    /// The time at which the clock was started.
     pub fn began(&self) -> Micros {
-        self.base
+        self.start_time
     }
 
-    /// A time of this clock as the runtime's timers want it.
+    /// A time of this clock in the form that the runtime's timers take.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        tokio::time::Instant::from_std(
-            self.began + Duration::from_micros(at.saturating_sub(self.base)),
-        )
+        let since_start = Duration::from_micros(at.saturating_sub(self.start_time));
+        tokio::time::Instant::from_std(self.start + since_start)
     }
 }
--- /dev/null
+++ b/crates/runtime/src/connection.rs
@@ -0,0 +1,144 @@
+//! A connection that carries bytes both ways. What is to be sent waits in a bounded buffer, so that a peer that does not
+//! read loses its own connection and delays nobody else.
+
+mod send_buffer;
+
+pub use send_buffer::{SendBudget, SendBuffer};
+
+use bytes::BytesMut;
+use send_buffer::Closing;
+use std::io::{self, ErrorKind};
+use std::ops::ControlFlow;
+use std::rc::Rc;
+use tokio::io::{Interest, Ready};
+use tokio::net::TcpStream;
+
+/// Bytes read at a time.
+const READ_CHUNK_BYTES: usize = 8 << 10;
+
+/// Why a connection ended.
+#[derive(Debug)]
+pub enum CloseReason {
+    /// The peer closed it.
+    ByPeer,
+    /// This side closed it.
+    Locally,
+    /// The operating system reported an error.
+    Failed(io::Error),
+    /// The bytes that were read could not be decoded.
+    Undecodable,
+}
+
+/// Carries bytes both ways until the connection ends.
+///
+/// `decode` takes what it can use off the front of the buffer; false ends the connection. A connection that is to be
+/// closed after its buffer is sent is read once more before it ends, so that [`SendBuffer::cancel_close`] can be called.
+pub async fn drive(
+    stream: &Rc<TcpStream>,
+    send_buffer: &SendBuffer,
+    decode: impl FnMut(&mut BytesMut) -> bool,
+) -> CloseReason {
+    send_buffer.attach(stream);
+    let mut driver = Driver {
+        stream,
+        send_buffer,
+        decode,
+        received: BytesMut::new(),
+        has_read_before_close: false,
+    };
+    loop {
+        if let ControlFlow::Break(reason) = driver.step().await {
+            return reason;
+        }
+    }
+}
+
+struct Driver<'a, F> {
+    stream: &'a TcpStream,
+    send_buffer: &'a SendBuffer,
+    decode: F,
+    received: BytesMut,
+    /// All is sent, the connection is to be closed, and what came meanwhile was read.
+    has_read_before_close: bool,
+}
+
+impl<F: FnMut(&mut BytesMut) -> bool> Driver<'_, F> {
+    async fn step(&mut self) -> ControlFlow<CloseReason> {
+        match self.send_buffer.closing() {
+            Some(Closing::Now) => return ControlFlow::Break(CloseReason::Locally),
+            Some(Closing::AfterFlush) if self.send_buffer.is_empty() => {
+                return self.finish_close().await;
+            }
+            Some(Closing::AfterFlush) => {}
+            None => self.has_read_before_close = false,
+        }
+        let is_blocked = match self.send_buffer.write_to(self.stream) {
+            Ok(()) => false,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => true,
+            Err(error) => return ControlFlow::Break(CloseReason::Failed(error)),
+        };
+        let interest = if is_blocked {
+            Interest::READABLE | Interest::WRITABLE
+        } else {
+            Interest::READABLE
+        };
+        tokio::select! {
+            // The peer has sent something, or has read so that more can be sent.
+            ready = self.stream.ready(interest) => self.on_ready(ready),
+            // There is something to send, or the connection is to be closed.
+            () = self.send_buffer.changed() => ControlFlow::Continue(()),
+        }
+    }
+
+    /// Reads once more before a connection on which all is sent is closed.
+    ///
+    /// Race: what the peer sent just before is owed an answer. The runtime polls the sockets during the yield.
+    async fn finish_close(&mut self) -> ControlFlow<CloseReason> {
+        if self.has_read_before_close {
+            return ControlFlow::Break(CloseReason::Locally);
+        }
+        tokio::task::yield_now().await;
+        self.has_read_before_close = true;
+        self.received.reserve(READ_CHUNK_BYTES);
+        match self.stream.try_read_buf(&mut self.received) {
+            Ok(0) => ControlFlow::Break(CloseReason::ByPeer),
+            Ok(_) => self.decode_received(),
+            // An error is met again where the connection stays open.
+            Err(_) => ControlFlow::Continue(()),
+        }
+    }
+
+    fn on_ready(&mut self, ready: io::Result<Ready>) -> ControlFlow<CloseReason> {
+        match ready {
+            Ok(ready) if ready.is_readable() || ready.is_read_closed() => self.read(),
+            Ok(_) => ControlFlow::Continue(()),
+            Err(error) => ControlFlow::Break(CloseReason::Failed(error)),
+        }
+    }
+
+    fn read(&mut self) -> ControlFlow<CloseReason> {
+        self.received.reserve(READ_CHUNK_BYTES);
+        match self.stream.try_read_buf(&mut self.received) {
+            Ok(0) => ControlFlow::Break(CloseReason::ByPeer),
+            Ok(_) => {
+                self.decode_received()?;
+                if self.received.is_empty() {
+                    // An idle connection holds no buffer.
+                    self.received = BytesMut::new();
+                }
+                ControlFlow::Continue(())
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => ControlFlow::Continue(()),
+            Err(error) => ControlFlow::Break(CloseReason::Failed(error)),
+        }
+    }
+
+    fn decode_received(&mut self) -> ControlFlow<CloseReason> {
+        if (self.decode)(&mut self.received) {
+            return ControlFlow::Continue(());
+        }
+        // Answers to what was decoded before are sent, as far as the system takes them now.
+        let _ = self.send_buffer.write_to(self.stream);
+        ControlFlow::Break(CloseReason::Undecodable)
+    }
+}
--- a/crates/runtime/src/timer.rs
+++ b/crates/runtime/src/timer.rs
@@ -5,25 +5,28 @@
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Sleeps until the time a state machine named last, or an earlier one that it names meanwhile.
+/// Sleeps until the time that a state machine named last, or an earlier one that it names meanwhile.
 #[derive(Debug, Default)]
 pub struct Timer {
     wake: Notify,
-    /// The time slept for.
-    armed: Cell<Option<Micros>>,
+    /// The time that the loop sleeps until.
+    armed_for: Cell<Option<Micros>>,
 }
 
 impl Timer {
     /// The state machine was called and now wants to be called at `next`.
     pub fn changed(&self, next: Option<Micros>) {
-        // A wake that is due later than the one waited for can be set then.
-        if next.is_some_and(|at| self.armed.get().is_none_or(|armed| at < armed)) {
+        // A later time than the one waited for is looked at when that has come.
+        let is_earlier = |at: Micros| self.armed_for.get().is_none_or(|armed| at < armed);
+        if next.is_some_and(is_earlier) {
             self.wake.notify_one();
         }
     }
 
-    /// Calls `tick` whenever the time that `next` names has come, with that time; never ends. What came before that time
-    /// has been read by then: the runtime looks for both at once, and wakes those who read first.
+    /// Calls `tick` whenever the time that `next` names has come, with that time; never returns.
+    ///
+    /// Invariant: what arrived before that time has been read by then. The runtime polls sockets and timers together,
+    /// and wakes those who read first.
     pub async fn keep(
         &self,
         clock: &Clock,
@@ -32,23 +35,27 @@
     ) {
         loop {
             let at = next();
-            self.armed.set(at);
-            let sleep = async {
-                match at {
-                    Some(at) => {
-                        tokio::time::sleep_until(clock.instant(at)).await;
-                        at
-                    }
-                    None => std::future::pending().await,
-                }
-            };
+            self.armed_for.set(at);
             tokio::select! {
-                at = sleep => {
-                    self.armed.set(Some(0));
+                at = sleep_until(clock, at) => {
+                    // No time is earlier: `changed` need not wake the loop, which asks for the next time anyway.
+                    self.armed_for.set(Some(0));
                     tick(at);
                 }
+                // An earlier time was named.
                 () = self.wake.notified() => {}
             }
         }
     }
 }
+
+/// Sleeps until a time and returns it; for ever where there is none.
+async fn sleep_until(clock: &Clock, at: Option<Micros>) -> Micros {
+    match at {
+        Some(at) => {
+            tokio::time::sleep_until(clock.instant(at)).await;
+            at
+        }
+        None => std::future::pending().await,
+    }
+}
--- a/crates/serve/src/connection.rs
+++ b/crates/serve/src/connection.rs
@@ -1,88 +1,63 @@
-//! One connection, of an owner or to a host, as the shell holds it.
+//! One connection, of a client or to a node, as the server holds it.
 
 use peppercove::Micros;
-use peppercove_runtime::{Budget, Outbox};
+use peppercove_runtime::{SendBudget, SendBuffer};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A connection as the sweep sees it.
+#[cfg(test)]
+mod tests;
+
+/// A connection, with what is needed to judge whether it is alive.
 #[derive(Debug)]
 pub(crate) struct Connection {
-    pub(crate) outbox: Outbox,
-    pub(crate) since: Micros,
-    /// Something whole was read from it at this time.
-    pub(crate) heard_at: Cell<Option<Micros>>,
-    /// Part of a message has waited for its rest since then.
-    pub(crate) half_since: Cell<Option<Micros>>,
+    pub(crate) send_buffer: SendBuffer,
+    pub(crate) opened_at: Micros,
+    /// When a complete message was read last.
+    pub(crate) last_message_at: Cell<Option<Micros>>,
+    /// Since when a part of a message waits for the rest.
+    pub(crate) incomplete_since: Cell<Option<Micros>>,
 }
 
 impl Connection {
-    pub(crate) fn new(since: Micros, budget: &Rc<Budget>) -> Rc<Connection> {
-        let (heard_at, half_since) = (Cell::new(None), Cell::new(None));
+    /// A connection on which nothing was sent or read.
+    pub(crate) fn new(opened_at: Micros, budget: &Rc<SendBudget>) -> Rc<Connection> {
         Rc::new(Connection {
-            outbox: Outbox::new(budget),
-            since,
-            heard_at,
-            half_since,
+            send_buffer: SendBuffer::new(budget),
+            opened_at,
+            last_message_at: Cell::new(None),
+            incomplete_since: Cell::new(None),
         })
     }
 
-    /// Writes to a host. Danger: left to its connection's turn, a set-up reached its host after the final answer to its
-    /// owner, whose connection had its turn before.
+    /// Sends to a node at once; false where something is left.
+    ///
+    /// Invariant: what is sent to a node is out before any answer that is decided later. In its connection's turn, a
+    /// request could reach its node after the final answer had reached the client, whose connection had its turn first.
     pub(crate) fn send(&self, frame: &[u8]) -> bool {
-        self.outbox.push(frame) && self.outbox.write()
+        self.send_buffer.push(frame) && self.send_buffer.flush()
     }
 
-    /// Writes what takes a set-up back. A host that reads nothing must not get later what waits here.
-    pub(crate) fn take_back(&self, frame: &[u8]) {
+    /// Sends a cancellation. Where it cannot be sent at once the connection is closed, so that a node which does not
+    /// read is not sent the attempt later.
+    pub(crate) fn send_cancel(&self, frame: &[u8]) {
         if !self.send(frame) {
-            self.outbox.close();
+            self.send_buffer.close();
         }
     }
 
-    /// Notes what a read brought: whether whole messages came, and whether a part of one is left.
-    pub(crate) fn read(&self, now: Micros, whole: bool, left: bool) {
-        if whole {
-            self.heard_at.set(Some(now));
+    /// Notes what a read brought: whether there were complete messages, and whether a part of one is left.
+    pub(crate) fn record_read(&self, now: Micros, has_complete: bool, has_partial: bool) {
+        if has_complete {
+            self.last_message_at.set(Some(now));
         }
-        match (left, self.half_since.get()) {
-            (false, _) => self.half_since.set(None),
-            (true, None) => self.half_since.set(Some(now)),
-            // The part that is left now is another message's.
-            (true, Some(_)) if whole => self.half_since.set(Some(now)),
-            (true, Some(_)) => {}
-        }
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::Connection;
-    use peppercove_runtime::{Budget, Closed, carry};
-    use std::rc::Rc;
-    use tokio::net::{TcpListener, TcpStream};
-
-    #[tokio::test(flavor = "current_thread")]
-    async fn hosts_are_written_to_at_once_and_what_they_leave_is_not_sent_after_it_was_taken_back()
-    {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let (here, there) = tokio::join!(TcpStream::connect(address), listener.accept());
-        let (here, _there) = (Rc::new(here.expect("connected")), there.expect("accepted"));
-        let connection = Connection::new(0, &Budget::new(1 << 24));
-        let carried = carry(&here, &connection.outbox, |_| true);
-        let acts = async {
-            tokio::task::yield_now().await;
-            // Nobody else has a turn in between.
-            assert!(connection.send(b"set-up"));
-            connection.take_back(b"given up");
-            assert_eq!(connection.outbox.written(), 14);
-            assert!(
-                !connection.send(&vec![0; 1 << 23]),
-                "more than a peer that reads nothing is sent"
-            );
-            connection.take_back(b"given up");
+        let incomplete_since = match (has_partial, self.incomplete_since.get()) {
+            (false, _) => None,
+            // The part that is left now belongs to another message than the one before.
+            (true, Some(_)) if has_complete => Some(now),
+            (true, Some(since)) => Some(since),
+            (true, None) => Some(now),
         };
-        assert!(matches!(tokio::join!(carried, acts).0, Closed::Here));
+        self.incomplete_since.set(incomplete_since);
     }
 }
--- /dev/null
+++ b/crates/serve/src/connection/tests.rs
@@ -0,0 +1,27 @@
+use super::Connection;
+use peppercove_runtime::{CloseReason, SendBudget, drive};
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+
+#[tokio::test(flavor = "current_thread")]
+async fn sends_to_nodes_at_once_and_closes_where_a_cancel_cannot_be_sent_at_once() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("bound");
+    let (here, there) = tokio::join!(TcpStream::connect(address), listener.accept());
+    let (here, _there) = (Rc::new(here.expect("connected")), there.expect("accepted"));
+    let connection = Connection::new(0, &SendBudget::new(1 << 24));
+    let driven = drive(&here, &connection.send_buffer, |_| true);
+    let acts = async {
+        tokio::task::yield_now().await;
+        // No other task has a turn in between.
+        assert!(connection.send(b"set-up"));
+        connection.send_cancel(b"given up");
+        assert_eq!(connection.send_buffer.bytes_written(), 14);
+        assert!(
+            !connection.send(&vec![0; 1 << 23]),
+            "more than a peer that reads nothing is sent"
+        );
+        connection.send_cancel(b"given up");
+    };
+    assert!(matches!(tokio::join!(driven, acts).0, CloseReason::Locally));
+}
--- /dev/null
+++ b/crates/serve/src/server.rs
@@ -0,0 +1,253 @@
+//! The engine, and what is around it: where inputs come in and outputs are carried out.
+
+use crate::connection::Connection;
+use peppercove::{Micros, Scheduler};
+use peppercove_fleet::{NodeSubset, SubsetScheduler};
+use peppercove_platform::config::Config;
+use peppercove_platform::endpoint_watch::{EndpointEvent, max_line_bytes};
+use peppercove_platform::wire::Message;
+use peppercove_platform::{
+    Bounds, ClientId, Counters, Input, NodeConnectionId, Output, PlatformEngine,
+};
+use peppercove_runtime::{Clock, SendBudget, Timer};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+use tokio::sync::Notify;
+
+mod connection_limits;
+
+pub(crate) use connection_limits::sweep_connections;
+
+/// Starts the task that serves a connection to a node.
+pub(crate) type ConnectToNode = fn(Rc<Server>, NodeConnectionId, SocketAddr, Rc<Connection>);
+
+/// The state of the program, shared by its tasks.
+pub(crate) struct Server {
+    engine: RefCell<PlatformEngine<SubsetScheduler>>,
+    pub(crate) clock: Clock,
+    timer: Timer,
+    bounds: Bounds,
+    /// Memory for what waits to be sent.
+    send_budget: Rc<SendBudget>,
+    /// A request is queued.
+    request_queued: Notify,
+    /// How long queued requests are admitted before what arrived meanwhile is read.
+    admission_slice: Duration,
+    /// How long a connection may take to be established.
+    pub(crate) dial_timeout: Duration,
+    /// Longest line of the journal service, in bytes.
+    pub(crate) max_line_bytes: usize,
+    /// The journal service is followed from the start, without a call of the module.
+    pub(crate) is_list_pushed: bool,
+    /// Where the journal service listens.
+    pub(crate) journal_address: Cell<SocketAddr>,
+    /// Number of the last event of the journal service that was handled.
+    pub(crate) journal_position: Cell<u64>,
+    /// The module calls for the list.
+    pub(crate) watch_requested: Notify,
+    /// The journal service has another address.
+    pub(crate) journal_moved: Notify,
+    /// Events of the journal service up to the start.
+    initial_events: RefCell<Vec<EndpointEvent>>,
+    clients: RefCell<BTreeMap<ClientId, Rc<Connection>>>,
+    next_client: Cell<u64>,
+    /// Client connections accepted and reads from them: a count that stays the same only while clients are quiet.
+    activity: Cell<u64>,
+    /// Clients had taken descriptors from node connections when the engine was informed last.
+    was_crowded: Cell<bool>,
+    node_connections: RefCell<BTreeMap<NodeConnectionId, Rc<Connection>>>,
+    connect_to_node: ConnectToNode,
+    /// Handle to itself, for the tasks that it starts.
+    this: Weak<Server>,
+}
+
+impl Server {
+    /// A server that has handled nothing yet.
+    pub(crate) fn new(config: Config, connect_to_node: ConnectToNode) -> Rc<Server> {
+        let bounds = Bounds::for_config(&config);
+        let dial_timeout = Duration::from_micros(config.dial_timeout());
+        let admission_slice = Duration::from_micros(config.settings.tick.max(1));
+        let is_list_pushed = !config.settings.is_list_polled;
+        let scheduler = Scheduler::new(config.settings.clone(), config.seed);
+        let module = NodeSubset::new(scheduler, &config.settings);
+        let engine =
+            PlatformEngine::new(module, config.settings, config.shape, bounds, config.seed);
+        Rc::new_cyclic(|this| Server {
+            engine: RefCell::new(engine),
+            clock: Clock::start(),
+            timer: Timer::default(),
+            bounds,
+            send_budget: SendBudget::new(bounds.send_buffer_bytes),
+            request_queued: Notify::new(),
+            admission_slice,
+            dial_timeout,
+            max_line_bytes: max_line_bytes(config.limits.memory_mb),
+            is_list_pushed,
+            journal_address: Cell::new(config.journal),
+            journal_position: Cell::new(config.known.pos),
+            watch_requested: Notify::new(),
+            journal_moved: Notify::new(),
+            initial_events: RefCell::new(config.known.entries),
+            clients: RefCell::default(),
+            next_client: Cell::new(1),
+            activity: Cell::new(0),
+            was_crowded: Cell::new(false),
+            node_connections: RefCell::default(),
+            connect_to_node,
+            this: this.clone(),
+        })
+    }
+
+    /// Gives the engine the events of the journal service up to the start.
+    pub(crate) fn start(&self) {
+        self.handle(Input::Start(self.initial_events.take()));
+    }
+
+    /// Gives the engine an input and carries out its outputs.
+    pub(crate) fn handle(&self, input: Input) {
+        let outputs = self.engine.borrow_mut().handle(self.clock.now(), input);
+        let mut recipients = BTreeSet::new();
+        for output in outputs {
+            if let Output::SendToClient(client, _) = &output {
+                recipients.insert(*client);
+            }
+            self.carry_out(output);
+        }
+        // Answers are sent now, once a connection: in its turn, an answer would wait behind all that is read meanwhile.
+        // What goes to nodes has been sent before.
+        for client in recipients {
+            if let Some(connection) = self.clients.borrow().get(&client) {
+                connection.send_buffer.flush();
+            }
+        }
+        if self.engine.borrow().has_queued_requests() {
+            self.request_queued.notify_one();
+        }
+        self.timer.changed(self.engine.borrow().next_wake());
+    }
+
+    fn carry_out(&self, output: Output) {
+        tracing::trace!(?output, "output carried out");
+        match output {
+            Output::SendToClient(client, frame) => {
+                if let Some(connection) = self.clients.borrow().get(&client) {
+                    connection.send_buffer.push(&frame);
+                }
+            }
+            Output::SendToNode(id, frame) => {
+                self.with_node_connection(id, |connection| {
+                    connection.send(&frame);
+                });
+            }
+            Output::Cancel(id, frame) => {
+                self.with_node_connection(id, |connection| connection.send_cancel(&frame));
+            }
+            Output::Connect(id, address) => self.open_node_connection(id, address),
+            Output::Close(id) => {
+                self.with_node_connection(id, |connection| connection.send_buffer.close());
+            }
+            Output::WatchEndpoints => self.watch_requested.notify_one(),
+            Output::Log(line) => tracing::info!(target: "peppercove::module", "{line}"),
+        }
+    }
+
+    fn with_node_connection(&self, id: NodeConnectionId, act: impl FnOnce(&Connection)) {
+        if let Some(connection) = self.node_connections.borrow().get(&id) {
+            act(connection);
+        }
+    }
+
+    fn open_node_connection(&self, id: NodeConnectionId, address: SocketAddr) {
+        let Some(server) = self.this.upgrade() else {
+            return;
+        };
+        let connection = Connection::new(self.clock.now(), &self.send_budget);
+        self.node_connections
+            .borrow_mut()
+            .insert(id, connection.clone());
+        (self.connect_to_node)(server, id, address, connection);
+    }
+
+    /// A connection to a node has ended.
+    pub(crate) fn remove_node_connection(&self, id: NodeConnectionId) {
+        self.node_connections.borrow_mut().remove(&id);
+    }
+
+    /// Handles a message of a client.
+    ///
+    /// Race: a message that crosses the close of its idle connection is owed its answer there, since the client sends it
+    /// again only where it came just before the close.
+    pub(crate) fn on_client_message(
+        &self,
+        id: ClientId,
+        connection: &Connection,
+        message: Message,
+    ) {
+        self.handle(Input::ClientMessage(id, message));
+        if connection.send_buffer.is_closing() && self.engine.borrow().has_open_requests(id) {
+            connection.send_buffer.cancel_close();
+        }
+    }
+
+    /// A client has connected or sent something.
+    pub(crate) fn record_activity(&self) {
+        self.activity.set(self.activity.get() + 1);
+    }
+
+    /// Changes whenever a client connects or sends something.
+    pub(crate) fn activity(&self) -> u64 {
+        self.activity.get()
+    }
+
+    /// Follows the journal service at another address from now on.
+    pub(crate) fn move_journal(&self, address: SocketAddr) {
+        self.journal_address.set(address);
+        self.journal_moved.notify_one();
+        tracing::info!(journal = %address, "configuration reloaded");
+    }
+
+    /// Number of requests without an answer.
+    pub(crate) fn open_requests(&self) -> usize {
+        self.engine.borrow().open_requests()
+    }
+
+    /// The engine's counts.
+    pub(crate) fn counters(&self) -> Counters {
+        self.engine.borrow().counters()
+    }
+
+    /// Nothing waits to be sent, to clients or nodes.
+    pub(crate) fn is_flushed(&self) -> bool {
+        let is_empty = |connection: &Rc<Connection>| connection.send_buffer.is_empty();
+        self.clients.borrow().values().all(is_empty)
+            && self.node_connections.borrow().values().all(is_empty)
+    }
+}
+
+/// Calls the engine when it wants to be called; never returns.
+pub(crate) async fn run_timer(server: Rc<Server>) {
+    let next = || server.engine.borrow().next_wake();
+    let tick = |at: Micros| server.handle(Input::Tick(at));
+    server.timer.keep(&server.clock, next, tick).await;
+}
+
+/// Admits queued requests for a slice of time, and then lets all that arrived meanwhile come first; never returns.
+pub(crate) async fn admit_queued_requests(server: Rc<Server>) {
+    let slice = u64::try_from(server.admission_slice.as_micros()).unwrap_or(0);
+    loop {
+        server.request_queued.notified().await;
+        let slice_end = server.clock.now() + slice;
+        loop {
+            server.handle(Input::AdmitNext);
+            let is_slice_over = server.clock.now() >= slice_end;
+            if is_slice_over || !server.engine.borrow().has_queued_requests() {
+                break;
+            }
+        }
+        // The runtime polls the sockets before this goes on.
+        tokio::task::yield_now().await;
+    }
+}
