--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,207 +1,176 @@
 //! The controller daemon: sockets around the core.
 //!
-//! One thread, one tokio current-thread runtime. [`Controller::start`] binds the clients' socket, asks for the node
-//! list and keeps a link to each node that it names. What arrives becomes an input of the core; what the core gives
-//! back is written out. Nothing here decides anything: the front ([`client_session`], [`job_template`]) turns JSON-RPC into
-//! submissions, the links ([`node_connection`], [`node_list_watch`]) turn frames into inputs and outputs into frames.
+//! One thread, one tokio current-thread runtime. [`Controller::start`] binds the clients' socket, polls the node list
+//! and keeps a connection to each node that it names. What arrives becomes an input of the core; the core's outputs are
+//! carried out. Nothing here decides anything.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `server` | the core, its inputs and outputs; `journal`, `input_recorder` and `metrics` below it |
+//! | `client_registry` | connections and sessions of clients, and who waits for which job |
+//! | `client_session`, [`job_template`] | the API server: JSON-RPC calls to inputs of the core |
+//! | `node_connection`, `node_queues` | connections to nodes: frames to inputs, outputs to frames |
+//! | `node_list_watch` | the subscription to the node list |
+//! | `peer_messages` | datagrams between controllers |
+//! | `remote_write` | metrics pushed to a receiver, as background work |
+//!
+//! The modules that own sockets depend on `server`; it depends on none of them.
 
+mod client_registry;
 mod client_session;
+mod input_recorder;
+mod job_ids;
+mod job_report;
 pub mod job_template;
 mod journal;
 mod metrics;
 mod node_connection;
 mod node_list_watch;
-mod peers;
+mod node_queues;
+mod peer_messages;
 mod remote_write;
 mod server;
+mod start_error;
 
 pub use journal::JournalError;
 pub use peppercove_exchange::core_limits;
+pub use start_error::StartError;
 
-use peppercove_config::Config;
-use peppercove_core::{Counters, Input};
+use peppercove_config::{Config, RemoteWriteSettings};
+use peppercove_core::{Counters, Input, JobId};
+use peppercove_metrics::MetricPoint;
 use server::Server;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{Instant, timeout_at};
 
 /// Messages to peers that may wait to be sent; further ones are lost, as any may be.
 const PEER_QUEUE: usize = 256;
 
-/// Why a controller did not start.
-#[derive(Debug, thiserror::Error)]
-pub enum StartError {
-    /// A socket could not be bound.
-    #[error("cannot listen on {address}: {source}")]
-    Listen {
-        /// The address.
-        address: SocketAddr,
-        /// What the system said.
-        source: io::Error,
-    },
-    /// The folder for what waits to be pushed cannot be used.
-    #[error("cannot use the backlog {path}: {source}")]
-    Backlog {
-        /// The folder.
-        path: std::path::PathBuf,
-        /// What the system said.
-        source: io::Error,
-    },
-    /// The journal of what was sent cannot be used.
-    #[error("cannot use the journal {path}: {source}")]
-    Journal {
-        /// The file.
-        path: std::path::PathBuf,
-        /// What is wrong with it.
-        source: JournalError,
-    },
-    /// Its record could not be written.
-    #[error("cannot write the record {path}: {source}")]
-    Record {
-        /// The file.
-        path: std::path::PathBuf,
-        /// What the system said.
-        source: io::Error,
-    },
-}
-
-/// What a stop left behind.
+/// What was left when a controller shut down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSummary {
-    /// Asks that had to be answered because the time was over.
+    /// Placement requests that had to be answered because the time was over.
     pub forced_answers: usize,
-    /// Tasks that run on; the next life of this controller finds them again.
+    /// Tasks that run on; the next incarnation of this controller finds them again.
     pub running_tasks: usize,
-    /// Unsafe tasks whose fate nobody knows.
+    /// Non-idempotent tasks whose outcome is not known.
     pub ambiguous_tasks: usize,
 }
 
 /// What a controller knows of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerStatus {
-    /// What happened so far.
+    /// What has happened so far.
     pub counters: Counters,
-    /// Asks without a final answer.
+    /// Placement requests without a final answer.
     pub open_requests: usize,
-    /// Tasks placed and not ended.
+    /// Tasks that are placed and have not ended.
     pub running_tasks: usize,
-    /// Nodes that the list names and that are linked.
+    /// Nodes that the list names and that are connected.
     pub connected_nodes: usize,
-    /// Version of the list held.
+    /// Version of the node list held.
     pub node_list_version: u64,
 }
 
-/// A running controller. Dropping it kills it as a process would be: sockets close, nothing is answered.
+/// A running controller.
+///
+/// Dropping it has the effect of a killed process: sockets close and nothing is answered.
 pub struct Controller {
-    shell: Rc<Server>,
+    server: Rc<Server>,
     address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Controller {
-    /// Starts a controller; must be called within a `LocalSet`.
+    /// Starts a controller.
     ///
     /// # Errors
-    /// [`StartError`] where its socket or record cannot be had.
+    /// [`StartError`] where a socket, the journal, the recording or the write-ahead log of metrics cannot be used.
+    ///
+    /// # Panics
+    /// Outside a `LocalSet`.
     pub async fn start(config: Config) -> Result<Controller, StartError> {
-        let wanted = config.network.clients;
-        let listen = |source| StartError::Listen {
-            address: wanted,
-            source,
-        };
-        let listener = TcpListener::bind(wanted).await.map_err(listen)?;
-        let address = listener.local_addr().map_err(listen)?;
-        let shell = Rc::new(Server::new(config)?);
-        shell.set_self();
+        let (listener, address) = listen_for_clients(config.network.clients).await?;
+        let server = Server::new(config, node_connection::spawn)?;
         let mut tasks = vec![
-            spawn_local(client_session::accept(shell.clone(), listener)),
-            spawn_local(node_list_watch::keep(shell.clone())),
-            spawn_local(server::keep_time(shell.clone())),
+            spawn_local(client_session::accept(server.clone(), listener)),
+            spawn_local(node_list_watch::run(server.clone())),
+            spawn_local(server::run_timer(server.clone())),
         ];
-        if let Some(wanted) = shell.config.peers.listen {
-            let listen = |source| StartError::Listen {
-                address: wanted,
-                source,
-            };
-            let socket = UdpSocket::bind(wanted).await.map_err(listen)?;
-            let (queue, told) = mpsc::channel(PEER_QUEUE);
-            *shell.peers.borrow_mut() = Some(queue);
-            tasks.push(spawn_local(peers::carry(shell.clone(), socket, told)));
+        if let Some(address) = server.config.peers.listen {
+            tasks.push(start_peer_messages(&server, address).await?);
         }
-        if let Some(settings) = shell.config.push.clone() {
-            let folder = settings.wal_path.clone();
-            let pusher = remote_write::Pusher::open(&shell, settings).map_err(|source| {
-                StartError::Backlog {
-                    path: folder,
-                    source,
-                }
-            })?;
-            tasks.push(spawn_local(pusher.keep(shell.clone())));
+        if let Some(settings) = server.config.push.clone() {
+            tasks.push(start_remote_write(&server, settings)?);
         }
-        shell.input(Input::Tick);
-        tracing::info!(name = shell.config.name, %address, life = shell.life, "controller started");
+        server.handle(Input::Tick);
+        let name = &server.config.name;
+        tracing::info!(name, %address, incarnation = server.incarnation, "controller started");
         Ok(Controller {
-            shell,
+            server,
             address,
             tasks,
         })
     }
 
-    /// Where it listens for clients.
+    /// The address on which it listens for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// What it knows of itself.
     pub fn status(&self) -> ControllerStatus {
-        let core = self.shell.core.borrow();
+        let core = self.server.core.borrow();
+        let nodes = core.nodes();
         ControllerStatus {
             counters: core.counters(),
             open_requests: core.open_requests(),
             running_tasks: core.placed_tasks(),
-            connected_nodes: core
-                .nodes()
-                .iter()
-                .filter(|(id, _)| core.nodes().is_up(**id))
-                .count(),
-            node_list_version: core.nodes().generation,
+            connected_nodes: nodes.iter().filter(|(id, _)| nodes.is_up(**id)).count(),
+            node_list_version: nodes.generation,
         }
     }
 
-    /// The text by which clients know its `number`-th job.
+    /// The id by which clients know the job with this number.
     pub fn job_name(&self, number: u64) -> String {
-        self.shell.job_name(peppercove_core::JobId(number))
+        self.server.job_id(JobId(number))
     }
 
-    /// Its figures as they are now, as they are to be pushed.
-    pub fn gather_metrics(&self) -> Vec<peppercove_metrics::MetricPoint> {
-        self.shell.figures.gather(&self.shell)
+    /// Its metrics as they are now, as they would be pushed.
+    pub fn gather_metrics(&self) -> Vec<MetricPoint> {
+        self.server.gather_metrics()
     }
 
-    /// Stops cleanly: takes nothing new, waits for what is open for the stated time, answers the rest.
+    /// Shuts down gracefully: rejects new submissions, waits for open requests for the time in the settings, and answers
+    /// the rest.
     pub async fn shut_down(self) -> ShutdownSummary {
-        self.shell.input(Input::BeginShutdown);
-        let end = tokio::time::Instant::now() + self.shell.config.shutdown_timeout;
-        while self.shell.core.borrow().open_requests() > 0 && tokio::time::Instant::now() < end {
-            let changed = self.shell.settled.notified();
-            let _ = tokio::time::timeout_at(end, changed).await;
+        let server = &self.server;
+        server.handle(Input::BeginShutdown);
+        let deadline = Instant::now() + server.config.shutdown_timeout;
+        while server.core.borrow().open_requests() > 0 && Instant::now() < deadline {
+            let _ = timeout_at(deadline, server.request_answered.notified()).await;
         }
-        let answered = self.shell.core.borrow().open_requests();
-        self.shell.input(Input::ShutdownTimeout);
-        // Answers are queued on the clients' connections; let them be written.
-        self.shell.flush_clients().await;
-        let core = self.shell.core.borrow();
-        let left = ShutdownSummary {
-            forced_answers: answered,
+        let forced_answers = server.core.borrow().open_requests();
+        server.handle(Input::ShutdownTimeout);
+        // The answers are queued on the clients' connections.
+        server.flush_clients().await;
+        let core = server.core.borrow();
+        let summary = ShutdownSummary {
+            forced_answers,
             running_tasks: core.placed_tasks(),
             ambiguous_tasks: core.ambiguous_tasks(),
         };
-        drop(core);
-        tracing::info!(?left, "controller stopped");
-        left
+        tracing::info!(
+            summary.forced_answers,
+            summary.running_tasks,
+            summary.ambiguous_tasks,
+            "controller stopped"
+        );
+        summary
     }
 }
 
@@ -210,6 +179,42 @@
         for task in &self.tasks {
             task.abort();
         }
-        self.shell.close();
+        self.server.close();
+    }
+}
+
+async fn listen_for_clients(wanted: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
+    let listen_error = |source| StartError::Listen {
+        address: wanted,
+        source,
+    };
+    let listener = TcpListener::bind(wanted).await.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
+    Ok((listener, address))
+}
+
+async fn start_peer_messages(
+    server: &Rc<Server>,
+    address: SocketAddr,
+) -> Result<JoinHandle<()>, StartError> {
+    let listen_error = |source| StartError::Listen { address, source };
+    let socket = UdpSocket::bind(address).await.map_err(listen_error)?;
+    let (queue, messages) = mpsc::channel(PEER_QUEUE);
+    server.set_peer_queue(queue);
+    Ok(spawn_local(peer_messages::exchange(
+        server.clone(),
+        socket,
+        messages,
+    )))
+}
+
+fn start_remote_write(
+    server: &Rc<Server>,
+    settings: RemoteWriteSettings,
+) -> Result<JoinHandle<()>, StartError> {
+    let path = settings.wal_path.clone();
+    match remote_write::RemoteWriter::open(server, settings) {
+        Ok(writer) => Ok(spawn_local(writer.run(server.clone()))),
+        Err(source) => Err(StartError::Backlog { path, source }),
     }
 }
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -1,129 +1,184 @@
-//! The controller's own figures: counted as things happen, or read from the core when they are gathered.
+//! The controller's own metrics: counted as things happen, or read from the core when they are gathered.
 
-use crate::server::Server;
 use peppercove::{AttemptOutcome, EndReason, Micros, NodeStatus};
-use peppercove_core::nodes::ConnectionState;
-use peppercove_core::{Answer, Counters};
-use peppercove_metrics::{self as names, MetricPoint, Metrics};
+use peppercove_core::nodes::{ConnectionState, Nodes};
+use peppercove_core::{Answer, Core, Counters};
+use peppercove_fleet::SubsetScheduler;
+use peppercove_metrics::{self as names, MetricPoint, Metrics, UnknownMetric};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// What was told of the core's own counters so far; figures only ever grow by what came since.
+/// Labels of a counter of ended attempts.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptEndLabels {
+    outcome: &'static str,
+    reason: &'static str,
+}
+
+/// Labels of a number of nodes.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct NodeLabels {
+    status: &'static str,
+    connection: &'static str,
+}
+
+/// The core's counters when they were last read; metrics grow by the difference.
 #[derive(Default)]
-struct Told {
+struct LastRead {
     counters: Counters,
-    ends: BTreeMap<(&'static str, &'static str), u64>,
+    attempt_ends: BTreeMap<AttemptEndLabels, u64>,
 }
 
+/// The metrics of a controller.
 pub(crate) struct ControllerMetrics {
     metrics: Metrics,
-    told: RefCell<Told>,
+    last_read: RefCell<LastRead>,
 }
 
 impl ControllerMetrics {
-    pub(crate) fn new(began: Micros) -> ControllerMetrics {
-        let figures = ControllerMetrics {
+    pub(crate) fn new(started_at: Micros) -> ControllerMetrics {
+        let metrics = ControllerMetrics {
             metrics: Metrics::new(),
-            told: RefCell::default(),
+            last_read: RefCell::default(),
         };
-        figures.set(names::START, &[], began as f64 / 1e6);
-        figures
+        metrics.set(names::START, &[], seconds(started_at));
+        metrics
     }
 
-    pub(crate) fn add(&self, name: &'static str, labels: &[&str], more: f64) {
-        if let Err(error) = self.metrics.add(name, labels, more) {
-            tracing::error!(%error, "fault: a figure is not in the table");
-        }
+    /// Adds to a counter.
+    pub(crate) fn add(&self, name: &'static str, labels: &[&str], increment: f64) {
+        report_unknown(self.metrics.add(name, labels, increment));
     }
 
-    pub(crate) fn set(&self, name: &'static str, labels: &[&str], to: f64) {
-        if let Err(error) = self.metrics.set(name, labels, to) {
-            tracing::error!(%error, "fault: a figure is not in the table");
-        }
+    /// Sets a gauge.
+    pub(crate) fn set(&self, name: &'static str, labels: &[&str], value: f64) {
+        report_unknown(self.metrics.set(name, labels, value));
     }
 
-    /// An ask was answered; `after` is how long it took, where an ask was made in this life.
-    pub(crate) fn answered(&self, class: &str, answer: Answer, after: Option<Micros>) {
-        let outcome = match answer {
-            Answer::Placed(_) => "placed",
-            Answer::Rejected(_) => "refused",
-            Answer::Failed => "failed",
-            Answer::Cancelled => "withdrawn",
-        };
-        self.add(names::ANSWERS, &[class, outcome], 1.0);
-        if let Some(after) = after
-            && let Err(error) =
+    /// Counts the answer to a placement request, and how long it took where the request was made in this incarnation.
+    pub(crate) fn count_answer(&self, class: &str, answer: Answer, latency: Option<Micros>) {
+        let labels = [class, answer_name(answer)];
+        self.add(names::ANSWERS, &labels, 1.0);
+        if let Some(latency) = latency {
+            report_unknown(
                 self.metrics
-                    .observe(names::PLACEMENT, &[class, outcome], after as f64 / 1e6)
-        {
-            tracing::error!(%error, "fault: a figure is not in the table");
+                    .observe(names::PLACEMENT, &labels, seconds(latency)),
+            );
         }
     }
 
-    /// Reads what the core counts, and gives all figures.
-    pub(crate) fn gather(&self, shell: &Server) -> Vec<MetricPoint> {
-        let core = shell.core.borrow();
-        let (now, mut told) = (core.counters(), self.told.borrow_mut());
-        let was = std::mem::replace(&mut told.counters, now);
-        self.add(names::ADOPTED, &[], (now.adopted - was.adopted) as f64);
+    /// Reads what the core counts and returns all metrics.
+    pub(crate) fn gather(
+        &self,
+        core: &Core<SubsetScheduler>,
+        client_connections: usize,
+    ) -> Vec<MetricPoint> {
+        self.read_counters(core.counters());
+        self.read_attempt_ends(core);
+        self.set(names::OPEN_REQUESTS, &[], core.open_requests() as f64);
+        self.set(names::RUNNING_TASKS, &[], core.placed_tasks() as f64);
+        self.set(names::AMBIGUOUS_TASKS, &[], core.ambiguous_tasks() as f64);
+        self.set(names::LIST_GENERATION, &[], core.nodes().generation as f64);
+        self.set(names::CLIENTS, &[], client_connections as f64);
+        self.read_nodes(core.nodes());
+        self.metrics.gather()
+    }
+
+    fn read_counters(&self, now: Counters) {
+        let last = std::mem::replace(&mut self.last_read.borrow_mut().counters, now);
+        let grown = |now: u64, last: u64| (now - last) as f64;
+        self.add(names::ADOPTED, &[], grown(now.adopted, last.adopted));
         self.add(
             names::ORPHANS,
             &[],
-            (now.orphans_stopped - was.orphans_stopped) as f64,
+            grown(now.orphans_stopped, last.orphans_stopped),
         );
-        for (kind, more) in [
-            ("overdue", now.missed_deadlines - was.missed_deadlines),
+        for (kind, increment) in [
+            (
+                "overdue",
+                grown(now.missed_deadlines, last.missed_deadlines),
+            ),
             (
                 "illegal-step",
-                now.invalid_transitions - was.invalid_transitions,
+                grown(now.invalid_transitions, last.invalid_transitions),
             ),
             (
                 "broken-promise",
-                now.unsafe_rejections - was.unsafe_rejections,
+                grown(now.unsafe_rejections, last.unsafe_rejections),
             ),
         ] {
-            self.add(names::FAULTS, &[kind], more as f64);
+            self.add(names::FAULTS, &[kind], increment);
         }
-        for (outcome, why, count) in core.attempt_ends() {
-            let labels = (outcome_name(outcome), why_name(why));
-            let before = told.ends.insert(labels, count).unwrap_or(0);
+    }
+
+    fn read_attempt_ends(&self, core: &Core<SubsetScheduler>) {
+        let mut last_read = self.last_read.borrow_mut();
+        for (outcome, reason, count) in core.attempt_ends() {
+            let labels = AttemptEndLabels {
+                outcome: outcome_name(outcome),
+                reason: reason_name(reason),
+            };
+            let last = last_read.attempt_ends.insert(labels, count).unwrap_or(0);
+            let increment = (count - last) as f64;
             self.add(
                 names::ATTEMPT_ENDS,
-                &[labels.0, labels.1],
-                (count - before) as f64,
+                &[labels.outcome, labels.reason],
+                increment,
             );
         }
-        self.set(names::OPEN_REQUESTS, &[], core.open_requests() as f64);
-        self.set(names::RUNNING_TASKS, &[], core.placed_tasks() as f64);
-        self.set(names::AMBIGUOUS_TASKS, &[], core.ambiguous_tasks() as f64);
-        self.set(names::LIST_GENERATION, &[], core.nodes().generation as f64);
-        self.set(
-            names::CLIENTS,
-            &[],
-            shell.sessions.borrow().open_connections() as f64,
-        );
-        // Every combination is set, so that one that is empty now does not keep its last value.
-        let mut nodes: BTreeMap<(&str, &str), f64> = BTreeMap::new();
-        for state in ["ready", "draining", "gone"] {
-            nodes.extend(["up", "down"].map(|link| ((state, link), 0.0)));
+    }
+
+    fn read_nodes(&self, nodes: &Nodes) {
+        let mut counts = BTreeMap::new();
+        // Every combination is set, so that one without nodes does not keep its last value.
+        for status in [NodeStatus::Ready, NodeStatus::Draining, NodeStatus::Gone] {
+            for is_connected in [true, false] {
+                counts.insert(node_labels(status, is_connected), 0.0);
+            }
         }
-        for (_, node) in core.nodes().iter() {
-            let state = match node.line.state {
-                NodeStatus::Ready => "ready",
-                NodeStatus::Draining => "draining",
-                NodeStatus::Gone => "gone",
-            };
-            let link = if node.link == ConnectionState::Connected {
-                "up"
-            } else {
-                "down"
+        for (_, node) in nodes.iter() {
+            let is_connected = match node.link {
+                ConnectionState::Connected => true,
+                ConnectionState::Disconnected(_) => false,
             };
-            *nodes.entry((state, link)).or_default() += 1.0;
+            *counts
+                .entry(node_labels(node.line.state, is_connected))
+                .or_default() += 1.0;
         }
-        for ((state, link), count) in nodes {
-            self.set(names::NODES, &[state, link], count);
+        for (labels, count) in counts {
+            self.set(names::NODES, &[labels.status, labels.connection], count);
         }
-        self.metrics.gather()
+    }
+}
+
+/// A metric that is not in the table is a fault of the program.
+fn report_unknown(result: Result<(), UnknownMetric>) {
+    if let Err(error) = result {
+        tracing::error!(%error, "fault: unknown metric");
+    }
+}
+
+fn seconds(micros: Micros) -> f64 {
+    micros as f64 / 1e6
+}
+
+fn node_labels(status: NodeStatus, is_connected: bool) -> NodeLabels {
+    NodeLabels {
+        status: match status {
+            NodeStatus::Ready => "ready",
+            NodeStatus::Draining => "draining",
+            NodeStatus::Gone => "gone",
+        },
+        connection: if is_connected { "up" } else { "down" },
+    }
+}
+
+fn answer_name(answer: Answer) -> &'static str {
+    match answer {
+        Answer::Placed(_) => "placed",
+        Answer::Rejected(_) => "refused",
+        Answer::Failed => "failed",
+        Answer::Cancelled => "withdrawn",
     }
 }
 
@@ -140,8 +195,8 @@
     }
 }
 
-fn why_name(why: EndReason) -> &'static str {
-    match why {
+fn reason_name(reason: EndReason) -> &'static str {
+    match reason {
         EndReason::Unknown => "none",
         EndReason::InsufficientCores => "no-cores",
         EndReason::InsufficientMemory => "no-memory",
--- a/crates/controller/src/node_connection.rs
+++ b/crates/controller/src/node_connection.rs
@@ -1,6 +1,6 @@
-//! The link to one node: connect, greet, carry messages both ways, and try again after scattered, growing waits.
+//! The connection to one node: connect, handshake, exchange messages, and reconnect after growing, random delays.
 
-use crate::server::Server;
+use crate::server::{NodeEndpoint, Server};
 use futures_util::{SinkExt, StreamExt};
 use peppercove::NodeId;
 use peppercove_core::Input;
@@ -10,23 +10,26 @@
 };
 use peppercove_protocol::codec::{FrameError, MAX_NODE_FRAME_BYTES, MessageCodec};
 use peppercove_protocol::node::{FromNode, ToNode};
-use std::net::SocketAddrV4;
 use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
+use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-type Link = Framed<TcpStream, MessageCodec<FromNode, ToNode>>;
+type Frames = Framed<TcpStream, MessageCodec<FromNode, ToNode>>;
 
-/// A link, and the queue of what is to be written to it.
-type Greeted = (Link, mpsc::Receiver<ToNode>);
+/// A connection after the handshake, and the queue of messages to be written to it.
+struct Established {
+    frames: Frames,
+    queue: mpsc::Receiver<ToNode>,
+}
 
-/// Why a link came to its end.
+/// Why a connection to a node ended or was not made.
 #[derive(Debug, thiserror::Error)]
-enum LinkError {
+enum ConnectionError {
     #[error("no connection: {0}")]
-    Connect(std::io::Error),
+    Connect(#[source] std::io::Error),
     #[error("nothing within the time-out")]
     TimedOut,
     #[error(transparent)]
@@ -34,141 +37,166 @@
     #[error("closed by the node")]
     Closed,
     #[error(transparent)]
-    Greet(#[from] HandshakeError),
+    Handshake(#[from] HandshakeError),
+}
+
+/// Waits for the next delay of a backoff.
+pub(crate) async fn back_off(backoff: &mut Backoff) {
+    tokio::time::sleep(backoff.next_delay(fastrand::f64())).await;
 }
 
-/// Waits after a failure.
-pub(crate) async fn wait(retry: &mut Backoff) {
-    tokio::time::sleep(retry.next_delay(fastrand::f64())).await;
+/// Starts the task that keeps the connection to a node.
+pub(crate) fn spawn(server: Rc<Server>, endpoint: NodeEndpoint) -> AbortHandle {
+    spawn_local(run(server, endpoint)).abort_handle()
 }
 
-/// Keeps the link to a node until the task is ended.
-pub(crate) async fn keep(shell: Rc<Server>, node: NodeId, address: SocketAddrV4, name: String) {
-    let listen = &shell.config.network;
-    let mut retry = Backoff::new(listen.retry_least, listen.retry_most);
+/// Keeps the connection to a node until the task is aborted.
+async fn run(server: Rc<Server>, endpoint: NodeEndpoint) {
+    let network = &server.config.network;
+    let mut backoff = Backoff::new(network.retry_least, network.retry_most);
     loop {
-        let error = match timeout(listen.connect_timeout, greet(&shell, node, address, &name)).await
-        {
-            Ok(Ok((link, queue))) => {
-                retry.reset();
-                tracing::debug!(node = name, "link up");
-                let error = carry(&shell, node, link, queue).await;
-                shell.input(Input::NodeDisconnected(node));
+        let established = timeout(network.connect_timeout, establish(&server, &endpoint)).await;
+        let error = match established {
+            Ok(Ok(connection)) => {
+                backoff.reset();
+                tracing::debug!(node = endpoint.name, "node connected");
+                let error = exchange(&server, endpoint.id, connection).await;
+                server.handle(Input::NodeDisconnected(endpoint.id));
                 error
             }
             Ok(Err(error)) => error,
-            Err(_) => LinkError::TimedOut,
+            Err(_) => ConnectionError::TimedOut,
         };
-        tracing::debug!(node = name, %error, "link down");
-        wait(&mut retry).await;
+        tracing::debug!(node = endpoint.name, %error, "node disconnected");
+        back_off(&mut backoff).await;
     }
 }
 
-/// Connects and greets; gives the link once the node has told all that it holds.
-async fn greet(
-    shell: &Server,
-    node: NodeId,
-    address: SocketAddrV4,
-    name: &str,
-) -> Result<Greeted, LinkError> {
-    let stream = TcpStream::connect(address)
+/// Connects and completes the handshake, in which the node tells all the tasks that it holds.
+async fn establish(
+    server: &Server,
+    endpoint: &NodeEndpoint,
+) -> Result<Established, ConnectionError> {
+    let stream = TcpStream::connect(endpoint.address)
         .await
-        .map_err(LinkError::Connect)?;
+        .map_err(ConnectionError::Connect)?;
     let _ = stream.set_nodelay(true);
-    let mut link = Framed::new(stream, MessageCodec::new(MAX_NODE_FRAME_BYTES));
-    link.send(&Handshake::hello(&shell.config, shell.life))
+    let mut frames = Framed::new(stream, MessageCodec::new(MAX_NODE_FRAME_BYTES));
+    frames
+        .send(&Handshake::hello(&server.config, server.incarnation))
         .await?;
-    let mut greeting = Handshake::new(node, name, shell.config.limits.jobs);
     let mut replies = Vec::new();
-    let up = loop {
-        let (meanwhile, up) =
-            match greeting.on_message(link.next().await.ok_or(LinkError::Closed)??)? {
-                HandshakeProgress::Pending(meanwhile) => (meanwhile, None),
-                HandshakeProgress::Complete(meanwhile, up) => (meanwhile, Some(up)),
-            };
-        if let Some(DecodedMessage { input, reply }) = meanwhile {
-            if let Some(input) = input {
-                shell.input(input);
-            }
-            replies.extend(reply.filter(|_| shell.is_written()));
+    let connected = complete_handshake(server, endpoint, &mut frames, &mut replies).await?;
+    let (sender, queue) = mpsc::channel(server.config.limits.node_queue);
+    server.nodes.set_queue(endpoint.id, Some(sender));
+    for reply in replies {
+        server.send_to_node(endpoint.id, reply);
+    }
+    server.handle(connected);
+    Ok(Established { frames, queue })
+}
+
+/// Takes in the node's messages up to the end of the handshake; returns the input that the node is connected. Replies to
+/// the messages are collected, since they can be sent only after it.
+async fn complete_handshake(
+    server: &Server,
+    endpoint: &NodeEndpoint,
+    frames: &mut Frames,
+    replies: &mut Vec<ToNode>,
+) -> Result<Input, ConnectionError> {
+    let mut handshake = Handshake::new(endpoint.id, &endpoint.name, server.config.limits.jobs);
+    loop {
+        let message = frames.next().await.ok_or(ConnectionError::Closed)??;
+        let (decoded, connected) = match handshake.on_message(message)? {
+            HandshakeProgress::Pending(decoded) => (decoded, None),
+            HandshakeProgress::Complete(decoded, connected) => (decoded, Some(connected)),
+        };
+        if let Some(decoded) = decoded {
+            replies.extend(handle_message(server, decoded));
         }
-        if let Some(up) = up {
-            break up;
+        if let Some(connected) = connected {
+            return Ok(connected);
         }
-    };
-    let (sender, queue) = mpsc::channel(shell.config.limits.node_queue);
-    if let Some(handle) = shell.links.borrow_mut().get_mut(&node) {
-        handle.queue = Some(sender);
     }
-    replies.into_iter().for_each(|reply| {
-        shell.send(node, reply);
-    });
-    shell.input(up);
-    Ok((link, queue))
 }
 
-async fn carry(
-    shell: &Server,
-    node: NodeId,
-    mut link: Link,
-    mut queue: mpsc::Receiver<ToNode>,
-) -> LinkError {
-    let write_within = shell.config.network.connect_timeout;
+/// Hands a message to the core; returns the reply to the node.
+fn handle_message(server: &Server, message: DecodedMessage) -> Option<ToNode> {
+    if let Some(input) = message.input {
+        server.handle(input);
+    }
+    // The end of a task that is not in the journal is not acknowledged: its node sends it again.
+    message.reply.filter(|_| server.is_journal_intact())
+}
+
+/// Exchanges messages until the connection ends; returns why it did.
+async fn exchange(server: &Server, node: NodeId, connection: Established) -> ConnectionError {
+    let Established {
+        mut frames,
+        mut queue,
+    } = connection;
     let error = loop {
         tokio::select! {
-            message = link.next() => match message {
-                Some(Ok(message)) => take(shell, node, decode_message(node, message)),
+            message = frames.next() => match message {
+                Some(Ok(message)) => on_message(server, node, message),
                 Some(Err(error)) => break error.into(),
-                None => break LinkError::Closed,
+                None => break ConnectionError::Closed,
             },
             message = queue.recv() => {
-                let Some(message) = message else { break LinkError::Closed };
-                // A node that does not read loses its link, and holds up nobody else.
-                match timeout(write_within, write(&mut link, message, &mut queue)).await {
-                    Ok(Ok(())) => {}
-                    Ok(Err(error)) => break error.into(),
-                    Err(_) => break LinkError::TimedOut,
+                let Some(message) = message else {
+                    break ConnectionError::Closed;
+                };
+                if let Err(error) = write_queued(server, &mut frames, message, &mut queue).await {
+                    break error;
                 }
             }
         }
     };
-    if let Some(handle) = shell.links.borrow_mut().get_mut(&node) {
-        handle.queue = None;
-    }
-    // What is still queued never left.
-    queue.close();
-    while let Ok(message) = queue.try_recv() {
-        if let ToNode::Offer { attempt, .. } = message {
-            shell.input(Input::DispatchFailed {
-                node,
-                request: request_id_of(attempt),
-                attempt: attempt.number,
-            });
-        }
-    }
+    server.nodes.set_queue(node, None);
+    report_unsent(server, node, queue);
     error
 }
 
-/// Writes a message and those queued behind it in one go.
-async fn write(
-    link: &mut Link,
+fn on_message(server: &Server, node: NodeId, message: FromNode) {
+    if let Some(reply) = handle_message(server, decode_message(node, message)) {
+        server.send_to_node(node, reply);
+    }
+}
+
+/// Writes a message and those queued behind it in one go. A node that does not read loses its connection; no other
+/// node is affected.
+async fn write_queued(
+    server: &Server,
+    frames: &mut Frames,
     first: ToNode,
     queue: &mut mpsc::Receiver<ToNode>,
-) -> Result<(), FrameError> {
-    link.feed(&first).await?;
-    while let Ok(message) = queue.try_recv() {
-        link.feed(&message).await?;
+) -> Result<(), ConnectionError> {
+    let write = async {
+        frames.feed(&first).await?;
+        while let Ok(message) = queue.try_recv() {
+            frames.feed(&message).await?;
+        }
+        frames.flush().await
+    };
+    match timeout(server.config.network.connect_timeout, write).await {
+        Ok(Ok(())) => Ok(()),
+        Ok(Err(error)) => Err(error.into()),
+        Err(_) => Err(ConnectionError::TimedOut),
     }
-    link.flush().await
 }
 
-/// Takes a message in, and answers it.
-fn take(shell: &Server, node: NodeId, message: DecodedMessage) {
-    if let Some(input) = message.input {
-        shell.input(input);
-    }
-    // An end that is not written down is not acknowledged: its node tells it again.
-    if let Some(reply) = message.reply.filter(|_| shell.is_written()) {
-        shell.send(node, reply);
+/// Tells the core of the dispatches that are still queued: they were never sent.
+fn report_unsent(server: &Server, node: NodeId, mut queue: mpsc::Receiver<ToNode>) {
+    queue.close();
+    while let Ok(message) = queue.try_recv() {
+        if let ToNode::Offer { attempt, .. } = message {
+            let request = request_id_of(attempt);
+            let attempt = attempt.number;
+            server.handle(Input::DispatchFailed {
+                node,
+                request,
+                attempt,
+            });
+        }
     }
 }
--- a/crates/controller/src/node_list_watch.rs
+++ b/crates/controller/src/node_list_watch.rs
@@ -1,6 +1,6 @@
 //! The subscription to the node list.
 
-use crate::node_connection::wait;
+use crate::node_connection::back_off;
 use crate::server::Server;
 use futures_util::{SinkExt, StreamExt};
 use peppercove_core::Input;
@@ -13,106 +13,110 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-type Link = Framed<TcpStream, MessageCodec<FromList, ToList>>;
+type Frames = Framed<TcpStream, MessageCodec<FromList, ToList>>;
 
+/// Why a subscription to the node list ended or was not made.
 #[derive(Debug, thiserror::Error)]
-enum ListError {
+enum WatchError {
     #[error("no connection: {0}")]
     Connect(#[from] std::io::Error),
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error("no answer within the time-out")]
     TimedOut,
-    #[error("closed by the list")]
+    #[error("closed by the node list")]
     Closed,
-    #[error("the call was turned away")]
-    TurnedAway,
-    #[error("the list speaks another version")]
-    WrongVersion,
+    #[error("the poll was rejected")]
+    Rejected,
+    #[error("the node list does not speak version {expected}")]
+    WrongVersion { expected: u16 },
 }
 
-/// Calls the list when the module asks for it, or by itself where the list pushes, and passes on what it tells.
-pub(crate) async fn keep(shell: Rc<Server>) {
-    let listen = &shell.config.network;
-    let by_itself = !shell.config.scheduler.is_list_polled;
-    let mut retry = Backoff::new(listen.retry_least, listen.retry_most);
+/// Subscribes when the decision module wants the list, or by itself where the list pushes, and passes its updates on.
+pub(crate) async fn run(server: Rc<Server>) {
+    let network = &server.config.network;
+    let is_polled = server.config.scheduler.is_list_polled;
+    let mut backoff = Backoff::new(network.retry_least, network.retry_most);
     loop {
-        if !by_itself {
-            shell.watch.notified().await;
+        if is_polled {
+            server.list_wanted.notified().await;
         }
-        let error = match timeout(listen.list_timeout, subscribe(&shell)).await {
-            Ok(Ok((link, first))) => {
-                retry.reset();
-                pass_on(&shell, first);
-                follow(&shell, link).await
+        let error = match timeout(network.list_timeout, subscribe(&server)).await {
+            Ok(Ok((frames, first))) => {
+                backoff.reset();
+                pass_on(&server, first);
+                follow(&server, frames).await
             }
             Ok(Err(error)) => error,
-            Err(_) => ListError::TimedOut,
+            Err(_) => WatchError::TimedOut,
         };
         tracing::warn!(%error, "node list out of reach");
-        shell.figures.add(names::LIST_FAILURES, &[], 1.0);
-        shell.input(Input::NodeListFailed);
-        if by_itself {
-            wait(&mut retry).await;
+        server.metrics.add(names::LIST_FAILURES, &[], 1.0);
+        server.handle(Input::NodeListFailed);
+        if !is_polled {
+            back_off(&mut backoff).await;
         }
     }
 }
 
-async fn subscribe(shell: &Server) -> Result<(Link, FromList), ListError> {
-    let stream = TcpStream::connect(shell.config.network.node_list).await?;
-    let mut link: Link = Framed::new(stream, MessageCodec::new(MAX_LIST_FRAME_BYTES));
-    let version = peppercove_protocol::VERSION;
-    link.send(&ToList::Hello {
-        version,
-        controller: shell.config.name.clone(),
-    })
-    .await?;
-    match link.next().await.ok_or(ListError::Closed)?? {
-        FromList::Welcome { version: v } if v == version => {}
-        _ => return Err(ListError::WrongVersion),
+/// Connects and polls for the first time.
+async fn subscribe(server: &Server) -> Result<(Frames, FromList), WatchError> {
+    let stream = TcpStream::connect(server.config.network.node_list).await?;
+    let mut frames: Frames = Framed::new(stream, MessageCodec::new(MAX_LIST_FRAME_BYTES));
+    let expected = peppercove_protocol::VERSION;
+    let controller = server.config.name.clone();
+    frames
+        .send(&ToList::Hello {
+            version: expected,
+            controller,
+        })
+        .await?;
+    match frames.next().await.ok_or(WatchError::Closed)?? {
+        FromList::Welcome { version } if version == expected => {}
+        FromList::Welcome { .. } | FromList::Update { .. } | FromList::Failed => {
+            return Err(WatchError::WrongVersion { expected });
+        }
     }
-    let first = watch(shell, &mut link).await?;
-    Ok((link, first))
+    let first = poll(server, &mut frames).await?;
+    Ok((frames, first))
 }
 
-async fn watch(shell: &Server, link: &mut Link) -> Result<FromList, ListError> {
-    let generation = shell.core.borrow().nodes().generation;
-    link.send(&ToList::Watch {
-        after: (generation > 0).then_some(generation),
-    })
-    .await?;
-    match link.next().await.ok_or(ListError::Closed)?? {
-        FromList::Failed => Err(ListError::TurnedAway),
-        news => Ok(news),
+/// Asks for what has changed since the list that is held.
+async fn poll(server: &Server, frames: &mut Frames) -> Result<FromList, WatchError> {
+    let generation = server.core.borrow().nodes().generation;
+    let after = (generation > 0).then_some(generation);
+    frames.send(&ToList::Watch { after }).await?;
+    match frames.next().await.ok_or(WatchError::Closed)?? {
+        FromList::Failed => Err(WatchError::Rejected),
+        message @ (FromList::Welcome { .. } | FromList::Update { .. }) => Ok(message),
     }
 }
 
-async fn follow(shell: &Server, mut link: Link) -> ListError {
+/// Passes updates on until the subscription ends; returns why it did.
+async fn follow(server: &Server, mut frames: Frames) -> WatchError {
     loop {
         tokio::select! {
-            news = link.next() => match news {
-                Some(Ok(news)) => pass_on(shell, news),
+            message = frames.next() => match message {
+                Some(Ok(message)) => pass_on(server, message),
                 Some(Err(error)) => return error.into(),
-                None => return ListError::Closed,
+                None => return WatchError::Closed,
             },
-            () = shell.watch.notified() => {
-                match timeout(shell.config.network.list_timeout, watch(shell, &mut link)).await {
-                    Ok(Ok(news)) => pass_on(shell, news),
+            () = server.list_wanted.notified() => {
+                let list_timeout = server.config.network.list_timeout;
+                match timeout(list_timeout, poll(server, &mut frames)).await {
+                    Ok(Ok(message)) => pass_on(server, message),
                     Ok(Err(error)) => return error,
-                    Err(_) => return ListError::TimedOut,
+                    Err(_) => return WatchError::TimedOut,
                 }
             }
         }
     }
 }
 
-fn pass_on(shell: &Server, news: FromList) {
-    if let Some(input) = node_list_input(news) {
-        shell.figures.set(
-            names::LIST_LAST_CONTACT,
-            &[],
-            shell.clock.now() as f64 / 1e6,
-        );
-        shell.input(input);
+fn pass_on(server: &Server, message: FromList) {
+    if let Some(input) = node_list_input(message) {
+        let now = server.clock.now() as f64 / 1e6;
+        server.metrics.set(names::LIST_LAST_CONTACT, &[], now);
+        server.handle(input);
     }
 }
--- a/crates/controller/src/remote_write.rs
+++ b/crates/controller/src/remote_write.rs
@@ -1,4 +1,6 @@
-//! Pushing the figures: taken, kept on disk and sent as background work, which gives way to placing.
+//! Metrics pushed to a receiver: collected, kept on disk and sent as background work, which yields to placements.
+
+mod http;
 
 use crate::server::Server;
 use peppercove_background::{Action, BackgroundScheduler, Cost, Event, WorkId};
@@ -8,298 +10,303 @@
 use peppercove_push::client::{
     BatchDisposition, ClientSettings, NextStep, RemoteWriteClient, RequestOutcome,
 };
-use peppercove_push::encode::{ENCODING, Version, encode};
-use peppercove_push::wal::{LossCounts, WalLimits, WriteAheadLog};
+use peppercove_push::encode::{Version, encode};
+use peppercove_push::wal::{LossCounts, Record, WalLimits, WriteAheadLog};
 use peppercove_push::{Sample, to_samples};
 use std::io;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
-use tokio::time::timeout;
+use tokio::time::{sleep_until, timeout};
+
+/// Segments that the write-ahead log is divided into, and the least size of one in bytes.
+const WAL_SEGMENTS: u64 = 16;
+const MIN_SEGMENT_BYTES: u64 = 1 << 10;
 
-/// Longest head of an answer, in bytes.
-const LONGEST_HEAD: usize = 16 << 10;
+/// What came of a request that sent a batch.
+struct BatchSent {
+    work: WorkId,
+    samples: usize,
+    outcome: RequestOutcome,
+}
 
-pub(crate) struct Pusher {
+/// Pushes the metrics of a controller.
+pub(crate) struct RemoteWriter {
     settings: RemoteWriteSettings,
-    backlog: WriteAheadLog,
-    sender: RemoteWriteClient,
+    wal: WriteAheadLog,
+    client: RemoteWriteClient,
     background: BackgroundScheduler,
-    lost: LossCounts,
-    next_work: u64,
-    next_take: u64,
-    taking: bool,
-    sending: bool,
+    /// What the write-ahead log had lost when it was counted last.
+    counted_losses: LossCounts,
+    last_work: u64,
+    next_collection_at: u64,
+    is_collecting: bool,
+    is_sending: bool,
 }
 
-impl Pusher {
-    pub(crate) fn open(shell: &Server, settings: RemoteWriteSettings) -> io::Result<Pusher> {
-        let micros = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(u64::MAX);
-        let bounds = WalLimits {
-            bytes: settings.wal_max_bytes,
-            segment: (settings.wal_max_bytes / 16).max(1 << 10),
-            age: i64::try_from(settings.wal_max_age.as_millis()).unwrap_or(i64::MAX),
-        };
-        let backlog = WriteAheadLog::open(&settings.wal_path, bounds)?;
-        let version = if settings.prefers_v2 {
-            Version::V2
-        } else {
-            Version::V1
-        };
-        let sender = ClientSettings {
-            version,
-            batch: settings.batch,
-            min_backoff: micros(settings.retry_least),
-            max_backoff: micros(settings.retry_most),
-            per_second: settings.per_second,
-        };
-        let now = shell.clock.now();
-        let (calm, pressed) = (micros(settings.calm_below), micros(settings.pressed_from));
-        let shares = budget::settings(settings.cpu_share, settings.pressed_share, calm, pressed);
-        Ok(Pusher {
-            sender: RemoteWriteClient::new(sender, now, fastrand::u64(..)),
-            background: BackgroundScheduler::new(shares, fastrand::u64(..)),
-            // Scattered, so that controllers that start together do not all push together.
-            next_take: now + fastrand::u64(0..=micros(settings.interval)),
+impl RemoteWriter {
+    /// Opens the write-ahead log.
+    pub(crate) fn open(server: &Server, settings: RemoteWriteSettings) -> io::Result<RemoteWriter> {
+        let wal = WriteAheadLog::open(&settings.wal_path, wal_limits(&settings))?;
+        let now = server.clock.now();
+        let budget = budget::settings(
+            settings.cpu_share,
+            settings.pressed_share,
+            micros(settings.calm_below),
+            micros(settings.pressed_from),
+        );
+        Ok(RemoteWriter {
+            client: RemoteWriteClient::new(client_settings(&settings), now, fastrand::u64(..)),
+            background: BackgroundScheduler::new(budget, fastrand::u64(..)),
+            // Random, so that controllers that start together do not all push together.
+            next_collection_at: now + fastrand::u64(0..=micros(settings.interval)),
             settings,
-            backlog,
-            lost: LossCounts::default(),
-            next_work: 0,
-            taking: false,
-            sending: false,
+            wal,
+            counted_losses: LossCounts::default(),
+            last_work: 0,
+            is_collecting: false,
+            is_sending: false,
         })
     }
 
-    pub(crate) async fn keep(mut self, shell: Rc<Server>) {
-        let (told, mut outcomes) = mpsc::channel::<(WorkId, usize, RequestOutcome)>(1);
+    /// Collects and sends until the task is aborted.
+    pub(crate) async fn run(mut self, server: Rc<Server>) {
+        let (sender, mut sent) = mpsc::channel::<BatchSent>(1);
         loop {
-            let due = tokio::time::Instant::now() + Duration::from_micros(LAG_CHECK_INTERVAL);
-            let mut actions = Vec::new();
-            tokio::select! {
-                () = tokio::time::sleep_until(due) => {
-                    let late = due.elapsed();
-                    shell.figures.set(names::EVENT_LOOP_LAG, &[], late.as_secs_f64());
-                    let late = u64::try_from(late.as_micros()).unwrap_or(u64::MAX);
-                    actions.extend(self.background.handle(shell.clock.now(), Event::PlacementLatency(late)));
-                }
-                Some((work, count, outcome)) = outcomes.recv() => {
-                    actions.extend(self.answered(&shell, work, count, outcome));
-                }
-            }
-            actions.extend(self.submit_due(&shell));
+            let check_at = tokio::time::Instant::now() + Duration::from_micros(LAG_CHECK_INTERVAL);
+            let mut actions = tokio::select! {
+                () = sleep_until(check_at) => self.on_lag(&server, check_at.elapsed()),
+                Some(batch) = sent.recv() => self.on_batch_sent(&server, &batch),
+            };
+            actions.extend(self.submit_due(&server));
             while let Some(action) = actions.pop() {
-                if let Action::Start(work) = action {
-                    actions.extend(self.start(&shell, work, &told));
+                match action {
+                    Action::Start(work) => actions.extend(self.start(&server, work, &sender)),
+                    // The work is short: it is neither paused nor are others told of its end.
+                    Action::GiveWay(_) | Action::GoOn(_) | Action::End(..) => {}
                 }
             }
         }
     }
 
-    /// Asks for the work that is due: figures to be taken, a batch to be sent.
-    fn submit_due(&mut self, shell: &Server) -> Vec<Action> {
-        let now = shell.clock.now();
+    /// Tells the background scheduler how late the event loop is.
+    fn on_lag(&mut self, server: &Server, lag: Duration) -> Vec<Action> {
+        server
+            .metrics
+            .set(names::EVENT_LOOP_LAG, &[], lag.as_secs_f64());
+        let event = Event::PlacementLatency(micros(lag));
+        self.background
+            .handle(server.clock.now(), event)
+            .into_iter()
+            .collect()
+    }
+
+    /// Submits the work that is due: metrics to collect, a batch to send.
+    fn submit_due(&mut self, server: &Server) -> Vec<Action> {
+        let now = server.clock.now();
         let mut actions = Vec::new();
-        if !self.taking && now >= self.next_take {
-            self.taking = true;
+        if !self.is_collecting && now >= self.next_collection_at {
+            self.is_collecting = true;
             actions.extend(self.submit(now, PushTask::Collect));
         }
-        if !self.sending && self.backlog.bytes() > 0 {
-            self.sending = true;
+        if !self.is_sending && self.wal.bytes() > 0 {
+            self.is_sending = true;
             actions.extend(self.submit(now, PushTask::Send));
         }
         actions
     }
 
-    fn submit(&mut self, now: u64, duty: PushTask) -> Vec<Action> {
-        // The number of a work names its class, so that a start needs no table.
-        self.next_work += 1;
-        let (class, cost) = (duty.class(), duty.expected());
-        let work = WorkId(self.next_work * 2 + class as u64);
-        self.background.handle(
-            now,
-            Event::Submit {
-                work,
-                class,
-                cost,
-                deadline: None,
-            },
-        )
+    fn submit(&mut self, now: u64, task: PushTask) -> Vec<Action> {
+        self.last_work += 1;
+        let event = Event::Submit {
+            work: work_id(self.last_work, task),
+            class: task.class(),
+            cost: task.expected(),
+            deadline: None,
+        };
+        self.background.handle(now, event)
     }
 
     fn start(
         &mut self,
-        shell: &Rc<Server>,
+        server: &Rc<Server>,
         work: WorkId,
-        told: &mpsc::Sender<(WorkId, usize, RequestOutcome)>,
+        sender: &mpsc::Sender<BatchSent>,
     ) -> Vec<Action> {
-        let began = Instant::now();
-        if work.0 % 2 == PushTask::Collect as u64 {
-            self.take(shell);
-            return self.finish(shell, work, began.elapsed());
+        let started_at = Instant::now();
+        match task_of(work) {
+            PushTask::Collect => {
+                self.collect(server);
+                self.finish(server, work, started_at.elapsed())
+            }
+            PushTask::Send => {
+                let is_sent = self.send_batch(server, work, sender);
+                if is_sent {
+                    return Vec::new();
+                }
+                self.finish(server, work, started_at.elapsed())
+            }
         }
-        let now = shell.clock.now();
-        let waiting = self.backlog.peek(millis(now), self.settings.batch);
-        self.count_lost(shell);
-        let NextStep::Send(count, version) = self.sender.next(now, waiting.len()) else {
-            return self.finish(shell, work, began.elapsed());
+    }
+
+    /// Sends a batch, if the client permits; returns whether it does.
+    fn send_batch(
+        &mut self,
+        server: &Server,
+        work: WorkId,
+        sender: &mpsc::Sender<BatchSent>,
+    ) -> bool {
+        let now = server.clock.now();
+        let waiting = self.wal.peek(millis(now), self.settings.batch);
+        self.count_losses(server);
+        let (samples, version) = match self.client.next(now, waiting.len()) {
+            NextStep::Send(samples, version) => (samples, version),
+            NextStep::Wait(_) | NextStep::Idle => return false,
         };
-        let decode =
-            |r: &peppercove_push::wal::Record| postcard::from_bytes::<Sample>(&r.payload).ok();
-        let batch: Vec<Sample> = waiting[..count].iter().filter_map(decode).collect();
+        let decode = |record: &Record| postcard::from_bytes::<Sample>(&record.payload).ok();
+        let batch: Vec<Sample> = waiting[..samples].iter().filter_map(decode).collect();
         let body = encode(version, &batch);
-        let (settings, told) = (self.settings.clone(), told.clone());
+        let (settings, sender) = (self.settings.clone(), sender.clone());
         spawn_local(async move {
-            let request = post(&settings, version, &body);
-            let outcome = timeout(settings.timeout, request).await;
-            let outcome = outcome
-                .unwrap_or(Ok(RequestOutcome::NoAnswer))
-                .unwrap_or(RequestOutcome::NoAnswer);
-            let _ = told.send((work, count, outcome)).await;
+            let outcome =
+                match timeout(settings.timeout, http::post(&settings, version, &body)).await {
+                    Ok(Ok(outcome)) => outcome,
+                    Ok(Err(_)) | Err(_) => RequestOutcome::NoAnswer,
+                };
+            let _ = sender
+                .send(BatchSent {
+                    work,
+                    samples,
+                    outcome,
+                })
+                .await;
         });
-        Vec::new()
+        true
     }
 
-    fn finish(&mut self, shell: &Server, work: WorkId, took: Duration) -> Vec<Action> {
-        if work.0 % 2 == PushTask::Collect as u64 {
-            self.taking = false;
-        } else {
-            self.sending = false;
+    fn finish(&mut self, server: &Server, work: WorkId, elapsed: Duration) -> Vec<Action> {
+        match task_of(work) {
+            PushTask::Collect => self.is_collecting = false,
+            PushTask::Send => self.is_sending = false,
         }
         let cost = Cost {
-            cpu: took.as_micros() as f64,
+            cpu: elapsed.as_micros() as f64,
             bytes: 0.0,
             requests: 0.0,
         };
         self.background
-            .handle(shell.clock.now(), Event::Completed(work, cost))
+            .handle(server.clock.now(), Event::Completed(work, cost))
     }
 
-    fn take(&mut self, shell: &Server) {
-        let now = shell.clock.now();
-        let every = u64::try_from(self.settings.interval.as_micros()).unwrap_or(u64::MAX);
-        self.next_take = self
-            .next_take
-            .max(now.saturating_sub(every))
-            .saturating_add(every);
-        shell
-            .figures
-            .set(names::WAL_BYTES, &[], self.backlog.bytes() as f64);
-        let mut external = vec![("instance".to_owned(), shell.config.name.clone())];
-        external.extend(self.settings.labels.iter().cloned());
-        let made = to_samples(
-            &shell.figures.gather(shell),
-            &external,
-            millis(now),
-            millis(shell.clock.began()),
-        );
-        for sample in &made {
+    /// Collects the metrics and appends them to the write-ahead log.
+    fn collect(&mut self, server: &Server) {
+        let now = server.clock.now();
+        let interval = micros(self.settings.interval);
+        let after = self.next_collection_at.max(now.saturating_sub(interval));
+        self.next_collection_at = after.saturating_add(interval);
+        server
+            .metrics
+            .set(names::WAL_BYTES, &[], self.wal.bytes() as f64);
+        let mut labels = vec![("instance".to_owned(), server.config.name.clone())];
+        labels.extend(self.settings.labels.iter().cloned());
+        let points = server.gather_metrics();
+        let samples = to_samples(&points, &labels, millis(now), millis(server.clock.began()));
+        for sample in &samples {
             let bytes = postcard::to_stdvec(sample).unwrap_or_default();
-            self.backlog.append(sample.timestamp_ms, &bytes);
+            self.wal.append(sample.timestamp_ms, &bytes);
         }
-        // Told with the next ones: a figure cannot hold the push that carries it.
-        shell
-            .figures
-            .add(names::PUSHED, &["made"], made.len() as f64);
-        self.count_lost(shell);
+        // Pushed with the next samples: a metric cannot count the push that carries it.
+        server
+            .metrics
+            .add(names::PUSHED, &["made"], samples.len() as f64);
+        self.count_losses(server);
     }
 
-    /// What the backlog lost since it was looked at last.
-    fn count_lost(&mut self, shell: &Server) {
-        let (now, was) = (self.backlog.lost(), self.lost);
-        self.lost = now;
-        for (reason, more) in [
-            ("dropped-room", now.room - was.room),
-            ("dropped-age", now.age - was.age),
-            ("dropped-damaged", now.damaged - was.damaged),
-            ("dropped-unwritten", now.unwritten - was.unwritten),
+    /// Counts what the write-ahead log has lost since the last count.
+    fn count_losses(&mut self, server: &Server) {
+        let (now, last) = (self.wal.lost(), self.counted_losses);
+        self.counted_losses = now;
+        for (label, increment) in [
+            ("dropped-room", now.room - last.room),
+            ("dropped-age", now.age - last.age),
+            ("dropped-damaged", now.damaged - last.damaged),
+            ("dropped-unwritten", now.unwritten - last.unwritten),
         ] {
-            shell.figures.add(names::PUSHED, &[reason], more as f64);
+            server
+                .metrics
+                .add(names::PUSHED, &[label], increment as f64);
         }
     }
 
-    fn answered(
-        &mut self,
-        shell: &Server,
-        work: WorkId,
-        count: usize,
-        outcome: RequestOutcome,
-    ) -> Vec<Action> {
-        let began = Instant::now();
-        let status = match outcome {
+    fn on_batch_sent(&mut self, server: &Server, batch: &BatchSent) -> Vec<Action> {
+        let started_at = Instant::now();
+        let status = match batch.outcome {
             RequestOutcome::Status(status, _) => status.to_string(),
             RequestOutcome::NoAnswer => "no-answer".into(),
         };
-        shell.figures.add(names::PUSHES, &[&status], 1.0);
-        match self.sender.on_outcome(shell.clock.now(), outcome) {
-            BatchDisposition::Done(done) => {
-                debug_assert_eq!(done, count);
-                self.backlog.acknowledge(done);
-                shell.figures.add(names::PUSHED, &["pushed"], done as f64);
+        server.metrics.add(names::PUSHES, &[&status], 1.0);
+        match self.client.on_outcome(server.clock.now(), batch.outcome) {
+            BatchDisposition::Done(samples) => {
+                debug_assert_eq!(samples, batch.samples);
+                self.wal.acknowledge(samples);
+                server
+                    .metrics
+                    .add(names::PUSHED, &["pushed"], samples as f64);
             }
             BatchDisposition::Drop => {
-                self.backlog.acknowledge(1);
+                self.wal.acknowledge(1);
                 tracing::warn!(
                     status,
-                    "the receiver refuses a sample for good; it is dropped"
+                    "the receiver rejects a sample for good; it is dropped"
                 );
-                shell.figures.add(names::PUSHED, &["dropped-refused"], 1.0);
+                server.metrics.add(names::PUSHED, &["dropped-refused"], 1.0);
             }
             BatchDisposition::Keep => {}
         }
-        self.finish(shell, work, began.elapsed())
+        self.finish(server, batch.work, started_at.elapsed())
     }
 }
 
-fn millis(micros: u64) -> i64 {
-    i64::try_from(micros / 1_000).unwrap_or(i64::MAX)
+fn wal_limits(settings: &RemoteWriteSettings) -> WalLimits {
+    WalLimits {
+        bytes: settings.wal_max_bytes,
+        segment: (settings.wal_max_bytes / WAL_SEGMENTS).max(MIN_SEGMENT_BYTES),
+        age: i64::try_from(settings.wal_max_age.as_millis()).unwrap_or(i64::MAX),
+    }
 }
 
-/// One request on a connection of its own.
-async fn post(
-    settings: &RemoteWriteSettings,
-    version: Version,
-    body: &[u8],
-) -> io::Result<RequestOutcome> {
-    let mut stream = TcpStream::connect(settings.receiver).await?;
-    let head = format!(
-        "POST {} HTTP/1.1\r\nHost: {}\r\nUser-Agent: peppercove/{}\r\nContent-Type: {}\r\nContent-Encoding: {ENCODING}\r\n\
-         X-Prometheus-Remote-Write-Version: {}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
-        settings.path,
-        settings.receiver,
-        env!("CARGO_PKG_VERSION"),
-        version.content_type(),
-        version.header(),
-        body.len()
-    );
-    stream.write_all(head.as_bytes()).await?;
-    stream.write_all(body).await?;
-    let mut answer = Vec::new();
-    loop {
-        let mut headers = [httparse::EMPTY_HEADER; 32];
-        let mut response = httparse::Response::new(&mut headers);
-        match response.parse(&answer) {
-            Ok(httparse::Status::Complete(_)) => {
-                let status = response.code.unwrap_or(0);
-                let named = |h: &&httparse::Header<'_>| h.name.eq_ignore_ascii_case("retry-after");
-                let after = response
-                    .headers
-                    .iter()
-                    .find(named)
-                    .and_then(|h| std::str::from_utf8(h.value).ok());
-                // A date is not read: it would trust the receiver's clock. The growing waits stand then.
-                let after = after
-                    .and_then(|v| v.trim().parse::<u64>().ok())
-                    .map(|s| s.saturating_mul(1_000_000));
-                return Ok(RequestOutcome::Status(status, after));
-            }
-            Ok(httparse::Status::Partial) if answer.len() < LONGEST_HEAD => {}
-            _ => return Err(io::Error::other("no answer of HTTP")),
-        }
-        if stream.read_buf(&mut answer).await? == 0 {
-            return Err(io::Error::other("the answer broke off"));
-        }
+fn client_settings(settings: &RemoteWriteSettings) -> ClientSettings {
+    ClientSettings {
+        version: if settings.prefers_v2 {
+            Version::V2
+        } else {
+            Version::V1
+        },
+        batch: settings.batch,
+        min_backoff: micros(settings.retry_least),
+        max_backoff: micros(settings.retry_most),
+        per_second: settings.per_second,
+    }
+}
+
+/// The id of a piece of work. Its lowest bit says which task it is, so that a start needs no table.
+fn work_id(number: u64, task: PushTask) -> WorkId {
+    WorkId(number * 2 + task.class() as u64)
+}
+
+fn task_of(work: WorkId) -> PushTask {
+    if work.0 % 2 == PushTask::Collect.class() as u64 {
+        PushTask::Collect
+    } else {
+        PushTask::Send
     }
 }
+
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
+}
+
+fn millis(micros: u64) -> i64 {
+    i64::try_from(micros / 1_000).unwrap_or(i64::MAX)
+}
--- /dev/null
+++ b/crates/controller/src/remote_write/http.rs
@@ -0,0 +1,83 @@
+//! One HTTP request to the receiver of the metrics, on a connection of its own.
+
+use peppercove_config::RemoteWriteSettings;
+use peppercove_push::client::RequestOutcome;
+use peppercove_push::encode::{ENCODING, Version};
+use std::io;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// Longest head of a response, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+
+/// Most header fields of a response.
+const MAX_HEADERS: usize = 32;
+
+/// Sends a body, and returns the status of the response.
+///
+/// # Errors
+/// Where the connection fails, or the response is none of HTTP.
+pub(super) async fn post(
+    settings: &RemoteWriteSettings,
+    version: Version,
+    body: &[u8],
+) -> io::Result<RequestOutcome> {
+    let mut stream = TcpStream::connect(settings.receiver).await?;
+    stream
+        .write_all(request_head(settings, version, body.len()).as_bytes())
+        .await?;
+    stream.write_all(body).await?;
+    let mut received = Vec::new();
+    loop {
+        if let Some(outcome) = parse_response(&received)? {
+            return Ok(outcome);
+        }
+        if stream.read_buf(&mut received).await? == 0 {
+            return Err(io::Error::other("the response broke off"));
+        }
+    }
+}
+
+fn request_head(settings: &RemoteWriteSettings, version: Version, body_bytes: usize) -> String {
+    format!(
+        "POST {} HTTP/1.1\r\nHost: {}\r\nUser-Agent: peppercove/{}\r\nContent-Type: {}\r\nContent-Encoding: {ENCODING}\r\n\
+         X-Prometheus-Remote-Write-Version: {}\r\nContent-Length: {body_bytes}\r\nConnection: close\r\n\r\n",
+        settings.path,
+        settings.receiver,
+        env!("CARGO_PKG_VERSION"),
+        version.content_type(),
+        version.header(),
+    )
+}
+
+/// The status and `Retry-After` of a response; `None` while its head is not complete.
+fn parse_response(received: &[u8]) -> io::Result<Option<RequestOutcome>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    match response.parse(received) {
+        Ok(httparse::Status::Complete(_)) => {
+            let status = response.code.unwrap_or(0);
+            Ok(Some(RequestOutcome::Status(
+                status,
+                retry_after(response.headers),
+            )))
+        }
+        Ok(httparse::Status::Partial) if received.len() < MAX_HEAD_BYTES => Ok(None),
+        Ok(httparse::Status::Partial) | Err(_) => {
+            Err(io::Error::other("the response is none of HTTP"))
+        }
+    }
+}
+
+/// `Retry-After` in microseconds. A date is ignored, since it would trust the receiver's clock; the backoff holds then.
+fn retry_after(headers: &[httparse::Header<'_>]) -> Option<u64> {
+    let header = headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case("retry-after"))?;
+    let seconds: u64 = std::str::from_utf8(header.value)
+        .ok()?
+        .trim()
+        .parse()
+        .ok()?;
+    Some(seconds.saturating_mul(1_000_000))
+}
--- a/crates/controller/src/server.rs
+++ b/crates/controller/src/server.rs
@@ -1,294 +1,197 @@
-//! The core, and what is around it: where inputs come in and outputs go out.
+//! The core and its surroundings: where inputs come in and outputs are carried out.
+//!
+//! The modules of the connections depend on this one and not the other way round; the one thing that the server needs
+//! of them, to start the task of a node's connection, it is given as a function ([`ConnectNode`]).
 
-use crate::StartError;
-use crate::client_session::Sessions;
+mod journaling;
+mod outputs;
+
+use crate::client_registry::ClientRegistry;
+use crate::input_recorder::InputRecorder;
+use crate::job_ids::JobIds;
+use crate::job_report;
 use crate::journal::Journal;
 use crate::metrics::ControllerMetrics;
-use crate::node_connection;
-use peppercove::{NodeId, Scheduler};
+use crate::node_queues::NodeQueues;
+use crate::start_error::StartError;
+use peppercove::{Micros, NodeId, Scheduler};
 use peppercove_config::Config;
 use peppercove_core::attempt_log::JournalEntry;
-use peppercove_core::{Answer, Core, Input, Job, JobId, JobState, Output, TaskEnd, recording};
-use peppercove_exchange::{core_limits, encode_output};
+use peppercove_core::recording::RecordingHeader;
+use peppercove_core::{Answer, Control, Core, Input, Job, JobId, Output, Rejection, Submission};
+use peppercove_exchange::core_limits;
 use peppercove_fleet::{NodeSubset, SubsetScheduler};
-use peppercove_metrics as names;
+use peppercove_metrics::MetricPoint;
 use peppercove_protocol::node::ToNode;
-use peppercove_protocol::rpc;
+use peppercove_protocol::rpc::{JobInfo, PlacementResult};
 use peppercove_runtime::{Clock, Timer};
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, VecDeque};
-use std::fs::File;
-use std::io::{BufWriter, Write};
-use std::rc::Rc;
+use std::collections::VecDeque;
+use std::net::SocketAddrV4;
+use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
-use tokio::task::{AbortHandle, spawn_local};
+use tokio::task::AbortHandle;
+
+/// How often it is looked whether all that was queued for clients has been written, and how many times at most.
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_FLUSH_CHECKS: usize = 100;
+
+/// Starts the task that keeps the connection to a node.
+pub(crate) type ConnectNode = fn(Rc<Server>, NodeEndpoint) -> AbortHandle;
+
+/// A node and where it listens.
+pub(crate) struct NodeEndpoint {
+    pub(crate) id: NodeId,
+    pub(crate) address: SocketAddrV4,
+    /// The name that it must answer to.
+    pub(crate) name: String,
+}
 
-/// A link's task, and its queue while it is up.
-pub(crate) struct LinkHandle {
-    pub(crate) queue: Option<mpsc::Sender<ToNode>>,
-    task: AbortHandle,
+/// The core's reply to a call.
+enum CallReply {
+    Accepted { ticket: u64, job: JobId },
+    ControlAccepted,
+    Rejected { ticket: u64, reason: Rejection },
 }
 
+/// A controller's state, shared by the tasks of its connections.
 pub(crate) struct Server {
     pub(crate) config: Config,
-    pub(crate) life: u64,
+    /// A number of this run of the controller.
+    pub(crate) incarnation: u64,
     pub(crate) clock: Clock,
     pub(crate) core: RefCell<Core<SubsetScheduler>>,
-    pub(crate) links: RefCell<BTreeMap<NodeId, LinkHandle>>,
-    pub(crate) sessions: RefCell<Sessions>,
-    /// The module asked for the list.
-    pub(crate) watch: Notify,
-    /// An ask was answered.
-    pub(crate) settled: Notify,
-    timer: Timer,
-    tickets: Cell<u64>,
+    pub(crate) nodes: NodeQueues,
+    pub(crate) clients: RefCell<ClientRegistry>,
+    pub(crate) metrics: ControllerMetrics,
+    /// Notified when the decision module wants the node list.
+    pub(crate) list_wanted: Notify,
+    /// Notified when a placement request is answered.
+    pub(crate) request_answered: Notify,
     /// Messages to other controllers, where the settings name any.
-    pub(crate) peers: RefCell<Option<mpsc::Sender<Vec<u8>>>>,
-    record: Option<RefCell<BufWriter<File>>>,
+    peer_messages: RefCell<Option<mpsc::Sender<Vec<u8>>>>,
+    job_ids: JobIds,
+    timer: Timer,
+    last_ticket: Cell<u64>,
+    recorder: Option<InputRecorder>,
     journal: Option<RefCell<Journal>>,
-    pub(crate) figures: ControllerMetrics,
-    me: RefCell<std::rc::Weak<Server>>,
+    connect_node: ConnectNode,
+    /// The server itself, for the tasks that it starts.
+    this: Weak<Server>,
 }
 
 impl Server {
-    pub(crate) fn new(config: Config) -> Result<Server, StartError> {
+    /// Starts the core with what its journal holds.
+    pub(crate) fn new(config: Config, connect_node: ConnectNode) -> Result<Rc<Server>, StartError> {
         let clock = Clock::start();
         let seed = config.seed.unwrap_or_else(|| fastrand::u64(..));
-        // Lives only have to differ: the time of the start, scattered so that two in one microsecond do as well.
-        let life = clock.now() ^ (fastrand::u64(..) & 0xfff) << 52;
-        let (limits, began) = (core_limits(&config, life), clock.now());
-        let mut core = Core::new(
-            NodeSubset::new(
-                Scheduler::new(config.scheduler.clone(), seed),
-                &config.scheduler,
-            ),
-            limits,
-        );
-        let mut recovered = Vec::new();
-        let journal = match &config.journal_path {
-            Some(path) => {
-                let wrong = |source| StartError::Journal {
-                    path: path.clone(),
-                    source,
-                };
-                let (mut journal, entries) =
-                    Journal::open(path, &config.name, config.journal_sync).map_err(wrong)?;
-                core.recover(began, &entries);
-                // What is settled is left out of the new file.
-                journal.replace(&core.snapshot()).map_err(wrong)?;
-                tracing::info!(
-                    entries = entries.len(),
-                    open = core.ambiguous_tasks(),
-                    "journal read"
-                );
-                recovered = entries;
-                Some(RefCell::new(journal))
-            }
-            None => None,
+        let incarnation = new_incarnation(&clock);
+        let limits = core_limits(&config, incarnation);
+        let started_at = clock.now();
+        let scheduler = Scheduler::new(config.scheduler.clone(), seed);
+        let mut core = Core::new(NodeSubset::new(scheduler, &config.scheduler), limits);
+        let (journal, entries) = journaling::recover(&config, &mut core, started_at)?;
+        let header = RecordingHeader {
+            seed,
+            incarnation,
+            schedulers: (config.scheduler.schedulers, config.scheduler.own_index),
+            started_at,
+            journal: entries,
         };
-        let record = match &config.record_path {
-            Some(path) => {
-                let file = File::create(path).map_err(|source| StartError::Record {
-                    path: path.clone(),
-                    source,
-                })?;
-                let mut file = BufWriter::new(file);
-                let schedulers = (config.scheduler.schedulers, config.scheduler.own_index);
-                let head = recording::RecordingHeader {
-                    seed,
-                    incarnation: life,
-                    schedulers,
-                    started_at: began,
-                    journal: recovered,
-                };
-                let _ = writeln!(file, "{}", serde_json::to_string(&head).unwrap_or_default());
-                Some(RefCell::new(file))
-            }
-            None => None,
-        };
-        Ok(Server {
+        let recorder = start_recorder(&config, &header)?;
+        Ok(Rc::new_cyclic(|this| Server {
+            job_ids: JobIds::new(&config.name, incarnation),
             config,
-            life,
+            incarnation,
             clock,
             core: RefCell::new(core),
-            links: RefCell::default(),
-            sessions: RefCell::default(),
-            watch: Notify::new(),
-            settled: Notify::new(),
+            nodes: NodeQueues::default(),
+            clients: RefCell::default(),
+            metrics: ControllerMetrics::new(started_at),
+            list_wanted: Notify::new(),
+            request_answered: Notify::new(),
+            peer_messages: RefCell::default(),
             timer: Timer::default(),
-            tickets: Cell::new(0),
-            peers: RefCell::default(),
-            record,
-            journal,
-            figures: ControllerMetrics::new(began),
-            me: RefCell::default(),
+            last_ticket: Cell::new(0),
+            recorder,
+            journal: journal.map(RefCell::new),
+            connect_node,
+            this: this.clone(),
+        }))
+    }
+
+    /// Hands an input to the core and carries out its outputs.
+    pub(crate) fn handle(&self, input: Input) {
+        self.handle_call(input);
+    }
+
+    /// Submits a job; `None` where the core gives no reply, which is a fault of the program.
+    pub(crate) fn submit(&self, submission: Submission) -> Option<Result<JobId, Rejection>> {
+        let own_ticket = self.next_ticket();
+        let submission = Box::new(submission);
+        let replies = self.handle_call(Input::Submit {
+            ticket: own_ticket,
+            submission,
+        });
+        replies.into_iter().find_map(|reply| match reply {
+            CallReply::Accepted { ticket, job } => (ticket == own_ticket).then_some(Ok(job)),
+            CallReply::Rejected { ticket, reason } => (ticket == own_ticket).then_some(Err(reason)),
+            CallReply::ControlAccepted => None,
         })
     }
 
-    /// A number for a call whose answer comes among the outputs.
-    pub(crate) fn ticket(&self) -> u64 {
-        self.tickets.set(self.tickets.get() + 1);
-        self.tickets.get()
+    /// Acts on a job.
+    pub(crate) fn control(&self, job: JobId, control: Control) -> Result<(), Rejection> {
+        let own_ticket = self.next_ticket();
+        let replies = self.handle_call(Input::Control {
+            ticket: own_ticket,
+            job,
+            control,
+        });
+        let rejection = replies.into_iter().find_map(|reply| match reply {
+            CallReply::Rejected { ticket, reason } => (ticket == own_ticket).then_some(reason),
+            CallReply::Accepted { .. } | CallReply::ControlAccepted => None,
+        });
+        rejection.map_or(Ok(()), Err)
+    }
+
+    /// A number for a call, by which its reply is found among the outputs.
+    fn next_ticket(&self) -> u64 {
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        self.last_ticket.get()
     }
 
-    /// Hands an input to the core and carries its outputs out; what answers calls is given back.
-    pub(crate) fn input(&self, input: Input) -> Vec<Output> {
+    /// Hands an input to the core and carries out its outputs, and so the inputs that these lead to.
+    fn handle_call(&self, input: Input) -> Vec<CallReply> {
         let mut inputs = VecDeque::from([input]);
-        let mut answers = Vec::new();
+        let mut replies = Vec::new();
         while let Some(input) = inputs.pop_front() {
             let now = self.clock.now();
-            if let Some(record) = &self.record {
-                let _ = writeln!(
-                    record.borrow_mut(),
-                    "{}",
-                    recording::format_line(now, &input)
-                );
+            if let Some(recorder) = &self.recorder {
+                recorder.record(now, &input);
             }
             let outputs = self.core.borrow_mut().handle(now, input);
             for output in outputs {
-                self.carry_out(output, &mut inputs, &mut answers);
+                self.carry_out(output, &mut inputs, &mut replies);
             }
         }
-        self.tend_journal();
+        self.maintain_journal();
         self.timer.changed(self.core.borrow().next_wake());
-        answers
-    }
-
-    fn carry_out(&self, output: Output, inputs: &mut VecDeque<Input>, answers: &mut Vec<Output>) {
-        match output {
-            Output::Accepted { .. } | Output::ControlAccepted { .. } | Output::Rejected { .. } => {
-                answers.push(output)
-            }
-            Output::Answered { job, answer } => {
-                self.settled.notify_one();
-                let core = self.core.borrow();
-                if let Some(j) = core.jobs().get(job) {
-                    let after = self.clock.now().saturating_sub(j.requested_at);
-                    let class = self.class_name(j.submission.class);
-                    self.figures
-                        .answered(class, answer, (j.requested_at > 0).then_some(after));
-                    let settled = self.settled_of(j, answer);
-                    self.sessions
-                        .borrow_mut()
-                        .settled(&j.submission.session, job, settled);
-                }
-            }
-            Output::Finished(job) => {
-                let core = self.core.borrow();
-                if let Some(j) = core.jobs().get(job) {
-                    self.sessions
-                        .borrow_mut()
-                        .finished(&j.submission.session, job);
-                }
-            }
-            Output::Connect {
-                node,
-                address,
-                name,
-            } => {
-                let Some(shell) = self.me.borrow().upgrade() else {
-                    return;
-                };
-                let task =
-                    spawn_local(node_connection::keep(shell, node, address, name)).abort_handle();
-                let old = self
-                    .links
-                    .borrow_mut()
-                    .insert(node, LinkHandle { queue: None, task });
-                if let Some(old) = old {
-                    old.task.abort();
-                    inputs.push_back(Input::NodeDisconnected(node));
-                }
-            }
-            Output::Disconnect(node) => {
-                if let Some(link) = self.links.borrow_mut().remove(&node) {
-                    link.task.abort();
-                }
-            }
-            Output::Journal(entries) => self.write_down(&entries),
-            Output::Dispatch {
-                node,
-                request,
-                attempt,
-                ..
-            } => {
-                self.figures.add(names::ATTEMPTS, &[], 1.0);
-                // What is not written down does not leave: it would be unknown to the next life.
-                if !self.is_written() || !self.send_output(&output) {
-                    inputs.push_back(Input::DispatchFailed {
-                        node,
-                        request,
-                        attempt,
-                    });
-                }
-            }
-            Output::CancelAttempt { .. }
-            | Output::ControlTask { .. }
-            | Output::Adopt { .. }
-            | Output::DiscardOrphan { .. }
-            | Output::Probe(_) => {
-                self.send_output(&output);
-            }
-            Output::Watch => self.watch.notify_one(),
-            Output::Broadcast(message) => {
-                if let Some(peers) = self.peers.borrow().as_ref() {
-                    let _ = peers.try_send(message);
-                }
-            }
-            Output::Log(line) => tracing::warn!(target: "peppercove::module", "{line}"),
-        }
-    }
-
-    fn write_down(&self, entries: &[JournalEntry]) {
-        let Some(journal) = &self.journal else { return };
-        let mut journal = journal.borrow_mut();
-        if let Err(error) = journal.write(entries) {
-            tracing::error!(%error, "the journal cannot be written: nothing is offered until it can");
-        }
-    }
-
-    /// All that was to be written down is.
-    pub(crate) fn is_written(&self) -> bool {
-        self.journal
-            .as_ref()
-            .is_none_or(|journal| journal.borrow().is_whole())
-    }
-
-    /// A journal that has grown is written anew with what still counts; one that failed is tried again.
-    fn tend_journal(&self) {
-        let Some(journal) = &self.journal else { return };
-        let mut journal = journal.borrow_mut();
-        if !journal.is_whole() || journal.is_long() {
-            let snapshot = self.core.borrow().snapshot();
-            if let Err(error) = journal.replace(&snapshot) {
-                tracing::error!(%error, "the journal cannot be written anew");
-            }
-        }
+        replies
     }
 
-    /// Queues the frame that an output is; false where there is no link or its queue is full.
-    fn send_output(&self, output: &Output) -> bool {
-        let core = self.core.borrow();
-        let frame = encode_output(&self.config, self.clock.now(), output, |job| {
-            core.jobs().get(job)
-        });
-        frame.is_some_and(|(node, message)| self.send(node, message))
-    }
-
-    /// Queues a message for a node; false where there is no link or its queue is full.
-    pub(crate) fn send(&self, node: NodeId, message: ToNode) -> bool {
-        let links = self.links.borrow();
-        let queue = links.get(&node).and_then(|l| l.queue.as_ref());
-        queue.is_some_and(|q| q.try_send(message).is_ok())
+    /// Queues a message for a node; returns `false` where it is not connected or its queue is full.
+    pub(crate) fn send_to_node(&self, node: NodeId, message: ToNode) -> bool {
+        self.nodes.send(node, message)
     }
 
-    /// Its own handle, for the tasks that it starts.
-    pub(crate) fn set_self(self: &Rc<Server>) {
-        *self.me.borrow_mut() = Rc::downgrade(self);
+    /// Sets where messages to other controllers are queued.
+    pub(crate) fn set_peer_queue(&self, queue: mpsc::Sender<Vec<u8>>) {
+        *self.peer_messages.borrow_mut() = Some(queue);
     }
 
-    /// The name of a class, as the settings have it.
+    /// The name of a class in the settings.
     pub(crate) fn class_name(&self, class: u16) -> &str {
         self.config
             .classes
@@ -296,112 +199,78 @@
             .map_or("unknown", String::as_str)
     }
 
-    /// The text by which clients know a job.
-    pub(crate) fn job_name(&self, job: JobId) -> String {
-        format!("{}.{:x}.{}", self.config.name, self.life, job.0)
+    /// The id by which clients know a job.
+    pub(crate) fn job_id(&self, job: JobId) -> String {
+        self.job_ids.format(job)
     }
 
-    /// The job of a text, if it is one of this life.
-    pub(crate) fn job_named(&self, text: &str) -> Option<JobId> {
-        let own = text
-            .strip_prefix(self.config.name.as_str())?
-            .strip_prefix('.')?;
-        let (life, number) = own.split_once('.')?;
-        (u64::from_str_radix(life, 16).ok()? == self.life).then_some(JobId(number.parse().ok()?))
+    /// The job of an id, if it is of this incarnation.
+    pub(crate) fn parse_job_id(&self, id: &str) -> Option<JobId> {
+        self.job_ids.parse(id)
     }
 
-    pub(crate) fn settled_of(&self, job: &Job, answer: Answer) -> rpc::PlacementResult {
-        let (outcome, node, retry_after) = match answer {
-            Answer::Placed(node) => (rpc::PlacementOutcome::Placed, Some(node), None),
-            Answer::Rejected(after) => (rpc::PlacementOutcome::Refused, None, after),
-            Answer::Failed => (rpc::PlacementOutcome::Failed, None, None),
-            Answer::Cancelled => (rpc::PlacementOutcome::Withdrawn, None, None),
-        };
-        let name = |id: NodeId| {
-            let known = self.core.borrow().nodes().get(id).map(|n| n.name.clone());
-            known.unwrap_or_else(|| format!("{:x}", id.0))
-        };
-        rpc::PlacementResult {
-            job_id: self.job_name(job.id),
-            submission_key: job.submission.key.clone(),
-            outcome,
-            node: node.map(name),
-            retry_after_ms: retry_after.map(|us| us.div_ceil(1000)),
-        }
+    /// What clients are told of an answer.
+    pub(crate) fn placement_result(&self, job: &Job, answer: Answer) -> PlacementResult {
+        let core = self.core.borrow();
+        job_report::placement_result(job, self.job_id(job.id), answer, core.nodes())
     }
 
-    /// What `wait` tells of a finished job.
-    pub(crate) fn finished_of(&self, job: &Job) -> rpc::JobInfo {
-        let mut finished = rpc::JobInfo {
-            job_id: self.job_name(job.id),
-            ..rpc::JobInfo::default()
-        };
-        let mut usage = |name: &str, value: String| {
-            finished.rusage.insert(name.into(), value);
-        };
-        let outcome = match job.answer {
-            Some(Answer::Placed(_)) => "placed",
-            Some(Answer::Rejected(after)) => {
-                if let Some(after) = after {
-                    usage("retry_after_ms", after.div_ceil(1000).to_string());
-                }
-                "refused"
-            }
-            Some(Answer::Failed) => "failed",
-            Some(Answer::Cancelled) | None => "withdrawn",
-        };
-        usage("outcome", outcome.into());
-        match job.end {
-            Some(
-                TaskEnd::Exited {
-                    wall, cpu, memory, ..
-                }
-                | TaskEnd::Signalled {
-                    wall, cpu, memory, ..
-                },
-            ) => {
-                usage("wallclock_s", format!("{:.6}", wall as f64 / 1e6));
-                usage("cpu_s", format!("{:.6}", cpu as f64 / 1e6));
-                usage("memory", format!("{memory:.3}"));
-            }
-            Some(TaskEnd::GivenUp) => usage("end", "given-up".into()),
-            Some(TaskEnd::Lost) => usage("end", "lost".into()),
-            None => {}
-        }
-        match job.end {
-            Some(TaskEnd::Exited { status, .. }) => finished.exit_status = Some(status),
-            Some(TaskEnd::Signalled { signal, .. }) => finished.signal = Some(signal),
-            Some(TaskEnd::GivenUp | TaskEnd::Lost) => {}
-            None => finished.aborted = job.state == JobState::Failed,
-        }
-        finished
+    /// What clients are told of a finished job.
+    pub(crate) fn job_info(&self, job: &Job) -> JobInfo {
+        job_report::job_info(job, self.job_id(job.id))
     }
 
+    /// All metrics as they are now.
+    pub(crate) fn gather_metrics(&self) -> Vec<MetricPoint> {
+        let client_connections = self.clients.borrow().connections();
+        self.metrics.gather(&self.core.borrow(), client_connections)
+    }
+
+    /// Waits until all that was queued for clients has been written, for half a second at most.
     pub(crate) async fn flush_clients(&self) {
-        for _ in 0..100 {
-            if self.sessions.borrow().is_flushed() {
+        for _ in 0..MAX_FLUSH_CHECKS {
+            if self.clients.borrow().is_flushed() {
                 break;
             }
-            tokio::time::sleep(Duration::from_millis(5)).await;
+            tokio::time::sleep(FLUSH_CHECK_INTERVAL).await;
         }
     }
 
+    /// Ends the connections to nodes and clients, and writes the recording out.
     pub(crate) fn close(&self) {
-        for (_, link) in std::mem::take(&mut *self.links.borrow_mut()) {
-            link.task.abort();
-        }
-        self.sessions.borrow_mut().close();
-        if let Some(record) = &self.record {
-            let _ = record.borrow_mut().flush();
+        self.nodes.clear();
+        self.clients.borrow().close_all();
+        if let Some(recorder) = &self.recorder {
+            recorder.flush();
         }
     }
 }
 
 /// Calls the core when it wants to be called.
-pub(crate) async fn keep_time(shell: Rc<Server>) {
-    let next = || shell.core.borrow().next_wake();
-    let tick = |_| {
-        shell.input(Input::Tick);
+pub(crate) async fn run_timer(server: Rc<Server>) {
+    let next = || server.core.borrow().next_wake();
+    let tick = |_| server.handle(Input::Tick);
+    server.timer.keep(&server.clock, next, tick).await;
+}
+
+/// A number for this run: the time of the start. Incarnations only have to differ, so its upper bits are random, for
+/// controllers that start within one microsecond.
+fn new_incarnation(clock: &Clock) -> u64 {
+    clock.now() ^ (fastrand::u64(..) & 0xfff) << 52
+}
+
+fn start_recorder(
+    config: &Config,
+    header: &RecordingHeader,
+) -> Result<Option<InputRecorder>, StartError> {
+    let Some(path) = &config.record_path else {
+        return Ok(None);
     };
-    shell.timer.keep(&shell.clock, next, tick).await;
+    match InputRecorder::create(path, header) {
+        Ok(recorder) => Ok(Some(recorder)),
+        Err(source) => Err(StartError::Record {
+            path: path.clone(),
+            source,
+        }),
+    }
 }
--- /dev/null
+++ b/crates/controller/src/server/journaling.rs
@@ -0,0 +1,63 @@
+//! The journal of the server: recovered at the start, written before anything is sent, rewritten when it has grown.
+
+use super::{Core, Journal, JournalEntry, Micros, Server, StartError, SubsetScheduler};
+use peppercove_config::Config;
+
+/// Opens the journal of the settings, where there is one, and recovers the core from it. Returns the entries too.
+pub(super) fn recover(
+    config: &Config,
+    core: &mut Core<SubsetScheduler>,
+    now: Micros,
+) -> Result<(Option<Journal>, Vec<JournalEntry>), StartError> {
+    let Some(path) = &config.journal_path else {
+        return Ok((None, Vec::new()));
+    };
+    let journal_error = |source| StartError::Journal {
+        path: path.clone(),
+        source,
+    };
+    let (mut journal, entries) =
+        Journal::open(path, &config.name, config.journal_sync).map_err(journal_error)?;
+    core.recover(now, &entries);
+    // What is resolved is left out of the new file.
+    journal.replace(&core.snapshot()).map_err(journal_error)?;
+    let ambiguous = core.ambiguous_tasks();
+    tracing::info!(entries = entries.len(), ambiguous, "journal read");
+    Ok((Some(journal), entries))
+}
+
+impl Server {
+    /// Writes entries to the journal; it is intact afterwards if they were written.
+    pub(super) fn write_journal(&self, entries: &[JournalEntry]) {
+        let Some(journal) = &self.journal else {
+            return;
+        };
+        if let Err(error) = journal.borrow_mut().write(entries) {
+            tracing::error!(%error, "the journal cannot be written: nothing is dispatched until it can");
+        }
+    }
+
+    /// Whether all that was to be written to the journal has been.
+    ///
+    /// Invariant: while it is not, nothing is sent that the next incarnation would have to know of.
+    pub(crate) fn is_journal_intact(&self) -> bool {
+        self.journal
+            .as_ref()
+            .is_none_or(|journal| journal.borrow().is_intact())
+    }
+
+    /// Rewrites a journal that has grown with what still counts; tries one again that could not be written.
+    pub(super) fn maintain_journal(&self) {
+        let Some(journal) = &self.journal else {
+            return;
+        };
+        let mut journal = journal.borrow_mut();
+        if journal.is_intact() && !journal.needs_compaction() {
+            return;
+        }
+        let snapshot = self.core.borrow().snapshot();
+        if let Err(error) = journal.replace(&snapshot) {
+            tracing::error!(%error, "the journal cannot be rewritten");
+        }
+    }
+}
