--- a/crates/drmaa/src/lib.rs
+++ b/crates/drmaa/src/lib.rs
@@ -1,41 +1,31 @@
 //! DRMAA 1.0 as a Rust client: the operations of the specification (GFD.133) over JSON-RPC to one or several
 //! controllers.
 //!
-//! Calls block; any number of threads may call at once, each call has a connection of its own. A job is submitted
-//! under a key that the client makes, so that a call whose answer was lost can be made again: the same controller
-//! gives the same job. Another controller is asked only while nothing was sent, or for a job that does no harm twice.
+//! Calls block; any number of threads may call at once, and each call has a connection of its own. A job is submitted
+//! under an idempotency key that the client makes, so that a call whose answer was lost can be retried: the same
+//! controller returns the same job. Another controller is tried only while nothing was sent, or for an idempotent job.
 
 mod connection;
+mod deadline;
+mod error;
 mod session;
 
+pub use error::Error;
 pub use peppercove_protocol::drmaa::{ALL_JOBS, ANY_JOB, ControlAction, Errno, ProgramState};
 pub use peppercove_protocol::rpc::{JobInfo, JobTemplate, PlacementOutcome, PlacementResult};
-pub use session::{Session, wanted_attributes, wanted_vectors};
+pub use session::Session;
 
-use std::time::Duration;
+use peppercove_protocol::drmaa::{SCALAR_ATTRIBUTES, VECTOR_ATTRIBUTES};
 
 /// Version of the specification: major and minor.
 pub const VERSION: (u32, u32) = (1, 0);
 
-/// An error of DRMAA.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{}: {message}", errno.name())]
-pub struct Error {
-    /// Which.
-    pub errno: Errno,
-    /// What happened.
-    pub message: String,
-    /// Come again after this long, where the controller says so.
-    pub retry_after: Option<Duration>,
+/// Names of the scalar attributes that a job template may have (`drmaa_get_attribute_names`).
+pub fn attribute_names() -> &'static [&'static str] {
+    SCALAR_ATTRIBUTES
 }
 
-impl Error {
-    /// An error with its message.
-    pub fn new(errno: Errno, message: impl Into<String>) -> Error {
-        Error {
-            errno,
-            message: message.into(),
-            retry_after: None,
-        }
-    }
+/// Names of the vector attributes (`drmaa_get_vector_attribute_names`).
+pub fn vector_attribute_names() -> &'static [&'static str] {
+    VECTOR_ATTRIBUTES
 }
--- a/crates/drmaa/tests/failover.rs
+++ b/crates/drmaa/tests/failover.rs
@@ -1,4 +1,4 @@
-//! The client over several controllers: it fails over without submitting twice, and finds its jobs again.
+//! Failover of the client between controllers: nothing is submitted twice, and jobs are found again.
 
 use peppercove_config::{Config, embedded_default};
 use peppercove_day::cluster::Cluster;
@@ -29,31 +29,31 @@
     t
 }
 
-/// Passes lines on to a controller, and swallows the answers to submissions while told to.
-struct Swallower {
+/// Forwards lines to a controller, and drops the answer to the next submission where that is set.
+struct AnswerDroppingProxy {
     address: SocketAddr,
-    swallows: Arc<AtomicBool>,
+    drops_next_answer: Arc<AtomicBool>,
     submissions: Arc<AtomicUsize>,
 }
 
-impl Swallower {
-    fn start(to: SocketAddr) -> Swallower {
+impl AnswerDroppingProxy {
+    fn start(to: SocketAddr) -> AnswerDroppingProxy {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (swallows, submissions) = (
+        let (drops_next_answer, submissions) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let (swallow, count) = (swallows.clone(), submissions.clone());
+        let (drops_next, count) = (drops_next_answer.clone(), submissions.clone());
         std::thread::spawn(move || {
             for near in listener.incoming().map_while(Result::ok) {
-                let (swallow, count) = (swallow.clone(), count.clone());
-                std::thread::spawn(move || pass(near, to, &swallow, &count));
+                let (drops_next, count) = (drops_next.clone(), count.clone());
+                std::thread::spawn(move || pass(near, to, &drops_next, &count));
             }
         });
-        Swallower {
+        AnswerDroppingProxy {
             address,
-            swallows,
+            drops_next_answer,
             submissions,
         }
     }
@@ -62,7 +62,7 @@
 fn pass(
     mut near: TcpStream,
     to: SocketAddr,
-    swallow: &AtomicBool,
+    drops_next: &AtomicBool,
     count: &AtomicUsize,
 ) -> Option<()> {
     let mut far = TcpStream::connect(to).ok()?;
@@ -79,7 +79,7 @@
         answers.read_line(&mut line).ok()?;
         if submission {
             count.fetch_add(1, Ordering::SeqCst);
-            if swallow.swap(false, Ordering::SeqCst) {
+            if drops_next.swap(false, Ordering::SeqCst) {
                 // The controller took it in; the client will never know from this answer.
                 return None;
             }
@@ -89,11 +89,11 @@
 }
 
 #[test]
-fn a_submission_whose_answer_was_lost_is_made_again_and_is_the_same_job() {
+fn a_retried_submission_whose_answer_was_lost_returns_the_same_job() {
     let cluster = cluster("one");
-    let between = Swallower::start(cluster.contact);
+    let between = AnswerDroppingProxy::start(cluster.contact);
     let session = Session::init(&between.address.to_string()).unwrap();
-    between.swallows.store(true, Ordering::SeqCst);
+    between.drops_next_answer.store(true, Ordering::SeqCst);
     let job = session.run_job(&template("update", "life=1h")).unwrap();
     assert_eq!(
         between.submissions.load(Ordering::SeqCst),
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn another_controller_is_asked_where_nothing_was_sent() {
+fn submission_fails_over_when_nothing_was_sent() {
     let (gone, stays) = (cluster("gone"), cluster("stays"));
     let contact = format!("{},{}", gone.contact, stays.contact);
     let session = Session::init(&contact).unwrap();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_session_is_resumed_by_its_name() {
+fn a_session_resumed_by_name_controls_its_jobs() {
     let cluster = cluster("one");
     let contact = cluster.contact.to_string();
     let first = Session::init(&contact).unwrap();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn contacts_are_checked() {
+fn an_invalid_or_unreachable_contact_is_an_error() {
     for contact in ["", "nowhere", "127.0.0.1", ","] {
         let error = Session::init(contact).map(|_| ()).unwrap_err();
         assert_eq!(
--- a/crates/libdrmaa/src/lib.rs
+++ b/crates/libdrmaa/src/lib.rs
@@ -251,11 +251,11 @@
 }
 
 fn scalars() -> &'static [&'static str] {
-    peppercove_drmaa::wanted_attributes()
+    peppercove_drmaa::attribute_names()
 }
 
 fn vectors() -> &'static [&'static str] {
-    peppercove_drmaa::wanted_vectors()
+    peppercove_drmaa::vector_attribute_names()
 }
 
 /// `drmaa_set_attribute`.
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -2,18 +2,18 @@
 //!
 //! | method | params | result |
 //! | --- | --- | --- |
-//! | `init` | [`Init`] | [`Session`] |
+//! | `init` | [`Init`] | [`SessionInfo`] |
 //! | `runJob` | [`RunJob`] | `{"jobId": "…"}` |
 //! | `runBulkJobs` | [`RunBulkJobs`] | `{"jobIds": ["…"]}` |
 //! | `findJob` | [`FindJob`] | `{"jobId": "…"}` |
 //! | `control` | [`ControlJob`] | `{}` |
 //! | `jobPs` | [`JobRef`] | `{"state": number}` |
-//! | `wait` | [`Wait`] | [`Finished`] |
+//! | `wait` | [`Wait`] | [`JobInfo`] |
 //! | `synchronize` | [`Synchronize`] | `{}` |
-//! | `outcome` | [`Wait`] | [`Settled`] |
+//! | `outcome` | [`Wait`] | [`PlacementResult`] |
 //! | `exit` | none | `{}` |
 //!
-//! A session that requested it in `init` gets the notification `settled` with a [`Settled`] once for each job.
+//! A session that requested it in `init` gets the notification `settled` with a [`PlacementResult`] once for each job.
 
 use crate::drmaa::Errno;
 use serde::{Deserialize, Serialize};
@@ -231,7 +231,7 @@
 pub struct ControlJob {
     /// The job, or [`crate::drmaa::ALL_JOBS`].
     pub job_id: String,
-    /// Name of a [`crate::drmaa::Action`].
+    /// Name of a [`crate::drmaa::ControlAction`].
     pub action: String,
 }
 
