--- /dev/null
+++ b/crates/audit/tests/seeded_faults/main.rs
@@ -0,0 +1,410 @@
+//! Seeded faults: each check of the audit reports a violation that was put in, and none for the same events without it.
+
+mod history;
+
+use history::{CLEAN, History, MS, controller, entry, id, settings, task};
+use peppercove_audit::{Micros, Observation, RecordedStart, RuleSettings, check_rules};
+use peppercove_protocol::list::{ListEntry, NodeState, Scope};
+use peppercove_protocol::node::{FromNode, Idempotency, ProcessIdentity, TaskExit, Usage};
+use peppercove_protocol::rpc::PlacementOutcome;
+
+#[test]
+fn rule_1_job_is_answered_once_in_time_and_not_offered_afterwards() {
+    let mut clean = History::new();
+    clean
+        .accepted(0, 1, Idempotency::Idempotent)
+        .offer(MS, "a", id(1, 0), task(1, 0))
+        .runs(9 * MS, "a", id(1, 0));
+    clean.answered(10 * MS, 1, PlacementOutcome::Placed);
+    assert_eq!(clean.violated_rules(), CLEAN);
+    assert_eq!(clean.audit().placed, 1);
+    let mut twice = History(clean.0.clone());
+    assert_eq!(
+        twice
+            .answered(11 * MS, 1, PlacementOutcome::Failed)
+            .violated_rules(),
+        [1]
+    );
+    let mut after = History(clean.0.clone());
+    assert!(
+        after
+            .offer(12 * MS, "b", id(1, 1), task(1, 0))
+            .violated_rules()
+            .contains(&1)
+    );
+    let mut late = History::new();
+    assert_eq!(
+        late.accepted(0, 1, Idempotency::Idempotent)
+            .answered(5_001 * MS, 1, PlacementOutcome::Refused)
+            .violated_rules(),
+        [1]
+    );
+    let mut never = History::new();
+    assert_eq!(
+        never
+            .accepted(0, 1, Idempotency::Idempotent)
+            .violated_rules(),
+        [1]
+    );
+    let mut killed = History::new();
+    killed.accepted(0, 1, Idempotency::Idempotent).observe(
+        MS,
+        Observation::Killed {
+            controller: "c".into(),
+        },
+    );
+    assert_eq!(
+        killed.violated_rules(),
+        CLEAN,
+        "jobs of a killed controller need no answer"
+    );
+    let mut nobody = History::new();
+    assert_eq!(
+        nobody
+            .answered(MS, 7, PlacementOutcome::Placed)
+            .violated_rules(),
+        [1]
+    );
+    let mut early = History::new();
+    assert_eq!(
+        early
+            .answered(MS, 1, PlacementOutcome::Refused)
+            .accepted(MS, 1, Idempotency::Idempotent)
+            .violated_rules(),
+        CLEAN
+    );
+}
+
+#[test]
+fn rule_2_attempts_do_not_overlap() {
+    let mut history = History::new();
+    history
+        .offer(0, "a", id(1, 0), task(1, 0))
+        .offer(MS, "b", id(1, 1), task(1, 0));
+    assert_eq!(history.violated_rules(), [2]);
+    let mut answered = History::new();
+    answered
+        .offer(0, "a", id(1, 0), task(1, 0))
+        .rejected(MS, "a", id(1, 0))
+        .offer(2 * MS, "b", id(1, 1), task(1, 0));
+    assert_eq!(answered.violated_rules(), CLEAN);
+    let mut cancelled = History::new();
+    cancelled
+        .offer(0, "a", id(1, 0), task(1, 0))
+        .cancel(MS, "a", id(1, 0))
+        .offer(2 * MS, "b", id(1, 1), task(1, 0));
+    assert_eq!(cancelled.violated_rules(), CLEAN);
+    let mut expired = History::new();
+    expired
+        .offer(0, "a", id(1, 0), task(1, 0))
+        .offer(1_000 * MS, "b", id(1, 1), task(1, 0));
+    assert_eq!(expired.violated_rules(), CLEAN);
+}
+
+#[test]
+fn rule_2_non_idempotent_task_is_offered_again_or_refused_only_on_proof() {
+    let mut unproved = History::new();
+    unproved
+        .offer(0, "a", id(1, 0), task(1, 2))
+        .cancel(MS, "a", id(1, 0))
+        .offer(2 * MS, "b", id(2, 0), task(1, 2));
+    assert_eq!(unproved.violated_rules(), [2]);
+    let mut proved = History::new();
+    proved
+        .offer(0, "a", id(1, 0), task(1, 2))
+        .cancel(MS, "a", id(1, 0))
+        .rejected(2 * MS, "a", id(1, 0));
+    assert_eq!(
+        proved
+            .offer(3 * MS, "b", id(2, 0), task(1, 2))
+            .violated_rules(),
+        CLEAN
+    );
+    let mut refusal = History::new();
+    refusal
+        .accepted(0, 1, Idempotency::NonIdempotent)
+        .offer(0, "a", id(1, 0), task(1, 2))
+        .cancel(MS, "a", id(1, 0));
+    assert_eq!(
+        History(refusal.0.clone())
+            .answered(2 * MS, 1, PlacementOutcome::Refused)
+            .violated_rules(),
+        [2]
+    );
+    assert_eq!(
+        refusal
+            .answered(2 * MS, 1, PlacementOutcome::Failed)
+            .violated_rules(),
+        CLEAN,
+        "a failure promises nothing"
+    );
+    let mut broke_off = History::new();
+    broke_off.offer(0, "a", id(1, 0), task(1, 2));
+    broke_off.observe(
+        MS,
+        Observation::LinkClosed {
+            controller: controller(),
+            node: "a".into(),
+        },
+    );
+    assert_eq!(
+        broke_off
+            .offer(2 * MS, "b", id(1, 1), task(1, 2))
+            .violated_rules(),
+        [2]
+    );
+}
+
+#[test]
+fn rule_2_keyed_task_is_offered_again_only_within_its_dedup_scope_and_window() {
+    let again = |node: &str, at: Micros| {
+        let mut history = History::new();
+        history
+            .offer(0, "a", id(1, 0), task(1, 1))
+            .cancel(MS, "a", id(1, 0))
+            .offer(at, node, id(1, 1), task(1, 1));
+        history.violated_rules()
+    };
+    assert_eq!(again("b", 100 * MS), CLEAN);
+    assert_eq!(again("c", 100 * MS), [2], "another rack");
+    assert_eq!(again("b", 5_001 * MS), [2], "past the window");
+}
+
+#[test]
+fn rule_2_running_keyed_task_is_offered_again_only_before_the_report_can_arrive() {
+    let broken = |node: &str, at: Micros, delay: Micros| {
+        let mut history = History::new();
+        history
+            .offer(0, "a", id(1, 0), task(1, 1))
+            .cancel(MS, "a", id(1, 0));
+        let running = FromNode::Running {
+            attempt: id(1, 0),
+            load: None,
+        };
+        history
+            .node_sends(2 * MS, "a", running)
+            .offer(at, node, id(1, 1), task(1, 1));
+        check_rules(
+            &history.0,
+            &[],
+            &RuleSettings {
+                observation_delay: delay,
+                ..settings()
+            },
+        )
+        .violations_of_rule(2)
+    };
+    assert_eq!(broken("b", 3 * MS, 2 * MS), 0);
+    assert_eq!(broken("b", 3 * MS, 0), 1, "the report arrived before");
+    assert_eq!(
+        broken("b", 4 * MS, 2 * MS),
+        1,
+        "the report has arrived by then"
+    );
+    assert_eq!(broken("c", 3 * MS, 2 * MS), 1, "another rack");
+}
+
+#[test]
+fn rule_2_recorded_starts_show_forbidden_second_runs() {
+    let start = |at, ended, completed, rack, idempotency| RecordedStart {
+        at,
+        ended,
+        completed,
+        node: "a".into(),
+        rack,
+        task: 1,
+        idempotency,
+    };
+    let broken =
+        |starts: &[RecordedStart]| check_rules(&[], starts, &settings()).violations_of_rule(2);
+    assert_eq!(
+        broken(&[
+            start(0, None, false, 1, Idempotency::NonIdempotent),
+            start(9, None, false, 1, Idempotency::NonIdempotent)
+        ]),
+        1
+    );
+    assert_eq!(
+        broken(&[
+            start(0, Some(5), true, 1, Idempotency::NonIdempotent),
+            start(9, None, false, 1, Idempotency::NonIdempotent)
+        ]),
+        1
+    );
+    assert_eq!(
+        broken(&[
+            start(0, Some(5), false, 1, Idempotency::NonIdempotent),
+            start(9, None, false, 1, Idempotency::NonIdempotent)
+        ]),
+        0
+    );
+    assert_eq!(
+        broken(&[
+            start(0, None, false, 1, Idempotency::Keyed),
+            start(9, None, false, 1, Idempotency::Keyed)
+        ]),
+        1
+    );
+    assert_eq!(
+        broken(&[
+            start(0, None, false, 1, Idempotency::Keyed),
+            start(9, None, false, 2, Idempotency::Keyed)
+        ]),
+        0
+    );
+    assert_eq!(
+        broken(&[
+            start(0, None, false, 1, Idempotency::Idempotent),
+            start(9, None, false, 1, Idempotency::Idempotent)
+        ]),
+        0
+    );
+}
+
+#[test]
+fn rule_3_no_offer_after_the_grace_period_of_a_drain() {
+    let after = |at: Micros| {
+        let mut history = History::new();
+        let drains = ListEntry {
+            state: NodeState::Draining,
+            ..entry("a", 1, None)
+        };
+        history.list(100 * MS, Scope::Delta, vec![drains.clone()]);
+        // A repeated notice does not extend the grace period.
+        history.list(200 * MS, Scope::Delta, vec![drains]);
+        history
+            .offer(at, "a", id(1, 0), task(1, 0))
+            .violated_rules()
+    };
+    assert_eq!(after(349 * MS), CLEAN);
+    assert_eq!(after(351 * MS), [3]);
+    let mut gone = History::new();
+    gone.list(0, Scope::Full, vec![entry("b", 1, None)])
+        .offer(251 * MS, "a", id(1, 0), task(1, 0));
+    assert_eq!(
+        gone.violated_rules(),
+        [3],
+        "a node missing from a full list is removed"
+    );
+    assert_eq!(
+        gone.audit().violations[0].description,
+        "c offers to a 251000 us after it heard Gone"
+    );
+}
+
+#[test]
+fn rule_4_node_in_slow_start_gets_no_offers_beyond_its_budget() {
+    let offers = |count: u64, apart: Micros| {
+        let mut history = History::new();
+        history.list(
+            0,
+            Scope::Delta,
+            vec![ListEntry {
+                incarnation: 2,
+                ..entry("a", 1, Some(0))
+            }],
+        );
+        for i in 0..count {
+            history
+                .offer(i * apart, "a", id(i, 0), task(i, 0))
+                .rejected(i * apart + 1, "a", id(i, 0));
+        }
+        history.violated_rules()
+    };
+    assert_eq!(offers(3, 10 * MS), CLEAN);
+    assert_eq!(offers(4, 10 * MS), [4], "rejected offers count");
+    assert_eq!(
+        offers(4, 700 * MS),
+        CLEAN,
+        "spread over more than the window"
+    );
+}
+
+#[test]
+fn rule_5_service_stays_within_its_limit_per_rack() {
+    let mut history = History::new();
+    history
+        .offer(0, "a", id(1, 0), task(1, 1))
+        .runs(MS, "a", id(1, 0));
+    history
+        .offer(2 * MS, "b", id(2, 0), task(2, 1))
+        .runs(3 * MS, "b", id(2, 0));
+    assert_eq!(
+        History(history.0.clone())
+            .offer(4 * MS, "c", id(3, 0), task(3, 1))
+            .violated_rules(),
+        CLEAN
+    );
+    assert_eq!(
+        History(history.0.clone())
+            .offer(4 * MS, "a", id(3, 0), task(3, 1))
+            .violated_rules(),
+        [5]
+    );
+    let end = TaskExit::Exited {
+        status: 0,
+        usage: Usage::default(),
+    };
+    history.node_sends(
+        4 * MS,
+        "a",
+        FromNode::Ended {
+            attempt: id(1, 0),
+            end,
+            load: None,
+        },
+    );
+    assert_eq!(
+        history
+            .offer(5 * MS, "a", id(3, 0), task(3, 1))
+            .violated_rules(),
+        CLEAN
+    );
+}
+
+/// Found by fuzzing: a node restarted twice before an attempt expired that had not run on its earlier incarnation.
+#[test]
+fn pending_attempt_to_an_earlier_incarnation_is_not_counted_but_may_have_run() {
+    let welcome = |life| {
+        let node = ProcessIdentity {
+            name: "a".into(),
+            incarnation: life,
+        };
+        let version = peppercove_protocol::VERSION;
+        FromNode::Welcome {
+            version,
+            node,
+            known_tasks: 0,
+            is_complete: true,
+        }
+    };
+    let mut history = History::new();
+    history
+        .node_sends(0, "a", welcome(1))
+        .offer(MS, "a", id(1, 0), task(1, 1));
+    history
+        .offer(2 * MS, "b", id(2, 0), task(2, 1))
+        .runs(3 * MS, "b", id(2, 0));
+    assert_eq!(
+        History(history.0.clone())
+            .offer(4 * MS, "a", id(3, 0), task(3, 1))
+            .violated_rules(),
+        [5]
+    );
+    history.node_sends(4 * MS, "a", welcome(2));
+    assert_eq!(
+        History(history.0.clone())
+            .offer(5 * MS, "a", id(3, 0), task(3, 1))
+            .violated_rules(),
+        CLEAN
+    );
+    // It may have run there all the same: an unsafe one is not offered again for it.
+    let mut history = History::new();
+    history
+        .node_sends(0, "a", welcome(1))
+        .offer(MS, "a", id(1, 0), task(1, 2));
+    history
+        .node_sends(4 * MS, "a", welcome(2))
+        .offer(5 * MS, "b", id(1, 1), task(1, 2));
+    assert_eq!(history.violated_rules(), [2]);
+}
--- a/crates/day/src/capturing_proxy.rs
+++ b/crates/day/src/capturing_proxy.rs
@@ -41,7 +41,7 @@
     pub fn write(&self, seen: Observation) {
         self.events.borrow_mut().push(Event {
             at: self.clock.now(),
-            seen,
+            observation: seen,
         });
     }
 
@@ -49,7 +49,7 @@
     pub fn greeted(&self) -> usize {
         let welcome = |e: &&Event| {
             matches!(
-                e.seen,
+                e.observation,
                 Observation::FromNode {
                     message: FromNode::Welcome { .. },
                     ..
--- a/crates/day/src/runner.rs
+++ b/crates/day/src/runner.rs
@@ -391,7 +391,7 @@
 pub fn write_captured_events(file: &std::path::Path, events: &[Event]) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(file)?);
     for event in events {
-        writeln!(out, "{:.6} {:?}", event.at as f64 / 1e6, event.seen)?;
+        writeln!(out, "{:.6} {:?}", event.at as f64 / 1e6, event.observation)?;
     }
     out.flush()
 }
--- a/crates/kernel/src/report.rs
+++ b/crates/kernel/src/report.rs
@@ -3,7 +3,9 @@
 use crate::client_model::Tally;
 use crate::scenario::Scenario;
 use peppercove::{DedupScope, Idempotency, TopologySpread};
-use peppercove_audit::{AuditReport, ClassFigures, Event, Figures, Place, Started, judge};
+use peppercove_audit::{
+    AuditReport, ClassRules, Event, RecordedStart, RuleSettings, TopologyDomain, check_rules,
+};
 use peppercove_config::Config;
 use peppercove_core::Counters;
 use peppercove_standins::node_model::FleetState;
@@ -92,20 +94,24 @@
                 .map_or(0, |n| n.rack)
         };
         let ledger = shared.start_log.borrow();
-        let starts: Vec<Started> = ledger
+        let starts: Vec<RecordedStart> = ledger
             .starts
             .iter()
-            .map(|s| Started {
+            .map(|s| RecordedStart {
                 at: s.at,
                 ended: s.ended,
                 completed: s.completed,
                 node: s.node.clone(),
                 rack: rack(&s.node),
                 task: s.task,
-                repeat: s.idempotency,
+                idempotency: s.idempotency,
             })
             .collect();
-        let mut verdict = judge(events, &starts, &figures(&script.config, stall, travel));
+        let mut verdict = check_rules(
+            events,
+            &starts,
+            &rule_settings(&script.config, stall, travel),
+        );
         for crash in &ledger.crashes {
             let what = format!("{} fell over", crash.node);
             verdict.violations.push(peppercove_audit::Violation {
@@ -151,44 +157,46 @@
 }
 
 /// The figures of the rules, by the settings.
-fn figures(config: &Config, stall: u64, travel: u64) -> Figures {
+fn rule_settings(config: &Config, stall: u64, travel: u64) -> RuleSettings {
     let m = &config.scheduler;
     let place = |spread: TopologySpread| match spread {
-        TopologySpread::Off => Place::Off,
-        TopologySpread::Node => Place::Node,
-        TopologySpread::Rack => Place::Rack,
-        TopologySpread::Zone => Place::Zone,
+        TopologySpread::Off => TopologyDomain::Off,
+        TopologySpread::Node => TopologyDomain::Node,
+        TopologySpread::Rack => TopologyDomain::Rack,
+        TopologySpread::Zone => TopologyDomain::Zone,
     };
     let class = |c: &peppercove::TaskClass| {
         let (group, window) = match c.idempotency {
             Idempotency::Keyed {
                 scope: DedupScope::Rack,
                 window,
-            } => (Place::Rack, window),
+            } => (TopologyDomain::Rack, window),
             Idempotency::Keyed {
                 scope: DedupScope::Zone,
                 window,
-            } => (Place::Zone, window),
+            } => (TopologyDomain::Zone, window),
             Idempotency::Keyed {
                 scope: DedupScope::All,
                 window,
-            } => (Place::Off, window),
-            Idempotency::Idempotent | Idempotency::NonIdempotent => (Place::Off, u64::MAX / 4),
+            } => (TopologyDomain::Off, window),
+            Idempotency::Idempotent | Idempotency::NonIdempotent => {
+                (TopologyDomain::Off, u64::MAX / 4)
+            }
         };
-        ClassFigures {
+        ClassRules {
             spread: place(c.topology_spread),
-            most: c.max_per_domain,
-            group,
-            window,
+            max_per_domain: c.max_per_domain,
+            dedup_scope: group,
+            dedup_window: window,
         }
     };
-    Figures {
+    RuleSettings {
         classes: m.classes.iter().map(class).collect(),
         drain_grace: m.drain_grace,
-        warm_within: m.slow_start_window,
-        cold_bears: m.slow_start_budget as u64,
-        fall_window: m.overload_window,
+        slow_start_window: m.slow_start_window,
+        slow_start_budget: m.slow_start_budget as u64,
+        overload_window: m.overload_window,
         stall,
-        travel,
+        observation_delay: travel,
     }
 }
--- a/crates/kernel/src/simulator.rs
+++ b/crates/kernel/src/simulator.rs
@@ -365,7 +365,10 @@
     }
 
     fn see(&mut self, seen: Observation) {
-        self.book.push(Event { at: self.now, seen });
+        self.book.push(Event {
+            at: self.now,
+            observation: seen,
+        });
     }
 
     /// How long a message takes: mostly a fraction of a millisecond, now and then much longer.
