--- a/crates/cli/tests/compat/terms.rs
+++ b/crates/cli/tests/compat/terms.rs
@@ -14,7 +14,12 @@
     ("Copy.at", "attempt"),
     ("Trace", "AttemptId"),
     ("Trace.attempt", "number"),
+    ("node_life", "node_incarnation"),
+    ("Of", "TaskSpec"),
+    ("of", "spec"),
     // Outputs.
+    ("life", "incarnation"),
+    ("was", "previous_request"),
     (".TurnedAway", "Rejected"),
     ("TurnedAway.why", "reason"),
     (".Done", "ControlAccepted"),
@@ -39,7 +44,11 @@
 ];
 
 /// `(old, new)`: a part of a line for the people on call, within `Log("...")`.
-const LOG_TEXTS: &[(&str, &str)] = &[];
+const LOG_TEXTS: &[(&str, &str)] = &[
+    ("machine ", "node "),
+    (" answers nothing", " is unresponsive"),
+    (" answers again", " responds again"),
+];
 
 /// The text that 0ad3387 printed, with today's names.
 pub fn translate(text: &str) -> String {
--- a/crates/controller/src/remote_write.rs
+++ b/crates/controller/src/remote_write.rs
@@ -84,7 +84,7 @@
                 match action {
                     Action::Start(work) => actions.extend(self.start(&server, work, &sender)),
                     // The work is short: it is neither paused nor are others told of its end.
-                    Action::GiveWay(_) | Action::GoOn(_) | Action::End(..) => {}
+                    Action::Pause(_) | Action::Resume(_) | Action::End(..) => {}
                 }
             }
         }
