--- a/crates/cli/tests/fleet/main.rs
+++ b/crates/cli/tests/fleet/main.rs
@@ -18,7 +18,7 @@
 use support::journal_service::JournalService;
 use support::process::Controller;
 use support::wait_until;
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::spawn_local;
 
 const CONTROLLERS: usize = 4;
 const NODES: usize = 5;
@@ -363,8 +363,5 @@
 
 #[test]
 fn four_controllers_answer_every_request_once_while_everything_around_them_fails() {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), run_with_faults());
+    peppercove_test_support::loopback::run_local(run_with_faults());
 }
--- a/crates/cli/tests/node_subset/main.rs
+++ b/crates/cli/tests/node_subset/main.rs
@@ -17,7 +17,7 @@
 use support::journal_service::JournalService;
 use support::process::Controller;
 use support::wait_until;
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::spawn_local;
 
 /// More than twice a subset of 1,024 and what the one zone and kind add: a process that starts below that waits before it
 /// sends anything to a node in slow start.
@@ -336,8 +336,5 @@
 
 #[test]
 fn instances_with_bounded_node_subsets_keep_the_rules_while_nodes_and_instances_come_and_go() {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), run_with_faults());
+    peppercove_test_support::loopback::run_local(run_with_faults());
 }
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -13,17 +13,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::task::LocalSet;
 use tokio_util::codec::{Framed, LinesCodec};
 
-/// Runs a test on a runtime as the daemon has it.
-pub fn on_loopback(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    LocalSet::new().block_on(&runtime, test);
-}
+pub use peppercove_test_support::loopback::run_local as on_loopback;
 
 /// Waits for a condition, for ten seconds at most.
 pub async fn until(condition: impl Fn() -> bool) {
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -6,10 +6,10 @@
 use peppercove::*;
 use peppercove_core::Decide;
 use peppercove_fleet::NodeSubset;
+use peppercove_test_support::scheduler::attempt_ended;
+pub use peppercove_test_support::scheduler::{SECOND, node_list as list, placement_request};
 use std::collections::BTreeMap;
 
-pub const SECOND: Micros = 1_000_000;
-
 /// Zones of the fleet in a test.
 pub const ZONES: u64 = 3;
 
@@ -30,14 +30,6 @@
     nodes.into_iter().map(entry).collect()
 }
 
-pub fn list(kind: ListUpdateKind, version: u64, entries: Vec<NodeEntry>) -> Event {
-    Event::NodeList {
-        kind,
-        version,
-        entries,
-    }
-}
-
 pub fn settings(schedulers: u32, own_index: u32) -> Settings {
     let kind = NodeKind {
         cores: 16.0,
@@ -51,31 +43,8 @@
     }
 }
 
-pub fn placement_request(id: u64, class: u16, service: u64) -> PlacementRequest {
-    PlacementRequest {
-        id: RequestId(id),
-        task: TaskKey(id),
-        service: ServiceId(service),
-        class,
-        tenant: 0,
-        cores: 1.0,
-        memory: 2.0,
-        deadline_in: 5 * SECOND,
-        expected_duration: None,
-        is_retry: false,
-    }
-}
-
 pub fn ended(request: u64, attempt: u16, node: NodeId, outcome: AttemptOutcome) -> Event {
-    Event::AttemptEnded {
-        request: RequestId(request),
-        attempt,
-        node,
-        outcome,
-        reason: EndReason::Unknown,
-        is_final: false,
-        load: None,
-    }
+    attempt_ended(request, attempt, node.0, outcome, EndReason::Unknown)
 }
 
 pub fn dispatches(actions: &[Action]) -> Vec<(u64, NodeId)> {
--- a/crates/platform/tests/golden.rs
+++ b/crates/platform/tests/golden.rs
@@ -2,10 +2,7 @@
 
 use bytes::BytesMut;
 use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
-
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
+use peppercove_test_support::hex::encode as hex;
 
 #[test]
 fn each_message_has_the_bytes_of_0ad3387() {
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -16,6 +16,7 @@
     Program, TaskExit, TaskMeasurement, ToNode, Usage,
 };
 use peppercove_protocol::{VERSION, rpc};
+use peppercove_test_support::hex;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -35,7 +36,7 @@
         message,
         "read again"
     );
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+    hex::encode(&bytes)
 }
 
 fn assert_golden(golden: &str, made: &[(String, String)]) {
--- a/tests/adapter_protocol.rs
+++ b/tests/adapter_protocol.rs
@@ -2,14 +2,7 @@
 
 use peppercove::adapter_protocol::{Batch, Decoder, Incoming, ProtocolError, Reply};
 use peppercove::*;
-
-fn hex(text: &str) -> Vec<u8> {
-    let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits
-        .chunks(2)
-        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
-        .collect()
-}
+use peppercove_test_support::hex::decode as hex;
 
 fn decode(decoder: &mut Decoder, frame: &str) -> Result<Batch, ProtocolError> {
     let bytes = hex(frame);
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -1,21 +1,13 @@
 //! What a placement costs, counted: nodes looked at and compared, not times.
 
 use peppercove::*;
-
-const SECOND: Micros = 1_000_000;
+use peppercove_test_support::scheduler::{SECOND, node_list, placement_request};
 
 fn request(n: u64) -> PlacementRequest {
     PlacementRequest {
-        id: RequestId(n),
-        task: TaskKey(n),
-        service: ServiceId(n),
-        class: 0,
-        tenant: 0,
         cores: 0.01,
         memory: 0.01,
-        deadline_in: 5 * SECOND,
-        expected_duration: None,
-        is_retry: false,
+        ..placement_request(n, 0, n)
     }
 }
 
@@ -28,11 +20,7 @@
         rack: (i % 40) as u16,
         ..NodeEntry::default()
     });
-    let list = Event::NodeList {
-        kind: ListUpdateKind::Full,
-        version: 1,
-        entries: entries.collect(),
-    };
+    let list = node_list(ListUpdateKind::Full, 1, entries.collect());
     let mut scheduler = Scheduler::new(Settings::sample(), 3);
     scheduler.handle(SECOND, &[list]);
     let (mut now, mut dispatches) = (SECOND, 0);
--- a/tests/scheduler/support.rs
+++ b/tests/scheduler/support.rs
@@ -1,8 +1,9 @@
 //! Set-ups that the tests share.
 
 use peppercove::*;
-
-pub const SECOND: Micros = 1_000_000;
+pub use peppercove_test_support::scheduler::{
+    SECOND, attempt_ended, node_list, placement_request as task,
+};
 
 pub fn node_entry(node: u64, rack: u16) -> NodeEntry {
     NodeEntry {
@@ -19,48 +20,6 @@
     }
 }
 
-pub fn node_list(kind: ListUpdateKind, version: u64, entries: Vec<NodeEntry>) -> Event {
-    Event::NodeList {
-        kind,
-        version,
-        entries,
-    }
-}
-
-pub fn task(request: u64, class: u16, service: u64) -> PlacementRequest {
-    PlacementRequest {
-        id: RequestId(request),
-        task: TaskKey(request),
-        service: ServiceId(service),
-        class,
-        tenant: 0,
-        cores: 1.0,
-        memory: 2.0,
-        deadline_in: 5 * SECOND,
-        expected_duration: None,
-        is_retry: false,
-    }
-}
-
-pub fn attempt_ended(
-    request: u64,
-    attempt: u16,
-    node: u64,
-    outcome: AttemptOutcome,
-    reason: EndReason,
-) -> Event {
-    let (request, node) = (RequestId(request), NodeId(node));
-    Event::AttemptEnded {
-        request,
-        attempt,
-        node,
-        outcome,
-        reason,
-        is_final: false,
-        load: None,
-    }
-}
-
 /// A task that was sent to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Dispatched {
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -2,6 +2,7 @@
 
 use peppercove::adapter_protocol::Reply;
 use peppercove::{Action, NodeId, RequestId};
+use peppercove_test_support::hex::decode as bytes;
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
 
@@ -14,11 +15,6 @@
 
 const SESSION: &str = include_str!("session/session.tap");
 
-fn bytes(hex: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
-    (0..hex.len()).step_by(2).map(digit).collect()
-}
-
 /// The frames of one direction, each with the length that is said of it.
 fn frames(direction: &str) -> Vec<Vec<u8>> {
     let lines: Vec<&str> = SESSION.lines().collect();
