--- a/crates/cli/tests/compat/terms.rs
+++ b/crates/cli/tests/compat/terms.rs
@@ -14,12 +14,15 @@
     ("Copy.at", "attempt"),
     ("Trace", "AttemptId"),
     ("Trace.attempt", "number"),
-    ("node_life", "node_incarnation"),
+    ("Adopt.life", "incarnation"),
+    ("Adopt.was", "previous_request"),
+    ("StopStanding.life", "incarnation"),
+    ("StopStanding.was", "previous_request"),
+    ("Sent.node_life", "node_incarnation"),
+    ("Sent.of", "spec"),
     ("Of", "TaskSpec"),
-    ("of", "spec"),
+    ("Runs", "Running"),
     // Outputs.
-    ("life", "incarnation"),
-    ("was", "previous_request"),
     (".TurnedAway", "Rejected"),
     ("TurnedAway.why", "reason"),
     (".Done", "ControlAccepted"),
@@ -46,6 +49,7 @@
 /// `(old, new)`: a part of a line for the people on call, within `Log("...")`.
 const LOG_TEXTS: &[(&str, &str)] = &[
     ("machine ", "node "),
+    ("fault: ask ", "fault: request "),
     (" answers nothing", " is unresponsive"),
     (" answers again", " responds again"),
 ];
