--- a/crates/platform/src/wire/tests.rs
+++ b/crates/platform/src/wire/tests.rs
@@ -3,7 +3,7 @@
 
 /// Worked out by hand from the platform's page: 12 is a release, parameter 17 its cause.
 #[test]
-fn bytes_of_messages_are_as_the_page_has_them() {
+fn messages_encode_to_the_bytes_of_the_platform_page() {
     let release = [
         0, 13, 12, 0x7f, 0x3a, 0x9c, 0x21, 0xe0, 0xb4, 0xd6, 0x55, 17, 0, 1, 42,
     ];
@@ -32,29 +32,29 @@
 }
 
 #[test]
-fn what_cannot_be_a_message_is_told_before_it_is_whole() {
-    let told = |bytes: &[u8]| decode(&mut BytesMut::from(bytes));
-    assert_eq!(told(&[0, 8]), Err(DecodeError::Length(8)));
-    assert_eq!(told(&[0xff, 0xff]), Err(DecodeError::Length(0xffff)));
+fn invalid_messages_are_rejected_before_they_are_complete() {
+    let decoded = |bytes: &[u8]| decode(&mut BytesMut::from(bytes));
+    assert_eq!(decoded(&[0, 8]), Err(DecodeError::Length(8)));
+    assert_eq!(decoded(&[0xff, 0xff]), Err(DecodeError::Length(0xffff)));
     assert_eq!(
-        told(&[0x3f, 0xff]),
+        decoded(&[0x3f, 0xff]),
         Err(DecodeError::Length(0x3fff)),
         "longest is 16 KiB with its length"
     );
-    assert_eq!(told(&[0x3f, 0xfe]), Ok(None));
-    assert_eq!(told(&[0x3f, 0xfe, 99]), Err(DecodeError::Type(99)));
+    assert_eq!(decoded(&[0x3f, 0xfe]), Ok(None));
+    assert_eq!(decoded(&[0x3f, 0xfe, 99]), Err(DecodeError::Type(99)));
     let overrun = [0, 12, 9, 0, 0, 0, 0, 0, 0, 0, 1, 18, 0, 1];
     assert_eq!(
-        told(&overrun),
+        decoded(&overrun),
         Err(DecodeError::Overrun { code: 18, at: 0 })
     );
     let cut = [0, 10, 9, 0, 0, 0, 0, 0, 0, 0, 1, 18];
-    assert_eq!(told(&cut), Err(DecodeError::Overrun { code: 18, at: 0 }));
+    assert_eq!(decoded(&cut), Err(DecodeError::Overrun { code: 18, at: 0 }));
 }
 
 proptest! {
     #[test]
-    fn any_message_comes_back_whole_from_any_cuts(
+    fn message_is_decoded_unchanged_from_any_parts(
         id: u64, values in prop::collection::vec((any::<u8>(), prop::collection::vec(any::<u8>(), 0..300)), 0..9),
         cut in 1usize..40,
     ) {
@@ -71,7 +71,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_end_or_wait_and_never_hold_more_than_a_message(
+    fn arbitrary_bytes_are_rejected_or_buffered_up_to_one_message(
         bytes in prop::collection::vec(any::<u8>(), 0..40_000),
     ) {
         let mut buffer = BytesMut::from(&bytes[..]);
--- a/crates/platform/tests/feed.rs
+++ b/crates/platform/tests/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Lines of the journal service, and how soon it is called again.
+//! Lines of the journal service, and how soon it is called again after a failure.
 
 use bytes::BytesMut;
 use peppercove_platform::endpoint_watch::{
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn whole_lines_alone_are_read_and_a_torn_one_stays() {
+fn complete_lines_are_decoded_and_an_incomplete_one_stays_in_the_buffer() {
     let text = "41\n{\"pos\":42,\"hosts\":{\"version\":7,\"full\":false,\"servers\":[{\"id\":\"a\",\
         \"addr\":\"10.1.0.9:5070\",\"zone\":\"east\",\"kind\":\"std\",\"cell\":2,\"state\":\"leaving\",\
         \"weight\":4,\"started_ms\":0,\"room\":[1.5,-2]}]}}\n{\"pos\":4";
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn repeated_events_are_skipped_and_gaps_asked_for() {
+fn repeated_events_are_skipped_and_gaps_cause_a_resync() {
     let event = |pos| WatchLine::Event(EndpointEvent { pos, hosts: None });
     assert_eq!(
         [
@@ -60,17 +60,17 @@
 }
 
 #[test]
-fn the_list_is_asked_for_again_before_it_counts_as_having_told() {
+fn retry_delays_end_before_unsent_events_count_as_received() {
     for dial_timeout in [0, 50_000, 250_000, 1_000_000] {
         let RetryDelays { first, max } = retry_delays(250_000, dial_timeout);
-        // The page: 2 s after a break, 4 s after a stop, which is known after the silence.
+        // The platform gives 2 s after a close and 4 s after a stop, which is known after the silence.
         assert!(
             max + dial_timeout <= 2_000_000,
-            "after a break, {dial_timeout}"
+            "after a close, {dial_timeout}"
         );
         assert!(
             first <= 250_000 / 4,
-            "a connection that was reset leaves most of a drain's grace"
+            "after a reset, most of the drain grace is left"
         );
         assert!(
             SILENCE_TIMEOUT + max + dial_timeout <= 4_000_000,
@@ -78,13 +78,13 @@
         );
     }
     let RetryDelays { first, max } = retry_delays(0, u64::MAX);
-    assert!(first > 0 && max > 0, "never without a pause");
+    assert!(first > 0 && max > 0, "never without a delay");
 }
 
-/// Danger: a bound that does not follow the memory closes every connection that brings a whole list of 13,000 hosts, and
+/// A limit that does not follow the memory closes every connection that brings a full list of 13,000 nodes, and
 /// a scheduler of that fleet never has a list.
 #[test]
-fn a_whole_list_of_13000_hosts_is_one_line_however_it_is_cut_and_an_endless_one_is_not() {
+fn full_list_of_13000_nodes_is_decoded_from_any_parts_and_an_endless_line_is_rejected() {
     let host = |i: u64| {
         format!(
             "{{\"id\":\"s-{i:08x}\",\"addr\":\"10.{}.{}.9:5070\",\"zone\":\"zone-{}\",\"kind\":\"std\",\"cell\":{},\
--- /dev/null
+++ b/crates/platform/tests/engine/cancellation.rs
@@ -0,0 +1,248 @@
+//! Cancellation of running tasks, by clients, by the module and for unreachable nodes.
+
+use super::harness::*;
+
+#[test]
+fn client_cancels_its_task_on_any_connection_and_the_node_is_informed() {
+    let mut harness = Harness::new();
+    harness.placed(5);
+    let out = harness.input(Input::ClientMessage(
+        ClientId(3),
+        Message::release(5, cause::CALLED_OFF),
+    ));
+    assert_eq!(
+        to_nodes_without_checks(&out),
+        [(1, Message::release(5, cause::CALLED_OFF))]
+    );
+    assert!(to_clients(&out).is_empty());
+    let again = harness.input(Input::ClientMessage(
+        ClientId(1),
+        Message::release(5, cause::CALLED_OFF),
+    ));
+    assert!(again.is_empty(), "once is enough: {again:?}");
+    assert!(
+        to_clients(&harness.input(Input::NodeMessage(
+            NodeConnectionId(1),
+            Message::release(5, cause::CALLED_OFF)
+        )))
+        .is_empty()
+    );
+    assert_eq!(
+        harness.take_attempt_ends(),
+        [(1, 0, AttemptOutcome::Cancelled, true)]
+    );
+}
+
+/// A node that cannot be reached goes on with a task that its client has cancelled. Counted as ended, its capacity and its
+/// share of the topology spread were given away meanwhile, and a rack had three tasks where two are allowed.
+#[test]
+fn cancelled_task_counts_until_its_node_has_read_the_cancel_or_cannot_run_it() {
+    type Knowledge = fn(&mut Harness);
+    let of_the_list = |b: &mut Harness| {
+        let restarted = node_json("a", 1, "active", b.now / 1000 + 1);
+        b.input(Input::EndpointEvents(vec![list_event(
+            2,
+            false,
+            &[restarted],
+        )]));
+    };
+    let over: [Knowledge; 4] = [
+        |b| {
+            let out = to_nodes(&b.input(Input::NodeConnected(NodeConnectionId(2))));
+            let [(2, cut), (2, test)] = &out[..] else {
+                panic!("{out:?}")
+            };
+            assert_eq!(*cut, Message::release(5, cause::CALLED_OFF));
+            assert_eq!(b.take_attempt_ends(), [], "sent is not read");
+            b.input(Input::NodeMessage(
+                NodeConnectionId(2),
+                Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]),
+            ));
+        },
+        |b| {
+            b.input(Input::NodeConnected(NodeConnectionId(2)));
+            b.input(Input::NodeMessage(
+                NodeConnectionId(2),
+                Message::release(5, cause::CALLED_OFF),
+            ));
+        },
+        |b| {
+            drop(b.input(Input::NodeDisconnected(
+                NodeConnectionId(2),
+                Disconnect::Refused,
+            )))
+        },
+        of_the_list,
+    ];
+    for (n, known) in over.into_iter().enumerate() {
+        let mut harness = Harness::new();
+        harness.placed(5);
+        harness.input(Input::NodeDisconnected(
+            NodeConnectionId(1),
+            Disconnect::Broken {
+                bytes_written: 999,
+                is_clean: false,
+            },
+        ));
+        harness.advance(S);
+        let out = harness.input(Input::ClientMessage(
+            ClientId(1),
+            Message::release(5, cause::CALLED_OFF),
+        ));
+        assert!(out.is_empty(), "no connection is established: {out:?}");
+        assert_eq!(
+            (harness.take_attempt_ends(), harness.engine.running_tasks()),
+            (vec![], 1),
+            "elapsed time does not show that it ended"
+        );
+        known(&mut harness);
+        assert_eq!(
+            harness.take_attempt_ends(),
+            [(1, 0, AttemptOutcome::Cancelled, true)],
+            "case {n}"
+        );
+        assert_eq!(harness.engine.running_tasks(), 0);
+    }
+}
+
+/// The same where a node is silent for so long that the clients of its tasks have to be notified.
+#[test]
+fn tasks_of_an_unreachable_node_are_notified_as_ended_and_count_until_cancelled() {
+    let mut harness = Harness::new();
+    harness.placed(5);
+    let out = harness.advance(6 * S);
+    assert_eq!(
+        to_clients(&out),
+        [(1, Message::release(5, cause::CUT))],
+        "once"
+    );
+    assert_eq!(
+        (harness.take_attempt_ends(), harness.engine.running_tasks()),
+        (vec![], 1)
+    );
+    assert!(out.contains(&Output::Close(NodeConnectionId(1))), "{out:?}");
+    harness.input(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: false,
+        },
+    ));
+    harness.advance(S);
+    let out = to_nodes(&harness.input(Input::NodeConnected(NodeConnectionId(2))));
+    let [(2, cut), (2, test)] = &out[..] else {
+        panic!("{out:?}")
+    };
+    assert_eq!(*cut, Message::release(5, cause::ORDINARY));
+    let passed = Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]);
+    assert!(
+        to_clients(&harness.input(Input::NodeMessage(NodeConnectionId(2), passed))).is_empty(),
+        "nothing is sent after the end"
+    );
+    assert_eq!(
+        harness.take_attempt_ends(),
+        [(1, 0, AttemptOutcome::Lost, true)]
+    );
+}
+
+#[test]
+fn cancel_is_sent_again_when_its_node_may_not_have_read_it() {
+    let end = Message::release(5, cause::CALLED_OFF);
+    for read in [false, true] {
+        let mut harness = Harness::new();
+        harness.placed(5);
+        let out = to_nodes(&harness.input(Input::ClientMessage(ClientId(1), end.clone())));
+        let [_, (1, test)] = &out[..] else {
+            panic!("{out:?}")
+        };
+        if read {
+            harness.input(Input::NodeMessage(
+                NodeConnectionId(1),
+                Message::new(MessageKind::Tested, test.id),
+            ));
+        }
+        harness.input(Input::NodeDisconnected(
+            NodeConnectionId(1),
+            Disconnect::Broken {
+                bytes_written: 999,
+                is_clean: true,
+            },
+        ));
+        harness.advance(S);
+        let out =
+            to_nodes_without_checks(&harness.input(Input::NodeConnected(NodeConnectionId(2))));
+        assert_eq!(out.len(), usize::from(!read), "read {read}: {out:?}");
+        // Where no process listens, no task can run.
+        let mut harness = Harness::new();
+        harness.placed(5);
+        harness.input(Input::ClientMessage(ClientId(1), end.clone()));
+        harness.input(Input::NodeDisconnected(
+            NodeConnectionId(1),
+            Disconnect::Broken {
+                bytes_written: 999,
+                is_clean: false,
+            },
+        ));
+        harness.advance(S);
+        harness.input(Input::NodeDisconnected(
+            NodeConnectionId(2),
+            Disconnect::Refused,
+        ));
+        assert!(
+            !harness
+                .advance(5 * S)
+                .iter()
+                .any(|o| matches!(o, Output::Connect(..))),
+            "nothing is left to be sent"
+        );
+    }
+}
+
+/// While a connection is established no other is opened, and the cancel would wait for one for ever.
+#[test]
+fn unread_cancel_is_sent_over_another_established_connection() {
+    let mut harness = Harness::new();
+    harness.placed_at_second_attempt();
+    let out = to_nodes_without_checks(&harness.input(Input::ClientMessage(
+        ClientId(1),
+        Message::release(5, cause::CALLED_OFF),
+    )));
+    assert_eq!(
+        out,
+        [(2, Message::release(5, cause::CALLED_OFF))],
+        "over the connection of its attempt"
+    );
+    let out = harness.input(Input::NodeDisconnected(
+        NodeConnectionId(2),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: true,
+        },
+    ));
+    assert_eq!(
+        to_nodes_without_checks(&out),
+        [(1, Message::release(5, cause::CALLED_OFF))]
+    );
+}
+
+#[test]
+fn migration_informs_the_client_and_cancels_at_the_node() {
+    let mut harness = Harness::new();
+    harness.placed(5);
+    let out = harness.act(Action::Migrate(RequestId(1)));
+    assert_eq!(to_clients(&out), [(1, Message::new(MessageKind::Move, 5))]);
+    let [(1, cut), (1, test)] = &to_nodes(&out)[..] else {
+        panic!("{out:?}")
+    };
+    assert_eq!(*cut, Message::release(5, cause::CALLED_OFF));
+    assert!(
+        harness.act(Action::Migrate(RequestId(1))).is_empty(),
+        "once"
+    );
+    let passed = Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]);
+    harness.input(Input::NodeMessage(NodeConnectionId(1), passed));
+    assert_eq!(
+        harness.take_attempt_ends(),
+        [(1, 0, AttemptOutcome::Cancelled, true)]
+    );
+}
--- /dev/null
+++ b/crates/platform/tests/engine/connections.rs
@@ -0,0 +1,228 @@
+//! Connections to nodes: health checks, reconnection and limits.
+
+use super::harness::*;
+
+#[test]
+fn node_that_answers_health_checks_keeps_its_tasks() {
+    let mut harness = Harness::new();
+    harness.placed(5);
+    for _ in 0..40 {
+        for (connection, message) in to_nodes(&harness.advance(500 * MS)) {
+            assert_eq!(message.kind, MessageKind::Test);
+            harness.input(Input::NodeMessage(
+                NodeConnectionId(connection),
+                Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
+            ));
+        }
+    }
+    assert_eq!(harness.take_attempt_ends(), []);
+}
+
+/// Checked once in four dial time-outs, however long these are, a node would be silent for as long as makes it unreachable
+/// before its first health check is answered, and tasks on healthy nodes would be cancelled.
+#[test]
+fn node_that_answers_health_checks_keeps_its_tasks_for_any_dial_timeout() {
+    for dial_timeout in [50 * MS, 250 * MS, S, 5 * S] {
+        let mut harness = Harness::with_bounds(bounds().with_dial_timeout(dial_timeout));
+        harness.placed(5);
+        let mut asked = Vec::new();
+        for _ in 0..300 {
+            for (connection, message) in std::mem::take(&mut asked) {
+                let passed: Message =
+                    Message::new(MessageKind::Tested, message).with(code::CAUSE, &[1]);
+                harness.input(Input::NodeMessage(NodeConnectionId(connection), passed));
+            }
+            let out = harness.advance(100 * MS);
+            assert_eq!(to_clients(&out), [], "{dial_timeout}");
+            for (connection, message) in to_nodes(&out) {
+                assert_eq!(message.kind, MessageKind::Test, "{dial_timeout}");
+                asked.push((connection, message.id));
+            }
+        }
+        assert_eq!(harness.take_attempt_ends(), [], "{dial_timeout}");
+    }
+}
+
+#[test]
+fn unanswered_health_check_closes_the_connection_and_loses_its_attempts() {
+    let mut harness = Harness::new();
+    harness.dispatched(5, "keyed", None);
+    // A health check is sent and not answered. The attempt's own time-out is later.
+    let out = harness.advance(1100 * MS);
+    assert!(
+        to_nodes(&out)
+            .iter()
+            .any(|(connection, m)| (*connection, m.kind) == (1, MessageKind::Test)),
+        "{out:?}"
+    );
+    let out = harness.advance(1100 * MS);
+    assert!(out.contains(&Output::Close(NodeConnectionId(1))), "{out:?}");
+    harness.input(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: true,
+        },
+    ));
+    assert_eq!(
+        harness.take_attempt_ends(),
+        [(1, 0, AttemptOutcome::Lost, false)]
+    );
+    // A node that is merely slow to start its task answers its health check, and its connection is kept.
+    let mut harness = Harness::new();
+    harness.dispatched(5, "keyed", None);
+    for _ in 0..6 {
+        for (connection, message) in to_nodes(&harness.advance(500 * MS)) {
+            assert_eq!(message.kind, MessageKind::Test);
+            harness.input(Input::NodeMessage(
+                NodeConnectionId(connection),
+                Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
+            ));
+        }
+    }
+    assert_eq!(harness.take_attempt_ends(), []);
+}
+
+#[test]
+fn broken_connection_is_replaced_even_when_others_are_established() {
+    for whole in [false, true] {
+        let mut harness = Harness::new();
+        harness.placed_at_second_attempt();
+        harness.input(Input::NodeDisconnected(
+            NodeConnectionId(2),
+            Disconnect::Broken {
+                bytes_written: 999,
+                is_clean: whole,
+            },
+        ));
+        let out = harness.advance(S);
+        // A connection that its node has closed brought all that was sent on it.
+        assert_eq!(
+            out.iter().any(|o| matches!(o, Output::Connect(..))),
+            !whole,
+            "{out:?}"
+        );
+    }
+}
+
+/// Nodes report an end again over the next connection that is opened. One that was being established before the break may
+/// have been opened at the node before the end: taken for the next one, the end would never be received.
+#[test]
+fn connection_opened_before_a_break_does_not_replace_the_broken_one() {
+    let mut harness = Harness::new();
+    harness.placed(5);
+    // A second connection is being opened, and is not established yet.
+    harness.input(Input::ClientMessage(ClientId(1), request(6, "plain")));
+    harness.input(Input::ClientMessage(ClientId(1), request(7, "plain")));
+    harness.dispatch(2, "a", None);
+    let out = harness.dispatch(3, "a", None);
+    assert!(
+        !out.iter().any(|o| matches!(o, Output::Connect(..))),
+        "one connection is enough: {out:?}"
+    );
+    harness.input(Input::NodeMessage(
+        NodeConnectionId(1),
+        Message::release(6, cause::FULL),
+    ));
+    harness.advance(2 * MS);
+    let out = harness.dispatch(2, "a", None);
+    assert!(
+        out.iter()
+            .any(|o| matches!(o, Output::Connect(NodeConnectionId(2), _))),
+        "{out:?}"
+    );
+    harness.input(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: false,
+        },
+    ));
+    harness.input(Input::NodeConnected(NodeConnectionId(2)));
+    let out = harness.advance(S);
+    assert!(
+        out.iter()
+            .any(|o| matches!(o, Output::Connect(NodeConnectionId(3), _))),
+        "{out:?}"
+    );
+    harness.input(Input::NodeConnected(NodeConnectionId(3)));
+    let out = harness.advance(S);
+    assert!(
+        !out.iter().any(|o| matches!(o, Output::Connect(..))),
+        "once: {out:?}"
+    );
+}
+
+#[test]
+fn idle_connection_is_closed_when_the_limit_of_node_connections_is_reached() {
+    let mut harness = Harness::new();
+    let more: Vec<String> = (0..4)
+        .map(|i| node_json(["c", "d", "e", "f"][i], 10 + i as u16, "active", 0))
+        .collect();
+    harness.input(Input::EndpointEvents(vec![list_event(2, false, &more)]));
+    harness.placed(5);
+    for (id, name, connection) in [(2, "b", 2), (3, "c", 3)] {
+        harness.input(Input::ClientMessage(ClientId(1), request(id + 10, "plain")));
+        harness.dispatch(id, name, None);
+        harness.input(Input::NodeConnected(NodeConnectionId(connection)));
+    }
+    harness.input(Input::NodeMessage(
+        NodeConnectionId(3),
+        Message::release(13, cause::FULL),
+    ));
+    // The third is idle; the node of the first runs a task, and the second has an open attempt.
+    harness.input(Input::ClientMessage(ClientId(1), request(14, "plain")));
+    let out = harness.dispatch(4, "d", None);
+    assert!(
+        matches!(
+            out[..],
+            [
+                Output::Close(NodeConnectionId(3)),
+                Output::Connect(NodeConnectionId(4), _)
+            ]
+        ),
+        "{out:?}"
+    );
+}
+
+/// Nodes with tasks may be more than a third of the descriptors, while clients need few of theirs. Limited to a third, each
+/// connection that was opened closed one to another node with tasks, which was opened again: 15,274 on a calm day.
+#[test]
+fn node_connections_use_the_descriptors_that_clients_leave() {
+    let mut harness = Harness::new();
+    harness.input(Input::ClientCount(51));
+    harness.placed(5);
+    let place = |harness: &mut Harness, id: u64| {
+        harness.input(Input::ClientMessage(ClientId(1), request(id + 10, "plain")));
+        harness.dispatch(id, "b", None)
+    };
+    let out = place(&mut harness, 2);
+    assert!(
+        matches!(out[..], [Output::Connect(NodeConnectionId(2), _)]),
+        "two connections are left for nodes: {out:?}"
+    );
+    // With more clients than half of their limit, idle node connections are closed, and opened again when clients leave.
+    assert!(
+        harness
+            .input(Input::ClientCount(52))
+            .contains(&Output::Close(NodeConnectionId(1)))
+    );
+    harness.input(Input::NodeDisconnected(
+        NodeConnectionId(1),
+        Disconnect::Broken {
+            bytes_written: 999,
+            is_clean: false,
+        },
+    ));
+    assert_eq!(
+        harness.input(Input::ClientCount(53)),
+        [],
+        "the other connection has an open attempt"
+    );
+    assert_eq!(harness.advance(S), [], "no descriptor is free for it");
+    harness.input(Input::ClientCount(10));
+    assert!(matches!(
+        harness.advance(2 * S)[..],
+        [Output::Connect(NodeConnectionId(3), _), ..]
+    ));
+}
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/engine/fixtures.rs
@@ -1,18 +1,20 @@
-//! What tests of the desk share: bounds, names and messages.
-#![allow(dead_code, reason = "each test takes what it needs")]
+//! Limits, names and messages that the tests share.
 
 use bytes::{Bytes, BytesMut};
-use peppercove::Micros;
 use peppercove::adapter_protocol::RecordSchema;
+use peppercove::{Micros, NodeId};
 use peppercove_platform::Bounds;
 use peppercove_platform::endpoint_watch::{EndpointEvent, LineDecoder, WatchLine};
 use peppercove_platform::wire::{Message, MessageKind, code, decode};
 
+/// One second.
 pub const S: Micros = 1_000_000;
+/// One millisecond.
 pub const MS: Micros = 1_000;
-/// Owners' wait in the tests' set-ups.
+/// How long clients wait for the answers to [`request`].
 pub const WAIT: Micros = 4 * S;
 
+/// Limits that are easily reached.
 pub fn bounds() -> Bounds {
     Bounds {
         open_requests: 50,
@@ -31,8 +33,9 @@
     }
 }
 
-pub fn shape() -> RecordSchema {
-    let names = |n: &[&str]| n.iter().map(|x| (*x).to_owned()).collect();
+/// Names of classes, kinds and zones, and fields of load reports.
+pub fn schema() -> RecordSchema {
+    let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     RecordSchema {
         load_fields: names(&["x0", "x1", "cpu", "waiting"]),
         has_free_capacity: true,
@@ -43,28 +46,33 @@
     }
 }
 
-pub fn entry(text: &str) -> EndpointEvent {
-    match LineDecoder::new(usize::MAX).next(&mut BytesMut::from(format!("{text}\n").as_str())) {
-        Ok(Some(WatchLine::Event(entry))) => entry,
-        other => panic!("{other:?}"),
-    }
+/// The id that controllers compute for a node's name.
+pub fn node_id(name: &str) -> NodeId {
+    NodeId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
 }
 
-pub fn host(id: &str, port: u16, state: &str, started_ms: u64) -> String {
+/// A node in a list event, on a port of the local host.
+pub fn node_json(id: &str, port: u16, state: &str, started_ms: u64) -> String {
     format!(
         "{{\"id\":\"{id}\",\"addr\":\"127.0.0.1:{port}\",\"zone\":\"east\",\"kind\":\"std\",\"cell\":1,\
          \"state\":\"{state}\",\"weight\":1,\"started_ms\":{started_ms},\"room\":[9,9]}}"
     )
 }
 
-pub fn event(pos: u64, full: bool, hosts: &[String]) -> EndpointEvent {
-    entry(&format!(
-        "{{\"pos\":{pos},\"hosts\":{{\"version\":{pos},\"full\":{full},\"servers\":[{}]}}}}",
-        hosts.join(",")
-    ))
+/// A list event of nodes as [`node_json`] makes them.
+pub fn list_event(pos: u64, full: bool, nodes: &[String]) -> EndpointEvent {
+    let nodes = nodes.join(",");
+    let line = format!(
+        "{{\"pos\":{pos},\"hosts\":{{\"version\":{pos},\"full\":{full},\"servers\":[{nodes}]}}}}\n"
+    );
+    match LineDecoder::new(usize::MAX).next(&mut BytesMut::from(line.as_str())) {
+        Ok(Some(WatchLine::Event(event))) => event,
+        other => panic!("{other:?}"),
+    }
 }
 
-pub fn set_up(id: u64, class: &str) -> Message {
+/// A valid request of a class.
+pub fn request(id: u64, class: &str) -> Message {
     Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, class.as_bytes())
         .with(code::WAIT, b"4000")
@@ -74,8 +82,18 @@
         .with(code::DESCRIPTION, b"v=0 \xff opaque")
 }
 
-pub fn read(frame: &Bytes) -> Message {
+/// A request of class `plain` with these attributes.
+pub fn request_with_attributes(id: u64, attributes: &str) -> Message {
+    Message::new(MessageKind::SetUp, id)
+        .with(code::CLASS, b"plain")
+        .with(code::WAIT, b"4000")
+        .with(code::TASK, format!("{id:016x}").as_bytes())
+        .with(code::FIGURES, attributes.as_bytes())
+}
+
+/// The one message of a frame.
+pub fn decode_frame(frame: &Bytes) -> Message {
     decode(&mut BytesMut::from(&frame[..]))
-        .expect("readable")
-        .expect("whole")
+        .expect("decodable")
+        .expect("complete")
 }
--- /dev/null
+++ b/crates/platform/tests/engine/harness.rs
@@ -0,0 +1,194 @@
+//! An engine around a scripted decision module, without sockets and clock.
+
+pub use super::fixtures::*;
+pub use peppercove::{
+    Action, AttemptOutcome, EndReason, Event, ListUpdateKind, LoadReport, Micros, NodeId,
+    NodeStatus, RequestId, Settings,
+};
+pub use peppercove_core::Decide;
+pub use peppercove_platform::wire::{Message, MessageKind, cause, code};
+pub use peppercove_platform::{
+    Bounds, ClientId, Disconnect, Input, NodeConnectionId, Output, PlatformEngine,
+};
+use std::cell::RefCell;
+use std::rc::Rc;
+
+type Events = Rc<RefCell<Vec<Event>>>;
+type Actions = Rc<RefCell<Vec<Action>>>;
+
+/// A module that records its events and returns the actions that the test has set for its next batch.
+pub struct ScriptedModule {
+    events: Events,
+    actions: Actions,
+}
+
+impl Decide for ScriptedModule {
+    fn decide(&mut self, _: Micros, events: &[Event]) -> Vec<Action> {
+        self.events.borrow_mut().extend_from_slice(events);
+        std::mem::take(&mut self.actions.borrow_mut())
+    }
+}
+
+/// An engine that knows nodes `a` and `b`, with the events and actions of its module.
+pub struct Harness {
+    pub engine: PlatformEngine<ScriptedModule>,
+    /// Events that the module was given.
+    pub events: Events,
+    /// Actions for the module's next batch.
+    pub actions: Actions,
+    pub now: Micros,
+}
+
+impl Harness {
+    pub fn new() -> Harness {
+        Harness::with_bounds(bounds())
+    }
+
+    pub fn with_bounds(bounds: Bounds) -> Harness {
+        let (events, actions) = (Events::default(), Actions::default());
+        let module = ScriptedModule {
+            events: events.clone(),
+            actions: actions.clone(),
+        };
+        let engine = PlatformEngine::new(module, Settings::sample(), schema(), bounds, 7);
+        let mut harness = Harness {
+            engine,
+            events,
+            actions,
+            now: 1000 * S,
+        };
+        let nodes = [
+            node_json("a", 1, "active", 0),
+            node_json("b", 2, "active", 0),
+        ];
+        harness.input(Input::Start(vec![list_event(1, true, &nodes)]));
+        harness.events.borrow_mut().clear();
+        harness
+    }
+
+    /// The outputs of an input, and of the admission of the requests that it leaves queued.
+    pub fn input(&mut self, input: Input) -> Vec<Output> {
+        self.now += MS;
+        let mut outputs = self.engine.handle(self.now, input);
+        while self.engine.has_queued_requests() {
+            outputs.extend(self.engine.handle(self.now, Input::AdmitNext));
+        }
+        outputs
+    }
+
+    /// The module does this in its next batch, which an input that changes nothing else gives it.
+    pub fn act(&mut self, action: Action) -> Vec<Output> {
+        self.actions.borrow_mut().push(action);
+        self.input(Input::EndpointEvents(Vec::new()))
+    }
+
+    /// The module dispatches a request to a node.
+    pub fn dispatch(&mut self, request: u64, node: &str, timeout: Option<Micros>) -> Vec<Output> {
+        self.act(Action::Dispatch {
+            request: RequestId(request),
+            node: node_id(node),
+            timeout,
+        })
+    }
+
+    /// Lets time pass, with a tick whenever the engine wants one.
+    pub fn advance(&mut self, span: Micros) -> Vec<Output> {
+        let end = self.now + span;
+        let mut outputs = Vec::new();
+        while let Some(at) = self.engine.next_wake().filter(|at| *at <= end) {
+            self.now = self.now.max(at);
+            outputs.extend(self.engine.handle(self.now, Input::Tick(self.now)));
+        }
+        self.now = end;
+        outputs
+    }
+
+    /// The module's events since the last call, without updates of the list.
+    pub fn take_events(&mut self) -> Vec<Event> {
+        let events = std::mem::take(&mut *self.events.borrow_mut());
+        events
+            .into_iter()
+            .filter(|event| !matches!(event, Event::NodeList { .. }))
+            .collect()
+    }
+
+    /// Request, number, outcome and finality of the attempts that ended, as the module was informed.
+    pub fn take_attempt_ends(&mut self) -> Vec<(u64, u16, AttemptOutcome, bool)> {
+        self.advance(2 * MS);
+        let end = |event: Event| match event {
+            Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                is_final,
+                ..
+            } => Some((request.0, attempt, outcome, is_final)),
+            _ => None,
+        };
+        self.take_events().into_iter().filter_map(end).collect()
+    }
+
+    /// Request `id` of client 1, the first of the engine, has an open attempt at `a` over connection 1.
+    pub fn dispatched(&mut self, id: u64, class: &str, timeout: Option<Micros>) {
+        self.input(Input::ClientMessage(ClientId(1), request(id, class)));
+        self.dispatch(1, "a", timeout);
+        self.input(Input::NodeConnected(NodeConnectionId(1)));
+    }
+
+    /// The task of request `id` of client 1, the first of the engine, runs on `a`, placed over connection 1.
+    pub fn placed(&mut self, id: u64) {
+        self.dispatched(id, "plain", None);
+        let answer = Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, b"here");
+        self.input(Input::NodeMessage(NodeConnectionId(1), answer));
+        self.advance(2 * MS);
+        self.take_events();
+    }
+
+    /// Request 5 has an open attempt at `a` over connection 2; its first attempt there, over connection 1, was
+    /// cancelled.
+    pub fn dispatched_at_second_attempt(&mut self) {
+        self.dispatched(5, "plain", Some(300 * MS));
+        self.advance(400 * MS);
+        self.dispatch(1, "a", None);
+        self.input(Input::NodeConnected(NodeConnectionId(2)));
+    }
+
+    /// The task of request 5 runs on `a`: its first attempt there, over connection 1, was cancelled, and its second,
+    /// over connection 2, placed it.
+    pub fn placed_at_second_attempt(&mut self) {
+        self.dispatched_at_second_attempt();
+        self.input(Input::NodeMessage(
+            NodeConnectionId(2),
+            Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"x"),
+        ));
+        self.take_attempt_ends();
+    }
+}
+
+/// Messages to clients, each with the client's number.
+pub fn to_clients(outputs: &[Output]) -> Vec<(u64, Message)> {
+    let message = |output: &Output| match output {
+        Output::SendToClient(client, frame) => Some((client.0, decode_frame(frame))),
+        _ => None,
+    };
+    outputs.iter().filter_map(message).collect()
+}
+
+/// Messages to nodes, each with the connection's number.
+pub fn to_nodes(outputs: &[Output]) -> Vec<(u64, Message)> {
+    let message = |output: &Output| match output {
+        Output::SendToNode(connection, frame) | Output::Cancel(connection, frame) => {
+            Some((connection.0, decode_frame(frame)))
+        }
+        _ => None,
+    };
+    outputs.iter().filter_map(message).collect()
+}
+
+/// Messages to nodes that are no health checks.
+pub fn to_nodes_without_checks(outputs: &[Output]) -> Vec<(u64, Message)> {
+    to_nodes(outputs)
+        .into_iter()
+        .filter(|(_, message)| message.kind != MessageKind::Test)
+        .collect()
+}
--- /dev/null
+++ b/crates/platform/tests/engine/timing.rs
@@ -0,0 +1,89 @@
+//! Ticks, batches and late event loops.
+
+use super::harness::*;
+
+/// An event loop that is late sees the clock before what has arrived. An attempt was timed out and its task placed
+/// elsewhere while its node's answer had been there for 130 ms, and nobody was notified of the end of the task there.
+#[test]
+fn attempt_does_not_time_out_before_the_tick_though_the_clock_has_passed() {
+    let mut harness = Harness::new();
+    harness.dispatched(5, "plain", Some(100 * MS));
+    harness.now += 200 * MS;
+    // Another connection has its turn first.
+    harness.input(Input::ClientMessage(
+        ClientId(2),
+        Message::new(MessageKind::Test, 9),
+    ));
+    let answer = Message::new(MessageKind::Answer, 5).with(code::DESCRIPTION, b"here");
+    assert_eq!(
+        to_clients(&harness.input(Input::NodeMessage(NodeConnectionId(1), answer.clone()))),
+        [(1, answer)]
+    );
+    harness.advance(S);
+    assert_eq!(
+        (harness.take_attempt_ends(), harness.engine.running_tasks()),
+        (vec![], 1)
+    );
+}
+
+#[test]
+fn batches_are_at_least_one_tick_apart() {
+    let mut harness = Harness::new();
+    harness.now += S;
+    let now = harness.now;
+    let mut events_after = |at, id| {
+        harness
+            .engine
+            .handle(at, Input::ClientMessage(ClientId(1), request(id, "plain")));
+        harness.engine.handle(at, Input::AdmitNext);
+        harness.events.borrow().len()
+    };
+    let tick = Settings::sample().tick;
+    assert_eq!(
+        [
+            events_after(now, 1),
+            events_after(now + tick / 4, 2),
+            events_after(now + tick / 2, 3)
+        ],
+        [1, 1, 1]
+    );
+    assert_eq!(harness.engine.next_wake(), Some(now + tick));
+    harness.engine.handle(now + tick, Input::Tick(now + tick));
+    assert_eq!(
+        harness.events.borrow().len(),
+        3,
+        "what came meanwhile is one batch"
+    );
+}
+
+/// An event loop that is late by half a second would answer half a second after the deadline, and later.
+#[test]
+fn timer_lag_is_kept_in_reserve_before_the_deadline() {
+    for (late, reserve) in [(0, 0), (300 * MS, 300 * MS), (100 * S, WAIT / 2)] {
+        let mut harness = Harness::new();
+        harness.now += 100 * S;
+        harness
+            .engine
+            .handle(harness.now, Input::Tick(harness.now - late));
+        harness.dispatched(5, "once", None);
+        let place = |e: Event| matches!(e, Event::Place(_)).then_some(e);
+        let [Event::Place(request)] = &harness
+            .take_events()
+            .into_iter()
+            .filter_map(place)
+            .collect::<Vec<_>>()[..]
+        else {
+            panic!("one request");
+        };
+        assert_eq!(request.deadline_in, WAIT - reserve);
+        assert_eq!(harness.take_attempt_ends(), []);
+        harness.advance(WAIT - reserve - 10 * MS);
+        assert_eq!(harness.take_attempt_ends(), []);
+        harness.advance(20 * MS);
+        assert_eq!(
+            harness.take_attempt_ends(),
+            [(1, 0, AttemptOutcome::TimedOut, false)],
+            "{late} us late"
+        );
+    }
+}
--- a/crates/runtime/tests/connection.rs
+++ b/crates/runtime/tests/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of bytes: what an end of theirs does with what waits to be written.
+//! Connections of bytes: what becomes of what waits to be sent when a connection is closed.
 
 use peppercove_runtime::{CloseReason, SendBudget, SendBuffer, drive};
 use std::io::ErrorKind;
@@ -17,11 +17,11 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_connection_that_is_finished_writes_what_waits_and_one_that_is_closed_does_not() {
+async fn close_after_flush_sends_what_waits_and_close_does_not() {
     for (finish, wanted) in [(true, &b"the end of a task"[..]), (false, &b""[..])] {
         let (here, mut there) = pair().await;
         let send_buffer = SendBuffer::new(&SendBudget::new(1 << 10));
-        // Queued, and not written yet when the connection is given up for another one.
+        // Appended, and not sent yet when the connection is closed.
         assert!(send_buffer.push(b"the end of a task"));
         if finish {
             send_buffer.close_after_flush();
@@ -41,12 +41,12 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn what_came_while_nobody_looked_is_read_before_a_connection_that_is_finished_ends() {
+async fn connection_is_read_once_more_before_it_closes_after_flush() {
     for stays in [true, false] {
         let (here, there) = pair().await;
         let mut there = there.into_std().expect("a socket");
         let send_buffer = SendBuffer::new(&SendBudget::new(1 << 10));
-        // Both stand before the one that carries has its first turn, and the runtime has not looked in between.
+        // Both happen before the connection's first turn, and the runtime has not polled the socket in between.
         std::io::Write::write_all(&mut there, b"a set-up").expect("written");
         send_buffer.close_after_flush();
         let mut read = Vec::new();
@@ -69,9 +69,9 @@
     }
 }
 
-/// Danger: what goes to a host must be out before the final answer to its owner, whichever connection has its turn first.
+/// What is sent to a node must be out before the final answer to the client, whichever connection has its turn first.
 #[tokio::test(flavor = "current_thread")]
-async fn what_is_written_at_once_is_out_before_any_other_connection_has_its_turn() {
+async fn flush_sends_before_any_other_connection_has_its_turn() {
     let (here, mut there) = pair().await;
     let send_buffer = SendBuffer::new(&SendBudget::new(1 << 24));
     assert!(send_buffer.push(b"a set-up"));
@@ -80,10 +80,10 @@
     let acts = async {
         tokio::task::yield_now().await;
         assert!(send_buffer.push(b", and what takes it back"));
-        // No turn of the one that carries from here on.
+        // The connection has no turn from here on.
         assert!(send_buffer.flush());
         assert_eq!(send_buffer.bytes_written(), 32);
-        // What a peer does not read is known to be left, and is never sent where the connection ends.
+        // What a peer does not read is known to be left, and is not sent after the connection was closed.
         let all = vec![b'x'; 1 << 23];
         assert!(send_buffer.push(&all) && !send_buffer.flush());
         send_buffer.close();
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_peer_that_reads_nothing_loses_its_connection_at_the_bound() {
+async fn peer_that_does_not_read_loses_its_connection_at_the_limit() {
     let (here, _there) = pair().await;
     let send_buffer = SendBuffer::new(&SendBudget::new(10));
     assert!(send_buffer.push(b"ten bytes!"));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_busy_connection_uses_what_idle_ones_leave_and_slow_ones_leave_some_for_the_next() {
+fn busy_connection_uses_the_budget_that_others_leave_and_slow_ones_leave_some() {
     let budget = SendBudget::new(1 << 20);
     let busy = SendBuffer::new(&budget);
     for _ in 0..30 {
