--- a/crates/platform/src/engine/request_parsing.rs
+++ b/crates/platform/src/engine/request_parsing.rs
@@ -99,25 +99,22 @@
     if message.id == 0 {
         return Err(InvalidRequest::Id);
     }
-    let (class_name, class_index, class) = parse_class(message, settings, schema)?;
+    let class = Class::find(message, settings, schema)?;
     let task = non_empty(message.text(code::TASK)).ok_or(InvalidRequest::Task)?;
-    let key = parse_key(message, class)?;
+    let key = parse_key(message, class.settings)?;
     let attributes = Attributes::parse(message).ok_or(InvalidRequest::Attributes)?;
     let (cores, memory) = parse_resources(&attributes, settings)?;
     let service = non_empty(attributes.service).ok_or(InvalidRequest::Attributes)?;
-    let running_on = attributes.running_on;
-    if running_on.is_some_and(|name| !is_node_name(name)) {
-        return Err(InvalidRequest::Node);
-    }
+    let running_on = parse_running_on(&attributes)?;
     let deadline_in = match running_on {
         Some(_) => client_timeout(message).unwrap_or(0),
-        None => parse_deadline(message, class)?,
+        None => parse_deadline(message, class.settings)?,
     };
     let request = PlacementRequest {
         id,
         task: TaskKey(key_of_name(task)),
         service: ServiceId(key_of_name(service)),
-        class: class_index as u16,
+        class: class.index as u16,
         tenant: 0,
         cores,
         memory,
@@ -126,7 +123,7 @@
         is_retry: message.text(code::RETRY) == Some("1"),
     };
     let payload = Payload {
-        class: class_name.as_bytes().into(),
+        class: class.name.as_bytes().into(),
         task: task.as_bytes().into(),
         key: key.map(Into::into),
         description: message.get(code::DESCRIPTION).map(Into::into),
@@ -138,20 +135,33 @@
     })
 }
 
-fn non_empty(text: Option<&str>) -> Option<&str> {
-    text.filter(|text| !text.is_empty())
+/// The class that a request names.
+struct Class<'m, 's> {
+    name: &'m str,
+    index: usize,
+    settings: &'s TaskClass,
 }
 
-fn parse_class<'m, 's>(
-    message: &'m Message,
-    settings: &'s Settings,
-    schema: &RecordSchema,
-) -> Result<(&'m str, usize, &'s TaskClass), InvalidRequest> {
-    let name = message.text(code::CLASS).ok_or(InvalidRequest::Class)?;
-    let position = schema.classes.iter().position(|class| class == name);
-    let index = position.ok_or(InvalidRequest::Class)?;
-    let class = settings.classes.get(index).ok_or(InvalidRequest::Class)?;
-    Ok((name, index, class))
+impl<'m, 's> Class<'m, 's> {
+    fn find(
+        message: &'m Message,
+        settings: &'s Settings,
+        schema: &RecordSchema,
+    ) -> Result<Class<'m, 's>, InvalidRequest> {
+        let name = message.text(code::CLASS).ok_or(InvalidRequest::Class)?;
+        let position = schema.classes.iter().position(|class| class == name);
+        let index = position.ok_or(InvalidRequest::Class)?;
+        let settings = settings.classes.get(index).ok_or(InvalidRequest::Class)?;
+        Ok(Class {
+            name,
+            index,
+            settings,
+        })
+    }
+}
+
+fn non_empty(text: Option<&str>) -> Option<&str> {
+    text.filter(|text| !text.is_empty())
 }
 
 /// The idempotency key, which keyed classes need.
@@ -188,9 +198,13 @@
     Ok((cores, memory))
 }
 
-/// Names are kept while tasks run on the node, so that their length is limited.
-fn is_node_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MAX_NODE_NAME_BYTES
+/// The name of the node on which the task runs. Names are kept while tasks run there, so that their length is limited.
+fn parse_running_on<'m>(attributes: &Attributes<'m>) -> Result<Option<&'m str>, InvalidRequest> {
+    let is_valid = |name: &str| !name.is_empty() && name.len() <= MAX_NODE_NAME_BYTES;
+    match attributes.running_on {
+        Some(name) if !is_valid(name) => Err(InvalidRequest::Node),
+        running_on => Ok(running_on),
+    }
 }
 
 /// How long the client waits: up to twice as long as the settings say that clients of the class do.
--- a/crates/platform/tests/engine/attempts.rs
+++ b/crates/platform/tests/engine/attempts.rs
@@ -54,11 +54,11 @@
     let ended = harness.take_events().into_iter().find_map(|e| match e {
         Event::AttemptEnded {
             outcome,
-            reason: why,
-            is_final: over,
+            reason,
+            is_final,
             load,
             ..
-        } => Some((outcome, why, over, load)),
+        } => Some((outcome, reason, is_final, load)),
         _ => None,
     });
     let load = LoadReport {
--- a/crates/platform/tests/engine/cancellation.rs
+++ b/crates/platform/tests/engine/cancellation.rs
@@ -37,53 +37,47 @@
 /// share of the topology spread were given away meanwhile, and a rack had three tasks where two are allowed.
 #[test]
 fn cancelled_task_counts_until_its_node_has_read_the_cancel_or_cannot_run_it() {
-    type Knowledge = fn(&mut Harness);
-    let of_the_list = |b: &mut Harness| {
-        let restarted = node_json("a", 1, "active", b.now / 1000 + 1);
-        b.input(Input::EndpointEvents(vec![list_event(
+    type Evidence = fn(&mut Harness);
+    let restart_in_the_list = |harness: &mut Harness| {
+        let restarted = node_json("a", 1, "active", harness.now / 1000 + 1);
+        harness.input(Input::EndpointEvents(vec![list_event(
             2,
             false,
             &[restarted],
         )]));
     };
-    let over: [Knowledge; 4] = [
-        |b| {
-            let out = to_nodes(&b.input(Input::NodeConnected(NodeConnectionId(2))));
-            let [(2, cut), (2, test)] = &out[..] else {
+    let evidence: [Evidence; 4] = [
+        |harness| {
+            let out = to_nodes(&harness.input(Input::NodeConnected(NodeConnectionId(2))));
+            let [(2, cancel), (2, test)] = &out[..] else {
                 panic!("{out:?}")
             };
-            assert_eq!(*cut, Message::release(5, cause::CALLED_OFF));
-            assert_eq!(b.take_attempt_ends(), [], "sent is not read");
-            b.input(Input::NodeMessage(
+            assert_eq!(*cancel, Message::release(5, cause::CALLED_OFF));
+            assert_eq!(harness.take_attempt_ends(), [], "sent is not read");
+            harness.input(Input::NodeMessage(
                 NodeConnectionId(2),
                 Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]),
             ));
         },
-        |b| {
-            b.input(Input::NodeConnected(NodeConnectionId(2)));
-            b.input(Input::NodeMessage(
+        |harness| {
+            harness.input(Input::NodeConnected(NodeConnectionId(2)));
+            harness.input(Input::NodeMessage(
                 NodeConnectionId(2),
                 Message::release(5, cause::CALLED_OFF),
             ));
         },
-        |b| {
-            drop(b.input(Input::NodeDisconnected(
+        |harness| {
+            drop(harness.input(Input::NodeDisconnected(
                 NodeConnectionId(2),
                 Disconnect::Refused,
             )))
         },
-        of_the_list,
+        restart_in_the_list,
     ];
-    for (n, known) in over.into_iter().enumerate() {
+    for (n, receive) in evidence.into_iter().enumerate() {
         let mut harness = Harness::new();
         harness.placed(5);
-        harness.input(Input::NodeDisconnected(
-            NodeConnectionId(1),
-            Disconnect::Broken {
-                bytes_written: 999,
-                is_clean: false,
-            },
-        ));
+        harness.input(broken(1, false));
         harness.advance(S);
         let out = harness.input(Input::ClientMessage(
             ClientId(1),
@@ -95,7 +89,7 @@
             (vec![], 1),
             "elapsed time does not show that it ended"
         );
-        known(&mut harness);
+        receive(&mut harness);
         assert_eq!(
             harness.take_attempt_ends(),
             [(1, 0, AttemptOutcome::Cancelled, true)],
@@ -121,19 +115,13 @@
         (vec![], 1)
     );
     assert!(out.contains(&Output::Close(NodeConnectionId(1))), "{out:?}");
-    harness.input(Input::NodeDisconnected(
-        NodeConnectionId(1),
-        Disconnect::Broken {
-            bytes_written: 999,
-            is_clean: false,
-        },
-    ));
+    harness.input(broken(1, false));
     harness.advance(S);
     let out = to_nodes(&harness.input(Input::NodeConnected(NodeConnectionId(2))));
-    let [(2, cut), (2, test)] = &out[..] else {
+    let [(2, cancel), (2, test)] = &out[..] else {
         panic!("{out:?}")
     };
-    assert_eq!(*cut, Message::release(5, cause::ORDINARY));
+    assert_eq!(*cancel, Message::release(5, cause::ORDINARY));
     let passed = Message::new(MessageKind::Tested, test.id).with(code::CAUSE, &[1]);
     assert!(
         to_clients(&harness.input(Input::NodeMessage(NodeConnectionId(2), passed))).is_empty(),
@@ -161,13 +149,7 @@
                 Message::new(MessageKind::Tested, test.id),
             ));
         }
-        harness.input(Input::NodeDisconnected(
-            NodeConnectionId(1),
-            Disconnect::Broken {
-                bytes_written: 999,
-                is_clean: true,
-            },
-        ));
+        harness.input(broken(1, true));
         harness.advance(S);
         let out =
             to_nodes_without_checks(&harness.input(Input::NodeConnected(NodeConnectionId(2))));
@@ -176,13 +158,7 @@
         let mut harness = Harness::new();
         harness.placed(5);
         harness.input(Input::ClientMessage(ClientId(1), end.clone()));
-        harness.input(Input::NodeDisconnected(
-            NodeConnectionId(1),
-            Disconnect::Broken {
-                bytes_written: 999,
-                is_clean: false,
-            },
-        ));
+        harness.input(broken(1, false));
         harness.advance(S);
         harness.input(Input::NodeDisconnected(
             NodeConnectionId(2),
@@ -212,13 +188,7 @@
         [(2, Message::release(5, cause::CALLED_OFF))],
         "over the connection of its attempt"
     );
-    let out = harness.input(Input::NodeDisconnected(
-        NodeConnectionId(2),
-        Disconnect::Broken {
-            bytes_written: 999,
-            is_clean: true,
-        },
-    ));
+    let out = harness.input(broken(2, true));
     assert_eq!(
         to_nodes_without_checks(&out),
         [(1, Message::release(5, cause::CALLED_OFF))]
@@ -231,10 +201,10 @@
     harness.placed(5);
     let out = harness.act(Action::Migrate(RequestId(1)));
     assert_eq!(to_clients(&out), [(1, Message::new(MessageKind::Move, 5))]);
-    let [(1, cut), (1, test)] = &to_nodes(&out)[..] else {
+    let [(1, cancel), (1, test)] = &to_nodes(&out)[..] else {
         panic!("{out:?}")
     };
-    assert_eq!(*cut, Message::release(5, cause::CALLED_OFF));
+    assert_eq!(*cancel, Message::release(5, cause::CALLED_OFF));
     assert!(
         harness.act(Action::Migrate(RequestId(1))).is_empty(),
         "once"
--- a/crates/platform/tests/engine/connections.rs
+++ b/crates/platform/tests/engine/connections.rs
@@ -7,13 +7,8 @@
     let mut harness = Harness::new();
     harness.placed(5);
     for _ in 0..40 {
-        for (connection, message) in to_nodes(&harness.advance(500 * MS)) {
-            assert_eq!(message.kind, MessageKind::Test);
-            harness.input(Input::NodeMessage(
-                NodeConnectionId(connection),
-                Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
-            ));
-        }
+        let outputs = harness.advance(500 * MS);
+        harness.answer_health_checks(&outputs);
     }
     assert_eq!(harness.take_attempt_ends(), []);
 }
@@ -57,13 +52,7 @@
     );
     let out = harness.advance(1100 * MS);
     assert!(out.contains(&Output::Close(NodeConnectionId(1))), "{out:?}");
-    harness.input(Input::NodeDisconnected(
-        NodeConnectionId(1),
-        Disconnect::Broken {
-            bytes_written: 999,
-            is_clean: true,
-        },
-    ));
+    harness.input(broken(1, true));
     assert_eq!(
         harness.take_attempt_ends(),
         [(1, 0, AttemptOutcome::Lost, false)]
@@ -72,13 +61,8 @@
     let mut harness = Harness::new();
     harness.dispatched(5, "keyed", None);
     for _ in 0..6 {
-        for (connection, message) in to_nodes(&harness.advance(500 * MS)) {
-            assert_eq!(message.kind, MessageKind::Test);
-            harness.input(Input::NodeMessage(
-                NodeConnectionId(connection),
-                Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]),
-            ));
-        }
+        let outputs = harness.advance(500 * MS);
+        harness.answer_health_checks(&outputs);
     }
     assert_eq!(harness.take_attempt_ends(), []);
 }
@@ -131,13 +115,7 @@
             .any(|o| matches!(o, Output::Connect(NodeConnectionId(2), _))),
         "{out:?}"
     );
-    harness.input(Input::NodeDisconnected(
-        NodeConnectionId(1),
-        Disconnect::Broken {
-            bytes_written: 999,
-            is_clean: false,
-        },
-    ));
+    harness.input(broken(1, false));
     harness.input(Input::NodeConnected(NodeConnectionId(2)));
     let out = harness.advance(S);
     assert!(
@@ -207,13 +185,7 @@
             .input(Input::ClientCount(52))
             .contains(&Output::Close(NodeConnectionId(1)))
     );
-    harness.input(Input::NodeDisconnected(
-        NodeConnectionId(1),
-        Disconnect::Broken {
-            bytes_written: 999,
-            is_clean: false,
-        },
-    ));
+    harness.input(broken(1, false));
     assert_eq!(
         harness.input(Input::ClientCount(53)),
         [],
--- a/crates/platform/tests/engine/handover.rs
+++ b/crates/platform/tests/engine/handover.rs
@@ -5,20 +5,20 @@
 #[test]
 fn running_task_is_adopted_once_and_its_handover_is_not_answered() {
     let mut harness = Harness::new();
-    let standing = request_with_attributes(5, "cores:1;memory:2;service:aa;at:b");
-    let out = harness.input(Input::ClientMessage(ClientId(1), standing.clone()));
+    let handover = request_with_attributes(5, "cores:1;memory:2;service:aa;at:b");
+    let out = harness.input(Input::ClientMessage(ClientId(1), handover.clone()));
     assert!(to_clients(&out).is_empty());
     assert!(
         matches!(out[..], [Output::Connect(NodeConnectionId(1), a)] if a.port() == 2),
         "its end needs a connection: {out:?}"
     );
-    let out = harness.input(Input::ClientMessage(ClientId(1), standing));
+    let out = harness.input(Input::ClientMessage(ClientId(1), handover));
     assert!(out.is_empty(), "known already: {out:?}");
     harness.advance(2 * MS);
     let events = harness.take_events();
     let b = node_id("b");
     assert!(
-        matches!(events[..], [Event::RunningTask { node: machine, .. }] if machine == b),
+        matches!(events[..], [Event::RunningTask { node, .. }] if node == b),
         "{events:?}"
     );
     harness.input(Input::NodeConnected(NodeConnectionId(1)));
--- a/crates/platform/tests/engine/harness.rs
+++ b/crates/platform/tests/engine/harness.rs
@@ -128,6 +128,15 @@
         self.take_events().into_iter().filter_map(end).collect()
     }
 
+    /// Nodes answer the health checks in these outputs, which have nothing else for nodes.
+    pub fn answer_health_checks(&mut self, outputs: &[Output]) {
+        for (connection, message) in to_nodes(outputs) {
+            assert_eq!(message.kind, MessageKind::Test);
+            let passed = Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]);
+            self.input(Input::NodeMessage(NodeConnectionId(connection), passed));
+        }
+    }
+
     /// Request `id` of client 1, the first of the engine, has an open attempt at `a` over connection 1.
     pub fn dispatched(&mut self, id: u64, class: &str, timeout: Option<Micros>) {
         self.input(Input::ClientMessage(ClientId(1), request(id, class)));
@@ -165,6 +174,15 @@
     }
 }
 
+/// A connection broke on which all that was sent had left.
+pub fn broken(connection: u64, is_clean: bool) -> Input {
+    let how = Disconnect::Broken {
+        bytes_written: 999,
+        is_clean,
+    };
+    Input::NodeDisconnected(NodeConnectionId(connection), how)
+}
+
 /// Messages to clients, each with the client's number.
 pub fn to_clients(outputs: &[Output]) -> Vec<(u64, Message)> {
     let message = |output: &Output| match output {
