--- a/crates/background/src/event.rs
+++ b/crates/background/src/event.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told, and what it asks for.
+//! Inputs and outputs of the scheduler.
 
 use crate::{Cost, Micros};
 
--- a/crates/background/tests/background.rs
+++ b/crates/background/tests/background.rs
@@ -67,23 +67,23 @@
 
 #[test]
 fn higher_priority_starts_first_until_aging_outweighs_it() {
-    let mut b = BackgroundScheduler::new(
+    let mut scheduler = BackgroundScheduler::new(
         Settings {
             max_running: 1,
             ..settings(vec![class(0), class(3)])
         },
         1,
     );
-    assert_eq!(started(&b.handle(0, submit(0, 1, cpu(1.0)))), [0]);
-    b.handle(0, submit(1, 0, cpu(1.0)));
-    b.handle(1, submit(2, 1, cpu(1.0)));
+    assert_eq!(started(&scheduler.handle(0, submit(0, 1, cpu(1.0)))), [0]);
+    scheduler.handle(0, submit(1, 0, cpu(1.0)));
+    scheduler.handle(1, submit(2, 1, cpu(1.0)));
     assert_eq!(
-        started(&b.handle(2, Event::Completed(WorkId(0), cpu(1.0)))),
+        started(&scheduler.handle(2, Event::Completed(WorkId(0), cpu(1.0)))),
         [2]
     );
-    b.handle(4 * SECOND, submit(3, 1, cpu(1.0)));
+    scheduler.handle(4 * SECOND, submit(3, 1, cpu(1.0)));
     assert_eq!(
-        started(&b.handle(4 * SECOND, Event::Completed(WorkId(2), cpu(1.0)))),
+        started(&scheduler.handle(4 * SECOND, Event::Completed(WorkId(2), cpu(1.0)))),
         [1],
         "four ages beat three steps"
     );
@@ -91,22 +91,25 @@
 
 #[test]
 fn running_work_pauses_under_pressure_and_queued_work_starts_after_it() {
-    let mut b = BackgroundScheduler::new(settings(vec![class(0)]), 1);
-    assert_eq!(started(&b.handle(0, submit(0, 0, cpu(900_000.0)))), [0]);
+    let mut scheduler = BackgroundScheduler::new(settings(vec![class(0)]), 1);
     assert_eq!(
-        b.handle(10, Event::PlacementLatency(9_000)),
+        started(&scheduler.handle(0, submit(0, 0, cpu(900_000.0)))),
+        [0]
+    );
+    assert_eq!(
+        scheduler.handle(10, Event::PlacementLatency(9_000)),
         [Action::Pause(WorkId(0))]
     );
-    assert!((b.cpu_share() - 0.02).abs() < 1e-9);
-    b.handle(20, Event::Completed(WorkId(0), cpu(1_500_000.0)));
+    assert!((scheduler.cpu_share() - 0.02).abs() < 1e-9);
+    scheduler.handle(20, Event::Completed(WorkId(0), cpu(1_500_000.0)));
     assert!(
-        started(&b.handle(30, submit(1, 0, cpu(1.0)))).is_empty(),
+        started(&scheduler.handle(30, submit(1, 0, cpu(1.0)))).is_empty(),
         "overdrawn, and the floor fills slowly"
     );
-    assert!(started(&b.handle(SECOND, Event::PlacementLatency(9_000))).is_empty());
-    // Nothing more is heard of the pressure: it has passed.
-    assert!(started(&b.handle(3 * SECOND + SECOND / 2, Event::Tick)).is_empty());
-    assert_eq!(started(&b.handle(5 * SECOND, Event::Tick)), [1]);
+    assert!(started(&scheduler.handle(SECOND, Event::PlacementLatency(9_000))).is_empty());
+    // The pressure is not reported again, so it has passed.
+    assert!(started(&scheduler.handle(3 * SECOND + SECOND / 2, Event::Tick)).is_empty());
+    assert_eq!(started(&scheduler.handle(5 * SECOND, Event::Tick)), [1]);
 }
 
 #[test]
@@ -119,7 +122,7 @@
         max_running: 2,
         ..class(0)
     };
-    let mut b = BackgroundScheduler::new(settings(vec![limited, class(0)]), 1);
+    let mut scheduler = BackgroundScheduler::new(settings(vec![limited, class(0)]), 1);
     let one = Cost {
         requests: 1.0,
         ..Cost::default()
@@ -127,18 +130,18 @@
     let mut starts = 0;
     let mut running: Vec<u64> = Vec::new();
     for i in 0..60u64 {
-        running.extend(started(&b.handle(0, submit(i, 0, one))));
+        running.extend(started(&scheduler.handle(0, submit(i, 0, one))));
         assert!(running.len() <= 2);
     }
     for step in 0..300 {
         for work in std::mem::take(&mut running) {
             starts += 1;
             running.extend(started(
-                &b.handle(step * 10_000, Event::Completed(WorkId(work), one)),
+                &scheduler.handle(step * 10_000, Event::Completed(WorkId(work), one)),
             ));
         }
-        running.extend(started(&b.handle(step * 10_000, Event::Tick)));
-        // A burst of one second, one piece overdrawn, and ten a second after it.
+        running.extend(started(&scheduler.handle(step * 10_000, Event::Tick)));
+        // A burst of one second, one item overdrawn, and ten a second after it.
         assert!(
             starts as f64 <= 10.0 + 1.0 + step as f64 / 10.0,
             "{starts} in {step}"
@@ -146,7 +149,7 @@
     }
     assert!(starts >= 38, "{starts}: it uses what it may");
     assert_eq!(
-        started(&b.handle(0, submit(1000, 1, one))),
+        started(&scheduler.handle(0, submit(1000, 1, one))),
         [1000],
         "another class is not held up by it"
     );
@@ -154,41 +157,47 @@
 
 #[test]
 fn failed_work_backs_off_and_ends_after_max_attempts() {
-    let mut b = BackgroundScheduler::new(settings(vec![class(0)]), 1);
-    b.handle(0, submit(0, 0, cpu(1.0)));
+    let mut scheduler = BackgroundScheduler::new(settings(vec![class(0)]), 1);
+    scheduler.handle(0, submit(0, 0, cpu(1.0)));
     let failed = |retry_after| Event::Failed {
         work: WorkId(0),
         cost: cpu(1.0),
         is_retryable: true,
         retry_after,
     };
-    assert!(b.handle(0, failed(None)).is_empty());
-    let at = b.next_wake().unwrap();
+    assert!(scheduler.handle(0, failed(None)).is_empty());
+    let at = scheduler.next_wake().unwrap();
     assert!((SECOND / 2..=SECOND).contains(&at), "{at}");
-    assert_eq!(started(&b.handle(at, Event::Tick)), [0]);
-    assert!(b.handle(at, failed(Some(30 * SECOND))).is_empty());
+    assert_eq!(started(&scheduler.handle(at, Event::Tick)), [0]);
+    assert!(scheduler.handle(at, failed(Some(30 * SECOND))).is_empty());
     assert!(
-        started(&b.handle(at + 30 * SECOND - 1, Event::Tick)).is_empty(),
+        started(&scheduler.handle(at + 30 * SECOND - 1, Event::Tick)).is_empty(),
         "the other side's wish counts"
     );
-    assert_eq!(started(&b.handle(at + 30 * SECOND, Event::Tick)), [0]);
     assert_eq!(
-        b.handle(at + 31 * SECOND, failed(None)),
+        started(&scheduler.handle(at + 30 * SECOND, Event::Tick)),
+        [0]
+    );
+    assert_eq!(
+        scheduler.handle(at + 31 * SECOND, failed(None)),
         [Action::End(WorkId(0), EndReason::Failed)]
     );
     assert!(
-        b.handle(at + 31 * SECOND, failed(None)).is_empty(),
-        "a second word changes nothing"
+        scheduler.handle(at + 31 * SECOND, failed(None)).is_empty(),
+        "a repeated event changes nothing"
     );
     assert_eq!(
-        (b.status(0).failed_attempts, b.status(0).ended.failed),
+        (
+            scheduler.status(0).failed_attempts,
+            scheduler.status(0).ended.failed
+        ),
         (3, 1)
     );
 }
 
 #[test]
 fn rejected_expired_and_cancelled_work_is_reported() {
-    let mut b = BackgroundScheduler::new(
+    let mut scheduler = BackgroundScheduler::new(
         Settings {
             max_running: 1,
             ..settings(vec![WorkClass {
@@ -198,38 +207,40 @@
         },
         1,
     );
-    b.handle(0, submit(0, 0, cpu(1.0)));
+    scheduler.handle(0, submit(0, 0, cpu(1.0)));
     let late = Event::Submit {
         work: WorkId(1),
         class: 0,
         cost: cpu(1.0),
         deadline: Some(SECOND),
     };
-    assert!(b.handle(0, late).is_empty());
+    assert!(scheduler.handle(0, late).is_empty());
     assert_eq!(
-        b.handle(1, submit(2, 0, cpu(1.0))),
+        scheduler.handle(1, submit(2, 0, cpu(1.0))),
         [Action::End(WorkId(2), EndReason::Rejected)]
     );
     assert_eq!(
-        b.handle(1, submit(3, 7, cpu(1.0))),
+        scheduler.handle(1, submit(3, 7, cpu(1.0))),
         [Action::End(WorkId(3), EndReason::Rejected)]
     );
-    assert_eq!(b.next_wake().map(|at| at <= SECOND), Some(true));
+    assert_eq!(scheduler.next_wake().map(|at| at <= SECOND), Some(true));
     assert_eq!(
-        b.handle(SECOND, Event::Tick),
+        scheduler.handle(SECOND, Event::Tick),
         [Action::End(WorkId(1), EndReason::DeadlineExceeded)]
     );
     assert_eq!(
-        b.handle(SECOND, submit(4, 0, cpu(f64::NAN))),
+        scheduler.handle(SECOND, submit(4, 0, cpu(f64::NAN))),
         [Action::End(WorkId(4), EndReason::Rejected)]
     );
-    b.handle(SECOND, submit(5, 0, cpu(1.0)));
+    scheduler.handle(SECOND, submit(5, 0, cpu(1.0)));
     assert_eq!(
-        b.handle(SECOND, Event::Cancel(WorkId(5))),
+        scheduler.handle(SECOND, Event::Cancel(WorkId(5))),
         [Action::End(WorkId(5), EndReason::Cancelled)]
     );
     assert!(
-        b.handle(SECOND, Event::Cancel(WorkId(0))).is_empty(),
+        scheduler
+            .handle(SECOND, Event::Cancel(WorkId(0)))
+            .is_empty(),
         "what runs is waited for"
     );
 }
@@ -254,7 +265,7 @@
     fn all_work_ends_within_the_budget_and_the_bound_on_waits(load in load()) {
         let classes = vec![class(0), class(2), class(5)];
         let s = Settings { max_running: 1, pressed_share: 0.1, ..settings(classes) };
-        let mut b = BackgroundScheduler::new(s.clone(), 3);
+        let mut scheduler = BackgroundScheduler::new(s.clone(), 3);
         let mut events: Vec<(Micros, Event)> = Vec::new();
         for (i, (at, class, cost)) in load.arrivals.iter().enumerate() {
             events.push((u64::from(*at), submit(i as u64, *class, cpu(f64::from(*cost)))));
@@ -267,10 +278,10 @@
         let mut queue = events.into_iter().peekable();
         let mut ended = 0;
         while ended < costs.len() {
-            let next = [queue.peek().map(|(at, _)| *at), running.map(|(at, _)| at), b.next_wake()];
+            let next = [queue.peek().map(|(at, _)| *at), running.map(|(at, _)| at), scheduler.next_wake()];
             let Some(at) = next.into_iter().flatten().min() else { break };
             now = at.max(now);
-            prop_assert!(now < 400 * SECOND, "work starves: {:?}", (0..3).map(|c| b.status(c)).collect::<Vec<_>>());
+            prop_assert!(now < 400 * SECOND, "work starves: {:?}", (0..3).map(|c| scheduler.status(c)).collect::<Vec<_>>());
             let event = if running.is_some_and(|(at, _)| at <= now) {
                 let (_, work) = running.take().unwrap();
                 ended += 1;
@@ -280,14 +291,14 @@
             } else {
                 Event::Tick
             };
-            for action in b.handle(now, event) {
+            for action in scheduler.handle(now, event) {
                 match action {
                     Action::Start(WorkId(work)) => {
                         prop_assert!(running.is_none(), "one slot");
                         running = Some((now + costs[&work] as u64, work));
                         used += costs[&work];
                         waits.insert(work, now - u64::from(load.arrivals[work as usize].0));
-                        // A second's burst, one piece overdrawn, and the calm share at the most.
+                        // A burst of one second, one item overdrawn, and at most the calm share.
                         prop_assert!(used <= 1e6 + 60_000.0 + 0.5 * now as f64 + 1.0, "{used} by {now}");
                     }
                     Action::End(_, EndReason::Rejected) => ended += 1,
@@ -295,7 +306,7 @@
                 }
             }
         }
-        // Even at the floor all that was ever asked for is done within this, and then the lowest class as well.
+        // Even at the pressed share all submitted work is done within this, the lowest class included.
         let total: f64 = costs.values().sum();
         let bound = (total / s.pressed_share) as u64 + 5 * s.aging_interval + SECOND;
         for (work, wait) in waits {
--- a/crates/config/src/settings/scheduler.rs
+++ b/crates/config/src/settings/scheduler.rs
@@ -100,8 +100,9 @@
 
 /// Period of the decision module's timer, in microseconds.
 const TICK: u64 = 1_000;
-/// A node list that was not heard of is polled again after these parts of the poll interval.
-const POLL_BACKOFF_PARTS: [u64; 2] = [16, 2];
+/// Bounds of the backoff after a failed poll of the node list, the first and the largest, as fractions of the poll
+/// interval.
+const POLL_BACKOFF_FRACTIONS: [u64; 2] = [16, 2];
 
 /// Settings of the decision module. `node_kinds` are the names of the kinds of node.
 pub(super) fn read(
@@ -142,7 +143,7 @@
         peer_messages: document.child("peers").text("listen").is_some(),
         is_list_polled: node_list.word("mode") == "on-request",
         poll_interval,
-        poll_backoff: POLL_BACKOFF_PARTS.map(|part| poll_interval / part),
+        poll_backoff: POLL_BACKOFF_FRACTIONS.map(|fraction| poll_interval / fraction),
         // The daemon keeps its own margin ahead of the deadline, so there is no slack after it.
         answer_slack: 0,
         drain_grace: rules.micros("drain-grace"),
--- a/crates/drmaa/src/session/waiting.rs
+++ b/crates/drmaa/src/session/waiting.rs
@@ -66,7 +66,7 @@
         loop {
             let endpoints = self.endpoints_to_wait_at();
             let turn = deadline.next_turn();
-            // One controller has the whole turn; several have short ones.
+            // A single controller is waited at for the full turn; several are waited at briefly in rotation.
             let length = if endpoints.len() > 1 {
                 turn.length.min(SHARED_TURN)
             } else {
--- a/crates/libdrmaa/src/wait.rs
+++ b/crates/libdrmaa/src/wait.rs
@@ -57,7 +57,7 @@
             let id = read_string(job_id, "job_id")?;
             let id = if id == ANY_JOB { ANY_JOB } else { &id };
             let info = active_session()?.wait(id, read_timeout(timeout)?)?;
-            // Each place is the caller's choice: null means that it does not ask.
+            // Every output is optional: null means that the caller does not want it.
             write_cut(job_id_out, job_id_out_length, &info.job_id);
             if !stat.is_null() {
                 stat.write(encode_status(&info));
--- a/crates/libdrmaa/src/wait_status.rs
+++ b/crates/libdrmaa/src/wait_status.rs
@@ -72,7 +72,7 @@
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
-            // Existing clients ask without having asked whether it exited; the value then means nothing.
+            // Existing clients call this without drmaa_wifexited; the value then means nothing.
             let status = if stat & EXITED == 0 {
                 0
             } else {
@@ -105,7 +105,7 @@
 ) -> c_int {
     unsafe {
         call(diagnosis, length, || {
-            // As for the exit status: asked for without a signal, the name is empty.
+            // As for the exit status: without a signal the name is empty.
             let name = if stat & SIGNALLED == 0 {
                 String::new()
             } else {
--- a/crates/libdrmaa/tests/life.py
+++ b/crates/libdrmaa/tests/full_session.py
@@ -1,4 +1,4 @@
-"""The whole life of a DRMAA 1.0 client, by the `drmaa` package as it comes from the registry."""
+"""A full session of a DRMAA 1.0 client, by the `drmaa` package as it comes from the registry."""
 
 import os
 import time
@@ -102,7 +102,7 @@
 assert info.jobId == long_job and info.hasSignal and info.terminatedSignal == "SIGTERM", info
 raises(drmaa.errors.InvalidJobException, s.jobStatus, "nobody.0.1")
 
-# What is wrong is told.
+# Invalid templates are rejected.
 jt.nativeSpecification = "cores=x"
 raises(drmaa.errors.InvalidAttributeValueException, s.runJob, jt)
 jt.nativeSpecification = "cores=100000"
@@ -115,4 +115,4 @@
 raises(drmaa.errors.NoActiveSessionException, s.runJob, jt)
 s.initialize(contact)
 s.exit()
-print("the whole life went well")
+print("the full session passed")
--- a/crates/libdrmaa/tests/python.rs
+++ b/crates/libdrmaa/tests/python.rs
@@ -56,7 +56,7 @@
     }
     let config = Config::parse(embedded_default()).unwrap();
     let cluster = Cluster::start(config, 4, |spec| spec).unwrap();
-    let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/life.py");
+    let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/full_session.py");
     let run = Command::new("python3")
         .arg(script)
         .env("PYTHONPATH", package())
@@ -69,7 +69,7 @@
         String::from_utf8_lossy(&run.stderr),
     );
     assert!(
-        run.status.success() && out.contains("the whole life went well"),
+        run.status.success() && out.contains("the full session passed"),
         "{out}\n{err}"
     );
 }
--- a/crates/metrics/tests/table.rs
+++ b/crates/metrics/tests/table.rs
@@ -40,7 +40,7 @@
         );
         assert!(
             FAMILIES[..i].iter().all(|g| g.name != f.name),
-            "{} stands twice",
+            "{} is there twice",
             f.name
         );
     }
@@ -48,38 +48,43 @@
 
 #[test]
 fn only_families_of_the_table_take_values() {
-    let m = Metrics::new();
+    let metrics = Metrics::new();
     for f in FAMILIES {
         let labels: Vec<&str> = f.labels.iter().map(|_| "x").collect();
         let taken = match f.kind {
-            MetricKind::Counter => m.add(f.name, &labels, 1.0),
-            MetricKind::Gauge => m.set(f.name, &labels, 1.0),
-            MetricKind::Histogram => m.observe(f.name, &labels, 1.0),
+            MetricKind::Counter => metrics.add(f.name, &labels, 1.0),
+            MetricKind::Gauge => metrics.set(f.name, &labels, 1.0),
+            MetricKind::Histogram => metrics.observe(f.name, &labels, 1.0),
         };
         assert_eq!(taken, Ok(()), "{}", f.name);
     }
     for f in FAMILIES {
         assert!(
-            m.gather().iter().any(|p| p.family.name == f.name),
+            metrics.gather().iter().any(|p| p.family.name == f.name),
             "{}",
             f.name
         );
     }
-    assert!(m.add("peppercove_nothing_total", &[], 1.0).is_err());
+    assert!(metrics.add("peppercove_nothing_total", &[], 1.0).is_err());
     assert!(
-        m.add(SUBMISSIONS_REJECTED, &[], 1.0).is_err(),
+        metrics.add(SUBMISSIONS_REJECTED, &[], 1.0).is_err(),
         "a label is missing"
     );
-    assert!(m.set(ATTEMPTS, &[], 1.0).is_err(), "a counter is not set");
+    assert!(
+        metrics.set(ATTEMPTS, &[], 1.0).is_err(),
+        "a counter is not set"
+    );
 }
 
 #[test]
 fn histogram_buckets_are_cumulative_and_counters_never_decrease() {
-    let m = Metrics::new();
+    let metrics = Metrics::new();
     for value in [0.0005, 0.3, 0.3, 100.0] {
-        m.observe(PLACEMENT, &["fill", "placed"], value).unwrap();
+        metrics
+            .observe(PLACEMENT, &["fill", "placed"], value)
+            .unwrap();
     }
-    let points = m.gather();
+    let points = metrics.gather();
     let buckets: Vec<f64> = points
         .iter()
         .filter(|p| p.name.ends_with("_bucket"))
@@ -98,12 +103,13 @@
         (1.0, 1.0, 3.0, 3.0, 4.0)
     );
     assert!(points.iter().all(|p| p.labels.is_sorted()));
-    m.add(ATTEMPTS, &[], 2.0).unwrap();
+    metrics.add(ATTEMPTS, &[], 2.0).unwrap();
     for more in [-1.0, f64::NAN, f64::INFINITY] {
-        m.add(ATTEMPTS, &[], more).unwrap();
+        metrics.add(ATTEMPTS, &[], more).unwrap();
     }
     assert_eq!(
-        m.gather()
+        metrics
+            .gather()
             .iter()
             .find(|p| p.name == ATTEMPTS)
             .unwrap()
@@ -114,13 +120,16 @@
 
 #[test]
 fn label_values_are_bounded_in_number_and_length() {
-    let m = Metrics::new();
+    let metrics = Metrics::new();
     for i in 0..MAX_LABEL_VALUES + 50 {
-        m.add(SUBMISSIONS_REJECTED, &[&format!("reason-{i}")], 1.0)
+        metrics
+            .add(SUBMISSIONS_REJECTED, &[&format!("reason-{i}")], 1.0)
             .unwrap();
     }
-    m.add(SUBMISSIONS_REJECTED, &["reason-0"], 1.0).unwrap();
-    let series: Vec<_> = m
+    metrics
+        .add(SUBMISSIONS_REJECTED, &["reason-0"], 1.0)
+        .unwrap();
+    let series: Vec<_> = metrics
         .gather()
         .into_iter()
         .filter(|p| p.name == SUBMISSIONS_REJECTED)
@@ -128,14 +137,15 @@
     assert_eq!(series.len(), MAX_LABEL_VALUES + 1);
     let of = |v: &str| series.iter().find(|p| p.labels[0].1 == v).unwrap().value;
     assert_eq!((of(OTHER), of("reason-0")), (50.0, 2.0));
-    let m = Metrics::new();
-    m.add(
-        SUBMISSIONS_REJECTED,
-        &[&"é".repeat(MAX_LABEL_VALUE_BYTES)],
-        1.0,
-    )
-    .unwrap();
-    let cut = m.gather()[0].labels[0].1.clone();
+    let metrics = Metrics::new();
+    metrics
+        .add(
+            SUBMISSIONS_REJECTED,
+            &[&"é".repeat(MAX_LABEL_VALUE_BYTES)],
+            1.0,
+        )
+        .unwrap();
+    let cut = metrics.gather()[0].labels[0].1.clone();
     assert!(cut.len() <= MAX_LABEL_VALUE_BYTES && cut.chars().all(|c| c == 'é'));
 }
 
--- a/crates/push/src/wal.rs
+++ b/crates/push/src/wal.rs
@@ -1,7 +1,7 @@
 //! Write-ahead log of samples that wait to be pushed: segments of checksummed records, bounded in bytes and age.
 //!
-//! A segment is a file of [records](record) named by a number; the oldest segment is read, the newest is written. What
-//! was pushed is remembered by a [checkpoint]. Every loss is counted by its reason; a torn tail, a flipped bit or a
+//! A segment is a file of records ([`Record`]) named by a number; the oldest segment is read, the newest is written. What
+//! was pushed is remembered by a checkpoint. Every loss is counted by its reason; a torn tail, a flipped bit or a
 //! missing file costs what it covers and nothing else. Writes are not synced: a crash of the node may cost the last
 //! seconds, never the order.
 
--- a/crates/push/tests/client.rs
+++ b/crates/push/tests/client.rs
@@ -19,10 +19,10 @@
 
 #[test]
 fn transient_failures_back_off_and_keep_the_batch() {
-    let mut s = client();
+    let mut client = client();
     assert!(
-        matches!(s.next(0, 20), NextStep::Wait(_)),
-        "the first batch is scattered"
+        matches!(client.next(0, 20), NextStep::Wait(_)),
+        "the first batch has jitter"
     );
     let mut now = 2_000;
     let mut waits = Vec::new();
@@ -32,9 +32,9 @@
         RequestOutcome::Status(500, None),
         RequestOutcome::Status(429, None),
     ] {
-        assert_eq!(s.next(now, 20), NextStep::Send(8, Version::V2));
-        assert_eq!(s.on_outcome(now, outcome), BatchDisposition::Keep);
-        let NextStep::Wait(at) = s.next(now, 20) else {
+        assert_eq!(client.next(now, 20), NextStep::Send(8, Version::V2));
+        assert_eq!(client.on_outcome(now, outcome), BatchDisposition::Keep);
+        let NextStep::Wait(at) = client.next(now, 20) else {
             panic!("it waits")
         };
         waits.push(at - now);
@@ -43,37 +43,37 @@
     for (i, wait) in waits.iter().enumerate() {
         assert!((500 << i..=1_000 << i).contains(wait), "{waits:?}");
     }
-    s.next(now, 20);
+    client.next(now, 20);
     assert_eq!(
-        s.on_outcome(now, RequestOutcome::Status(429, Some(12_000))),
+        client.on_outcome(now, RequestOutcome::Status(429, Some(12_000))),
         BatchDisposition::Keep
     );
     assert!(
-        matches!(s.next(now, 20), NextStep::Wait(at) if at >= now + 12_000),
+        matches!(client.next(now, 20), NextStep::Wait(at) if at >= now + 12_000),
         "Retry-After is kept"
     );
-    s.next(now + 20_000, 20);
+    client.next(now + 20_000, 20);
     assert_eq!(
-        s.on_outcome(now + 20_000, RequestOutcome::Status(204, None)),
+        client.on_outcome(now + 20_000, RequestOutcome::Status(204, None)),
         BatchDisposition::Done(8)
     );
-    assert_eq!(s.next(now + 20_000, 0), NextStep::Idle);
+    assert_eq!(client.next(now + 20_000, 0), NextStep::Idle);
 }
 
 #[test]
 fn status_415_switches_to_the_other_version() {
-    let mut s = client();
-    assert_eq!(s.next(2_000, 3), NextStep::Send(3, Version::V2));
+    let mut client = client();
+    assert_eq!(client.next(2_000, 3), NextStep::Send(3, Version::V2));
     assert_eq!(
-        s.on_outcome(2_000, RequestOutcome::Status(415, None)),
+        client.on_outcome(2_000, RequestOutcome::Status(415, None)),
         BatchDisposition::Keep
     );
-    assert_eq!(s.next(2_000, 3), NextStep::Send(3, Version::V1));
+    assert_eq!(client.next(2_000, 3), NextStep::Send(3, Version::V1));
     assert_eq!(
-        s.on_outcome(2_000, RequestOutcome::Status(200, None)),
+        client.on_outcome(2_000, RequestOutcome::Status(200, None)),
         BatchDisposition::Done(3)
     );
-    assert_eq!(s.version(), Version::V1);
+    assert_eq!(client.version(), Version::V1);
 }
 
 proptest! {
@@ -81,11 +81,11 @@
     /// of times.
     #[test]
     fn only_rejected_records_are_dropped(bad in prop::collection::btree_set(0..40usize, 0..6), flaky in any::<u64>()) {
-        let (mut s, mut rng) = (client(), fastrand::Rng::with_seed(flaky));
+        let (mut client, mut rng) = (client(), fastrand::Rng::with_seed(flaky));
         let mut left: std::collections::VecDeque<usize> = (0..40).collect();
         let (mut taken, mut dropped, mut now, mut sends) = (Vec::new(), Vec::new(), 2_000, 0);
         loop {
-            match s.next(now, left.len()) {
+            match client.next(now, left.len()) {
                 NextStep::Idle => break,
                 NextStep::Wait(at) => now = at,
                 NextStep::Send(count, _) => {
@@ -96,7 +96,7 @@
                         _ if refused => RequestOutcome::Status(400, None),
                         _ => RequestOutcome::Status(200, None),
                     };
-                    match s.on_outcome(now, outcome) {
+                    match client.on_outcome(now, outcome) {
                         BatchDisposition::Done(n) => taken.extend(left.drain(..n)),
                         BatchDisposition::Drop => dropped.extend(left.pop_front()),
                         BatchDisposition::Keep => {}
--- a/crates/push/tests/encode.rs
+++ b/crates/push/tests/encode.rs
@@ -114,7 +114,7 @@
                 assert!(samples.is_sorted_by(|a, b| a.1 < b.1), "times grow");
                 assert!(
                     series.insert(labels, samples).is_none(),
-                    "a series stands once"
+                    "each series is encoded once"
                 );
             }
             _ => panic!("tag {tag} in a request"),
--- a/crates/push/tests/samples.rs
+++ b/crates/push/tests/samples.rs
@@ -30,7 +30,7 @@
     assert_eq!(
         (label(counter, "reason").as_deref(), counter.created),
         (Some("full"), 500),
-        "its own label stands"
+        "a label of the metric is not overruled"
     );
     let end = stale(counter, 2_000);
     assert_eq!(
