--- a/crates/alerts/src/check.rs
+++ b/crates/alerts/src/check.rs
@@ -3,7 +3,6 @@
 use crate::rule_file::RuleFile;
 use peppercove_metrics::{FAMILIES, Family, MetricKind};
 use promql_parser::parser::{self, Expr, LabelModifier, VectorSelector};
-use std::fmt;
 
 /// Labels that every series has beside those of its family.
 const COMMON_LABELS: &[&str] = &["__name__", "instance", "job"];
@@ -11,7 +10,8 @@
 const BUCKET_LABEL: &str = "le";
 
 /// What is wrong with a rule file.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{}{what}", self.place())]
 pub struct Problem {
     /// Name of the rule; empty where the file itself is wrong.
     pub rule: String,
@@ -19,18 +19,17 @@
     pub what: String,
 }
 
-impl fmt::Display for Problem {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+impl Problem {
+    /// The name of the rule as the beginning of the message.
+    fn place(&self) -> String {
         if self.rule.is_empty() {
-            f.write_str(&self.what)
+            String::new()
         } else {
-            write!(f, "{}: {}", self.rule, self.what)
+            format!("{}: ", self.rule)
         }
     }
 }
 
-impl std::error::Error for Problem {}
-
 /// Checks a rule file and returns the number of its rules.
 ///
 /// # Errors
--- a/crates/config/src/schema/problem.rs
+++ b/crates/config/src/schema/problem.rs
@@ -1,7 +1,5 @@
 //! What is wrong with a document, and where.
 
-use std::fmt;
-
 /// One thing that is wrong, and where.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{line}:{column}: {element}: {what}")]
@@ -29,26 +27,19 @@
 }
 
 /// All that is wrong with a document.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{}", lines(problems))]
 pub struct ConfigError {
     /// At least one, in the order of the document.
     pub problems: Vec<Problem>,
 }
 
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, problem) in self.problems.iter().enumerate() {
-            if i > 0 {
-                writeln!(f)?;
-            }
-            write!(f, "{problem}")?;
-        }
-        Ok(())
-    }
+/// One problem a line.
+fn lines(problems: &[Problem]) -> String {
+    let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
+    lines.join("\n")
 }
 
-impl std::error::Error for ConfigError {}
-
 impl From<Problem> for ConfigError {
     fn from(problem: Problem) -> ConfigError {
         ConfigError {
--- a/crates/push/src/wal.rs
+++ b/crates/push/src/wal.rs
@@ -6,8 +6,10 @@
 //! seconds, never the order.
 
 mod checkpoint;
+mod error;
 mod record;
 
+pub use error::WalError;
 pub use record::Record;
 
 use checkpoint::Checkpoint;
@@ -79,8 +81,9 @@
     /// Opens the log of a folder, which is made where there is none, and continues from its checkpoint.
     ///
     /// # Errors
-    /// Where the folder cannot be read or made, or another process has the log open.
-    pub fn open(folder: &Path, limits: WalLimits) -> io::Result<WriteAheadLog> {
+    /// [`WalError::Io`] where the folder cannot be read or made, [`WalError::Locked`] where another process has the log
+    /// open.
+    pub fn open(folder: &Path, limits: WalLimits) -> Result<WriteAheadLog, WalError> {
         fs::create_dir_all(folder)?;
         let lock = lock_folder(folder)?;
         let checkpoint = Checkpoint::load(folder);
@@ -257,14 +260,15 @@
 }
 
 /// Locks a folder for this process.
-fn lock_folder(folder: &Path) -> io::Result<File> {
+fn lock_folder(folder: &Path) -> Result<File, WalError> {
     let lock = OpenOptions::new()
         .create(true)
         .truncate(false)
         .write(true)
         .open(folder.join("lock"))?;
-    lock.try_lock()
-        .map_err(|_| io::Error::other(format!("{} is open elsewhere", folder.display())))?;
+    lock.try_lock().map_err(|_| WalError::Locked {
+        folder: folder.to_owned(),
+    })?;
     Ok(lock)
 }
 
--- a/crates/push/tests/wal.rs
+++ b/crates/push/tests/wal.rs
@@ -1,6 +1,6 @@
 //! The write-ahead log over restarts, damage and its limits.
 
-use peppercove_push::wal::{LossCounts, WalLimits, WriteAheadLog};
+use peppercove_push::wal::{LossCounts, WalError, WalLimits, WriteAheadLog};
 use proptest::prelude::*;
 use std::fs;
 
@@ -64,7 +64,10 @@
     let mut log = WriteAheadLog::open(folder.path(), limits).unwrap();
     (0..10).for_each(|i| log.append(i, b"0123456789"));
     assert!(
-        WriteAheadLog::open(folder.path(), limits).is_err(),
+        matches!(
+            WriteAheadLog::open(folder.path(), limits),
+            Err(WalError::Locked { .. })
+        ),
         "one process at a time"
     );
     assert_eq!(log.peek(0, 3).len(), 3);
