--- a/crates/libdrmaa/src/job.rs
+++ b/crates/libdrmaa/src/job.rs
@@ -17,6 +17,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             if job_id.is_null() || job_id_length == 0 {
@@ -40,6 +41,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             if job_ids.is_null() {
@@ -65,6 +67,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let id = read_string(job_id, "jobid")?;
@@ -83,6 +86,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let state = active_session()?.job_ps(&read_string(job_id, "job_id")?)?;
--- a/crates/libdrmaa/src/job_template.rs
+++ b/crates/libdrmaa/src/job_template.rs
@@ -26,6 +26,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             active_session()?;
@@ -45,6 +46,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             borrow(jt, "jt")?;
@@ -63,6 +65,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let template = borrow(jt, "jt")?;
@@ -84,6 +87,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let template = borrow(jt, "jt")?;
@@ -105,6 +109,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let template = borrow(jt, "jt")?;
@@ -125,6 +130,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let template = borrow(jt, "jt")?;
@@ -144,6 +150,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             active_session()?;
@@ -160,6 +167,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             active_session()?;
--- a/crates/libdrmaa/src/lib.rs
+++ b/crates/libdrmaa/src/lib.rs
@@ -6,11 +6,13 @@
 //! from any number of threads.
 //!
 //! # Safety
-//! For all functions: a pointer that is not null points to what the header says: strings end with a zero byte,
-//! buffers are as long as their length says, vectors of strings end with a null pointer, and handles come from this
-//! library and were not given back.
+//! The contract of the library, for all functions: a pointer that is not null points to what the header says, strings
+//! end with a zero byte, buffers are as long as their length says, vectors of strings end with a null pointer, and
+//! handles come from this library and were not given back.
+// A C binding cannot do without unsafe code; the contract above is that of every function.
 #![allow(unsafe_code)]
 #![allow(clippy::missing_safety_doc)]
+#![warn(clippy::undocumented_unsafe_blocks)]
 
 mod call;
 mod job;
--- a/crates/libdrmaa/src/session.rs
+++ b/crates/libdrmaa/src/session.rs
@@ -31,6 +31,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let mut active = SESSION.write().unwrap_or_else(PoisonError::into_inner);
@@ -65,6 +66,7 @@
 /// `drmaa_exit`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn drmaa_exit(diagnosis: *mut c_char, length: usize) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let active = SESSION
@@ -87,6 +89,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let text = match active_session() {
@@ -106,6 +109,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let (major_version, minor_version) = peppercove_drmaa::VERSION;
@@ -124,6 +128,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let text = active_session().map_or_else(|_| "peppercove".into(), |s| s.drm_system());
@@ -141,6 +146,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let text = concat!("peppercove libdrmaa ", env!("CARGO_PKG_VERSION"));
--- a/crates/libdrmaa/src/string_vector.rs
+++ b/crates/libdrmaa/src/string_vector.rs
@@ -37,7 +37,7 @@
 }
 
 unsafe fn next_element(values: *mut StringVector, value: *mut c_char, length: usize) -> c_int {
-    // SAFETY: by the contract of the callers.
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(std::ptr::null_mut(), 0, || {
             let strings = borrow(values, "values")?;
@@ -52,7 +52,7 @@
 }
 
 unsafe fn write_count(values: *mut StringVector, size: *mut usize) -> c_int {
-    // SAFETY: by the contract of the callers.
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(std::ptr::null_mut(), 0, || {
             write_value(size, borrow(values, "values")?.values.len(), "size")
@@ -76,16 +76,19 @@
             value: *mut c_char,
             length: usize,
         ) -> c_int {
+            // SAFETY: the caller keeps the contract of the library.
             unsafe { next_element(values, value, length) }
         }
         /// How many elements there are.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $count(values: *mut StringVector, size: *mut usize) -> c_int {
+            // SAFETY: the caller keeps the contract of the library.
             unsafe { write_count(values, size) }
         }
         /// Gives the vector back.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $release(values: *mut StringVector) {
+            // SAFETY: the caller keeps the contract of the library.
             unsafe { release(values) }
         }
     };
--- a/crates/libdrmaa/src/wait.rs
+++ b/crates/libdrmaa/src/wait.rs
@@ -28,6 +28,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let ids = read_strings(job_ids, "job_ids")?;
@@ -52,6 +53,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let id = read_string(job_id, "job_id")?;
--- a/crates/libdrmaa/src/wait_status.rs
+++ b/crates/libdrmaa/src/wait_status.rs
@@ -43,7 +43,7 @@
 
 /// Writes a flag to a place of the caller.
 unsafe fn write_flag(to: *mut c_int, set: bool, diagnosis: *mut c_char, length: usize) -> c_int {
-    // SAFETY: by the contract of the callers.
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             write_value(to, c_int::from(set), "the result")
@@ -59,6 +59,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe { write_flag(exited, stat & EXITED != 0, diagnosis, length) }
 }
 
@@ -70,6 +71,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             // Existing clients call this without drmaa_wifexited; the value then means nothing.
@@ -91,6 +93,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe { write_flag(signaled, stat & SIGNALLED != 0, diagnosis, length) }
 }
 
@@ -103,6 +106,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             // As for the exit status: without a signal the name is empty.
@@ -124,6 +128,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe { write_flag(core_dumped, false, diagnosis, length) }
 }
 
@@ -135,5 +140,6 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe { write_flag(aborted, stat & ABORTED != 0, diagnosis, length) }
 }
