--- a/crates/push/tests/client.rs
+++ b/crates/push/tests/client.rs
@@ -60,6 +60,18 @@
     assert_eq!(client.next(now + 20_000, 0), NextStep::Idle);
 }
 
+#[test]
+fn retry_after_is_honoured_up_to_the_largest_backoff() {
+    let mut client = client();
+    // The first backoff is 1,000 at most, so these waits are those of Retry-After.
+    for (now, retry_after, wait) in [(2_000, 12_000, 12_000), (20_000, 1_000_000, 16_000)] {
+        assert_eq!(client.next(now, 20), NextStep::Send(8, Version::V2));
+        let outcome = RequestOutcome::Status(429, Some(retry_after));
+        assert_eq!(client.on_outcome(now, outcome), BatchDisposition::Keep);
+        assert_eq!(client.next(now, 20), NextStep::Wait(now + wait));
+    }
+}
+
 #[test]
 fn status_415_switches_to_the_other_version() {
     let mut client = client();
