--- a/crates/libdrmaa/src/wait.rs
+++ b/crates/libdrmaa/src/wait.rs
@@ -28,6 +28,7 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let ids = read_strings(job_ids, "job_ids")?;
@@ -52,12 +53,13 @@
     diagnosis: *mut c_char,
     length: usize,
 ) -> c_int {
+    // SAFETY: the caller keeps the contract of the library.
     unsafe {
         call(diagnosis, length, || {
             let id = read_string(job_id, "job_id")?;
             let id = if id == ANY_JOB { ANY_JOB } else { &id };
             let info = active_session()?.wait(id, read_timeout(timeout)?)?;
-            // Each place is the caller's choice: null means that it does not ask.
+            // Every output is optional: null means that the caller does not want it.
             write_cut(job_id_out, job_id_out_length, &info.job_id);
             if !stat.is_null() {
                 stat.write(encode_status(&info));
