--- a/crates/day/src/clients.rs
+++ b/crates/day/src/clients.rs
@@ -1,369 +1,236 @@
-//! The owners of a day's jobs: they submit, are told the answer, and ask again as the brief's owners do.
+//! Clients of a scenario on sockets: they submit jobs, receive outcomes, and submit again as the client model says.
 
-use futures_util::{SinkExt, StreamExt};
-use peppercove_kernel::client_model::{
-    ClassFact, Next, Tally, after_answer, after_door, after_loss, may_try,
-};
-use peppercove_kernel::scenario::JobArrival;
+mod connection;
+pub mod misbehaving;
+
+use peppercove::Idempotency;
+use peppercove_kernel::client_model::{ClientPolicy, ClientTally, NextStep};
+use peppercove_kernel::scenario::{JobArrival, Scenario};
 use peppercove_protocol::drmaa::Errno;
-use peppercove_protocol::rpc::{PlacementOutcome, PlacementResult};
-use peppercove_standins::Clock;
-use serde_json::{Value, json};
+use peppercove_protocol::rpc::PlacementOutcome;
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep, timeout};
-use tokio_util::codec::{Framed, LinesCodec};
+use tokio::time::{Instant, sleep};
 
-struct Ask {
-    arrival: Rc<JobArrival>,
+/// A job that a client waits for.
+struct JobRequest {
+    job: JobArrival,
+    /// Number of the task, unique in the run.
     task: u64,
-    tries: u32,
-    since: Instant,
-    /// The controller that may have started it.
-    asked: Option<usize>,
+    /// Submissions before this one.
+    retries: u32,
+    /// When it was submitted last.
+    submitted: Instant,
+    /// Another controller that may have started it.
+    first_controller: Option<usize>,
+}
+
+/// What all clients of a run share.
+struct Shared {
+    policy: ClientPolicy,
+    idempotent_classes: BTreeSet<String>,
+    /// Nothing is submitted again after this.
+    end: Instant,
+    tally: Rc<RefCell<ClientTally>>,
 }
 
 /// The clients of one controller, on one connection at a time.
-pub struct Desk {
+pub struct ClientGroup {
+    /// Index of the controller.
     controller: usize,
     address: SocketAddrV4,
     session: String,
-    classes: BTreeMap<String, ClassFact>,
-    settle: Duration,
-    moves: f64,
-    until: Instant,
-    tally: Rc<RefCell<Tally>>,
-    seed: RefCell<fastrand::Rng>,
-    queue: mpsc::UnboundedSender<Ask>,
-    open: Cell<usize>,
-    next: Cell<u64>,
-    /// Where a job of no harm goes when its own controller is away.
-    others: RefCell<Vec<Rc<Desk>>>,
+    shared: Rc<Shared>,
+    rng: RefCell<fastrand::Rng>,
+    /// Requests for the task that holds the connection.
+    queue: mpsc::UnboundedSender<JobRequest>,
+    /// Requests that are not finished.
+    open_requests: Cell<usize>,
+    /// Calls so far.
+    calls: Cell<u64>,
+    /// Clients of the other controllers, which take over requests when this one's controller is lost.
+    others: RefCell<Vec<Weak<ClientGroup>>>,
 }
 
-/// What all the desks of a day share.
-pub struct Owners {
-    /// One for each controller.
-    pub desks: Vec<Rc<Desk>>,
+/// All clients of a run.
+pub struct Clients {
+    /// Those of each controller.
+    pub groups: Vec<Rc<ClientGroup>>,
     /// What they counted.
-    pub tally: Rc<RefCell<Tally>>,
+    pub tally: Rc<RefCell<ClientTally>>,
 }
 
-impl Owners {
-    /// Opens a desk for each address; within a `LocalSet`. Nobody asks again after `until`.
-    pub fn open(
+impl Clients {
+    /// Starts the clients of the controller at each address. Must be called within a `LocalSet`. Nothing is submitted
+    /// again after `end`.
+    pub fn start(
+        scenario: &Scenario,
         addresses: &[SocketAddrV4],
-        classes: &BTreeMap<String, ClassFact>,
-        settle: Duration,
-        moves: f64,
-        until: Instant,
+        end: Instant,
         seed: u64,
-    ) -> Owners {
-        let tally = Rc::new(RefCell::new(Tally::default()));
-        let mut desks = Vec::new();
-        for (i, address) in addresses.iter().enumerate() {
-            let (queue, asks) = mpsc::unbounded_channel();
-            let desk = Rc::new(Desk {
-                controller: i,
-                address: *address,
-                session: format!("owners-{seed}-{i}"),
-                classes: classes.clone(),
-                settle,
-                moves,
-                until,
-                tally: tally.clone(),
-                seed: RefCell::new(fastrand::Rng::with_seed(seed ^ i as u64)),
-                queue,
-                open: Cell::new(0),
-                next: Cell::new(0),
-                others: RefCell::default(),
-            });
-            spawn_local(run(desk.clone(), asks));
-            desks.push(desk);
-        }
-        for desk in &desks {
-            *desk.others.borrow_mut() = desks
-                .iter()
-                .filter(|d| !Rc::ptr_eq(d, desk))
-                .cloned()
-                .collect();
+    ) -> Clients {
+        let tally = Rc::new(RefCell::new(ClientTally::default()));
+        let settings = &scenario.config.scheduler;
+        let shared = Rc::new(Shared {
+            policy: ClientPolicy {
+                ambiguous_retry_delay: Duration::from_micros(settings.ambiguous_retry_delay),
+                failover_share: scenario.client_failover_share,
+            },
+            idempotent_classes: idempotent_classes(scenario),
+            end,
+            tally: tally.clone(),
+        });
+        let addresses = addresses.iter().enumerate();
+        let groups: Vec<Rc<ClientGroup>> = addresses
+            .map(|(index, address)| ClientGroup::start(index, *address, seed, shared.clone()))
+            .collect();
+        for group in &groups {
+            let others = groups.iter().filter(|other| !Rc::ptr_eq(other, group));
+            *group.others.borrow_mut() = others.map(Rc::downgrade).collect();
         }
-        Owners { desks, tally }
+        Clients { groups, tally }
     }
 
-    /// Asks that wait for their answer, or to be made again.
-    pub fn open_asks(&self) -> usize {
-        self.desks.iter().map(|d| d.open.get()).sum()
+    /// Requests that are not finished.
+    pub fn open_requests(&self) -> usize {
+        let groups = self.groups.iter();
+        groups.map(|group| group.open_requests.get()).sum()
     }
 }
 
-impl Desk {
-    /// A new job.
-    pub fn submit(&self, arrival: JobArrival, task: u64) {
-        self.tally.borrow_mut().jobs += 1;
-        self.open.set(self.open.get() + 1);
-        let ask = Ask {
-            arrival: Rc::new(arrival),
+fn idempotent_classes(scenario: &Scenario) -> BTreeSet<String> {
+    let names = scenario.config.classes.iter();
+    let classes = names.zip(&scenario.config.scheduler.classes);
+    classes
+        .filter(|(_, class)| class.idempotency == Idempotency::Idempotent)
+        .map(|(name, _)| name.clone())
+        .collect()
+}
+
+impl ClientGroup {
+    fn start(
+        controller: usize,
+        address: SocketAddrV4,
+        seed: u64,
+        shared: Rc<Shared>,
+    ) -> Rc<ClientGroup> {
+        let (queue, requests) = mpsc::unbounded_channel();
+        let group = Rc::new(ClientGroup {
+            controller,
+            address,
+            session: format!("owners-{seed}-{controller}"),
+            shared,
+            rng: RefCell::new(fastrand::Rng::with_seed(seed ^ controller as u64)),
+            queue,
+            open_requests: Cell::new(0),
+            calls: Cell::new(0),
+            others: RefCell::default(),
+        });
+        spawn_local(connection::run(group.clone(), requests));
+        group
+    }
+
+    /// Submits a new job.
+    pub fn submit(&self, job: JobArrival, task: u64) {
+        self.shared.tally.borrow_mut().jobs += 1;
+        self.add_open_request();
+        let request = JobRequest {
+            job,
             task,
-            tries: 0,
-            since: Instant::now(),
-            asked: None,
+            retries: 0,
+            submitted: Instant::now(),
+            first_controller: None,
         };
-        let _ = self.queue.send(ask);
+        let _ = self.queue.send(request);
     }
 
-    /// Asks again after a while, unless the day is over or it was tried often enough.
-    fn again(self: &Rc<Desk>, mut ask: Ask, after: Duration) {
-        ask.tries += 1;
-        if !may_try(ask.tries) || Instant::now() + after > self.until {
-            self.open.set(self.open.get() - 1);
-            return;
-        }
-        self.tally.borrow_mut().again += 1;
-        let desk = self.clone();
-        spawn_local(async move {
-            sleep(after).await;
-            ask.since = Instant::now();
-            let _ = desk.queue.send(ask);
-        });
+    fn add_open_request(&self) {
+        self.open_requests.set(self.open_requests.get() + 1);
     }
 
-    fn answered(self: &Rc<Desk>, ask: Ask, outcome: PlacementOutcome) {
-        let class = ask.arrival.class.clone();
-        self.tally.borrow_mut().answered(
-            ask.task,
-            &class,
-            outcome,
-            ask.since.elapsed().as_micros() as u64,
-        );
-        let next = after_answer(
-            outcome,
-            self.is_safe(&class),
-            self.settle,
-            &mut self.seed.borrow_mut(),
-        );
-        self.go_on(ask, next);
+    fn remove_open_request(&self) {
+        self.open_requests.set(self.open_requests.get() - 1);
     }
 
-    fn is_safe(&self, class: &str) -> bool {
-        self.classes.get(class).is_some_and(|c| c.safe)
+    fn on_outcome(self: &Rc<Self>, request: JobRequest, outcome: PlacementOutcome) {
+        let delay = request.submitted.elapsed().as_micros() as u64;
+        let class = &request.job.class;
+        let mut tally = self.shared.tally.borrow_mut();
+        tally.record_outcome(request.task, class, outcome, delay);
+        drop(tally);
+        let is_idempotent = self.is_idempotent(&request);
+        let policy = &self.shared.policy;
+        let next = policy.after_outcome(outcome, is_idempotent, &mut self.rng.borrow_mut());
+        self.take_step(request, next);
     }
 
-    fn go_on(self: &Rc<Desk>, ask: Ask, next: Next) {
-        match next {
-            Next::Done => self.open.set(self.open.get() - 1),
-            Next::Again(after) => self.again(ask, after),
-            Next::Elsewhere => {
-                let mut ask = ask;
-                if !self.is_safe(&ask.arrival.class) {
-                    ask.asked = ask.asked.or(Some(self.controller));
-                }
-                let others = self.others.borrow();
-                let i = self.seed.borrow_mut().usize(0..others.len());
-                self.open.set(self.open.get() - 1);
-                others[i].open.set(others[i].open.get() + 1);
-                others[i].again(ask, Duration::ZERO);
-            }
-        }
+    fn on_rejected(
+        self: &Rc<Self>,
+        request: JobRequest,
+        errno: Errno,
+        retry_after_ms: Option<u64>,
+    ) {
+        let mut tally = self.shared.tally.borrow_mut();
+        tally.record_rejection(errno.name());
+        drop(tally);
+        let next = ClientPolicy::after_rejection(retry_after_ms, &mut self.rng.borrow_mut());
+        self.take_step(request, next);
     }
 
-    /// The controller went away with this ask open.
-    fn lost(self: &Rc<Desk>, ask: Ask) {
-        let (safe, others) = (
-            self.is_safe(&ask.arrival.class),
-            !self.others.borrow().is_empty(),
-        );
-        let next = after_loss(
-            safe,
-            others,
-            self.moves,
-            self.settle,
-            &mut self.seed.borrow_mut(),
-        );
-        self.go_on(ask, next);
+    /// The connection broke while the request was open.
+    fn on_lost(self: &Rc<Self>, request: JobRequest) {
+        let is_idempotent = self.is_idempotent(&request);
+        let has_others = !self.others.borrow().is_empty();
+        let policy = &self.shared.policy;
+        let next = policy.after_disconnect(is_idempotent, has_others, &mut self.rng.borrow_mut());
+        self.take_step(request, next);
     }
 
-    fn call(&self, ask: &Ask) -> (String, Value) {
-        let n = self.next.get() + 1;
-        self.next.set(n);
-        let a = &ask.arrival;
-        let key = format!("{:x}-{}-{n}", ask.task, ask.tries);
-        let mut native = format!("task=t{:x} life={}us", ask.task, a.life.as_micros());
-        if ask.tries > 0 {
-            native += " again=yes";
-        }
-        if let Some(asked) = ask.asked.filter(|asked| *asked != self.controller) {
-            native += &format!(" asked=controller-{asked}");
-        }
-        for (name, value) in [("cores", a.cores), ("memory", a.memory)] {
-            if let Some(value) = value {
-                native += &format!(" {name}={value}");
-            }
-        }
-        if let Some(tenant) = &a.tenant {
-            native += &format!(" tenant={tenant}");
-        }
-        let attributes = json!({
-            "drmaa_remote_command": "sleep",
-            "drmaa_job_name": a.service,
-            "drmaa_job_category": a.class,
-            "drmaa_native_specification": native,
-        });
-        let params = json!({ "jobTemplate": { "attributes": attributes }, "submissionKey": key });
-        (
-            key,
-            json!({ "jsonrpc": "2.0", "id": n, "method": "runJob", "params": params }),
-        )
+    fn is_idempotent(&self, request: &JobRequest) -> bool {
+        let classes = &self.shared.idempotent_classes;
+        classes.contains(&request.job.class)
     }
-}
 
-async fn run(desk: Rc<Desk>, mut asks: mpsc::UnboundedReceiver<Ask>) {
-    let mut waiting: Vec<Ask> = Vec::new();
-    loop {
-        let Some(mut lines) = connect(&desk).await else {
-            sleep(Duration::from_millis(50)).await;
-            continue;
-        };
-        let mut sent: BTreeMap<u64, (String, Ask)> = BTreeMap::new();
-        let mut open: BTreeMap<String, Ask> = BTreeMap::new();
-        let mut early: BTreeMap<String, PlacementOutcome> = BTreeMap::new();
-        loop {
-            tokio::select! {
-                ask = asks.recv() => {
-                    let Some(ask) = ask else { return };
-                    let (key, call) = desk.call(&ask);
-                    let id = call["id"].as_u64().unwrap_or_default();
-                    sent.insert(id, (key, ask));
-                    if lines.send(call.to_string()).await.is_err() {
-                        break;
-                    }
-                }
-                line = lines.next() => {
-                    let Some(Ok(line)) = line else { break };
-                    let Ok(value) = serde_json::from_str::<Value>(&line) else { break };
-                    if value["method"] == "settled" {
-                        let Ok(settled) = serde_json::from_value::<PlacementResult>(value["params"].clone()) else { break };
-                        match open.remove(&settled.submission_key) {
-                            Some(ask) => desk.answered(ask, settled.outcome),
-                            None => {
-                                early.insert(settled.submission_key, settled.outcome);
-                            }
-                        }
-                        continue;
-                    }
-                    let Some((key, ask)) = value["id"].as_u64().and_then(|id| sent.remove(&id)) else { continue };
-                    if value["result"]["jobId"].is_string() {
-                        match early.remove(&key) {
-                            Some(outcome) => desk.answered(ask, outcome),
-                            None => {
-                                open.insert(key, ask);
-                            }
-                        }
-                        continue;
-                    }
-                    let data = &value["error"]["data"];
-                    let errno = data["errno"].as_str().and_then(Errno::from_name).unwrap_or(Errno::InternalError);
-                    *desk.tally.borrow_mut().turned_away.entry(errno.name()).or_insert(0) += 1;
-                    let next = after_door(data["retryAfterMs"].as_u64(), &mut desk.seed.borrow_mut());
-                    desk.go_on(ask, next);
-                }
-            }
-        }
-        // The connection broke: what was open is lost to it.
-        waiting.extend(sent.into_values().map(|(_, ask)| ask));
-        waiting.extend(open.into_values());
-        for ask in waiting.drain(..) {
-            desk.lost(ask);
+    fn take_step(self: &Rc<Self>, request: JobRequest, next: NextStep) {
+        match next {
+            NextStep::Finish => self.remove_open_request(),
+            NextStep::Retry(wait) => self.retry(request, wait),
+            NextStep::FailOver => self.fail_over(request),
         }
     }
-}
 
-type Lines = Framed<TcpStream, LinesCodec>;
-
-async fn connect(desk: &Desk) -> Option<Lines> {
-    let stream = TcpStream::connect(desk.address).await.ok()?;
-    let _ = stream.set_nodelay(true);
-    let mut lines = Framed::new(stream, LinesCodec::new_with_max_length(1 << 20));
-    let params = json!({ "session": desk.session, "notify": true });
-    let init = json!({ "jsonrpc": "2.0", "id": 0, "method": "init", "params": params });
-    lines.send(init.to_string()).await.ok()?;
-    let reply = timeout(Duration::from_secs(2), lines.next())
-        .await
-        .ok()??
-        .ok()?;
-    let reply: Value = serde_json::from_str(&reply).ok()?;
-    let _ = desk.controller;
-    (!reply["result"].is_null()).then_some(lines)
-}
-
-/// A client that does its worst: what it sends, and whether it stays on afterwards.
-pub async fn misbehave(address: SocketAddrV4, kind: &str, clock: Clock, lasts: Duration) {
-    let end = clock.now() + lasts.as_micros() as u64;
-    let Ok(stream) = TcpStream::connect(address).await else {
-        return;
-    };
-    let mut lines = Framed::new(stream, LinesCodec::new());
-    let init = json!({ "jsonrpc": "2.0", "id": 0, "method": "init", "params": { "session": format!("bad-{kind}-{}", address.port()) } });
-    let _ = lines.send(init.to_string()).await;
-    match kind {
-        "client-flood" => {
-            // Calls without reading a single answer.
-            let call = json!({ "jsonrpc": "2.0", "id": 1, "method": "jobPs", "params": { "jobId": "none" } })
-                .to_string();
-            while clock.now() < end {
-                let flood = async {
-                    for _ in 0..100 {
-                        lines.feed(&call).await?;
-                    }
-                    SinkExt::<&String>::flush(&mut lines).await
-                };
-                match timeout(Duration::from_millis(100), flood).await {
-                    Ok(Ok(())) => tokio::task::yield_now().await,
-                    Ok(Err(_)) => return,
-                    Err(_) => {}
-                }
-            }
-        }
-        "client-half-line" => {
-            use tokio::io::AsyncWriteExt;
-            let _ = lines
-                .get_mut()
-                .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"meth")
-                .await;
-            sleep(lasts).await;
+    /// Submits the request to another controller, drawn at random.
+    fn fail_over(&self, mut request: JobRequest) {
+        if !self.is_idempotent(&request) {
+            request.first_controller = request.first_controller.or(Some(self.controller));
         }
-        "client-nonsense" => {
-            let long = "x".repeat(peppercove_protocol::rpc::MAX_LINE_BYTES + 1);
-            let lots = [
-                "not json",
-                "{}",
-                "[]",
-                "{\"jsonrpc\":\"1.0\",\"id\":1,\"method\":\"exit\"}",
-                "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"fly\"}",
-                "{\"jsonrpc\":\"2.0\",\"id\":3,\"method\":\"runJob\",\"params\":{\"jobTemplate\":7}}",
-                "{\"jsonrpc\":\"2.0\",\"id\":4,\"method\":\"runJob\",\"params\":{\"jobTemplate\":{},\"submissionKey\":\"k\"}}",
-                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"wait\",\"params\":{\"jobId\":\"\\u0000\"}}",
-                long.as_str(),
-            ];
-            for line in lots {
-                let _ = timeout(Duration::from_millis(100), lines.send(line)).await;
-            }
-            sleep(lasts.min(Duration::from_millis(200))).await;
+        let others = self.others.borrow();
+        let index = self.rng.borrow_mut().usize(0..others.len());
+        if let Some(other) = others[index].upgrade() {
+            self.remove_open_request();
+            other.add_open_request();
+            other.retry(request, Duration::ZERO);
         }
-        _ => {
-            // Gone before its answer.
-            let attributes =
-                json!({ "drmaa_remote_command": "sleep", "drmaa_native_specification": "life=1s" });
-            let params =
-                json!({ "jobTemplate": { "attributes": attributes }, "submissionKey": "gone" });
-            let call = json!({ "jsonrpc": "2.0", "id": 1, "method": "runJob", "params": params });
-            let _ = lines.send(call.to_string()).await;
+    }
+
+    /// Submits the request again after a wait, unless it was submitted too often or the run ends before.
+    fn retry(self: &Rc<Self>, mut request: JobRequest, wait: Duration) {
+        request.retries += 1;
+        let is_late = Instant::now() + wait > self.shared.end;
+        if !ClientPolicy::may_retry(request.retries) || is_late {
+            return self.remove_open_request();
         }
+        self.shared.tally.borrow_mut().retries += 1;
+        let group = self.clone();
+        spawn_local(async move {
+            sleep(wait).await;
+            request.submitted = Instant::now();
+            let _ = group.queue.send(request);
+        });
     }
 }
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -1,8 +1,8 @@
-//! Scripted days: a fleet on loopback sockets, a load, faults over time, taps between them, and the verdict.
+//! Scenarios on real sockets: controllers, fake nodes and a node list on loopback, a workload, faults over time, and
+//! proxies on every socket that record what crosses it for the audit.
 //!
-//! [`script`] reads a day; [`mod@runner`] plays it with real controllers, stand-in nodes and a node list; [`capturing_proxy`] sits on
-//! every socket and writes down what crosses it; the audit judges that. [`incident_import`] turns a recording of the bench
-//! into a day.
+//! [`Scenario`] is read from a file; [`run_scenario`] runs it; [`capturing_proxy`] records; [`incident_import`] turns a
+//! recording of the bench into a scenario. [`cluster`] is a small cluster to look at and to test against.
 
 pub mod capturing_proxy;
 pub mod clients;
--- /dev/null
+++ b/crates/day/src/runner/arrivals.rs
@@ -0,0 +1,102 @@
+//! Submits the jobs of a scenario at their times.
+
+use super::fleet::Fleet;
+use crate::clients::Clients;
+use peppercove_kernel::scenario::{JobArrival, Scenario, Workload};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep_until};
+
+/// Marks the task numbers of jobs at stated times.
+const STATED_JOB: u64 = 1 << 56;
+
+/// Position of the workload's index in a task number.
+const WORKLOAD_SHIFT: u32 = 40;
+
+/// Keeps the draws of arrivals apart from others with the same seed.
+const SEED_SALT: u64 = 0x10ad;
+
+/// Starts a task for each workload, and one for the jobs at stated times.
+pub(super) fn spawn(
+    fleet: &Rc<Fleet>,
+    clients: &Rc<Clients>,
+    scenario: &Scenario,
+    seed: u64,
+    begin: Instant,
+) {
+    for (index, workload) in scenario.workloads.iter().enumerate() {
+        let source = WorkloadSource {
+            fleet: fleet.clone(),
+            clients: clients.clone(),
+            workload: workload.clone(),
+            index: index as u64,
+            rng: fastrand::Rng::with_seed(seed ^ SEED_SALT ^ (index as u64) << 24),
+            begin,
+            end: begin + scenario.duration,
+        };
+        spawn_local(source.run());
+    }
+    spawn_local(submit_stated(clients.clone(), scenario.jobs.clone(), begin));
+}
+
+/// Submits the jobs of one workload.
+struct WorkloadSource {
+    fleet: Rc<Fleet>,
+    clients: Rc<Clients>,
+    workload: Workload,
+    index: u64,
+    rng: fastrand::Rng,
+    begin: Instant,
+    end: Instant,
+}
+
+impl WorkloadSource {
+    async fn run(mut self) {
+        let mut at = self.begin;
+        let mut number = 0;
+        loop {
+            at += self.draw_wait();
+            if at >= self.end {
+                return;
+            }
+            sleep_until(at).await;
+            number += 1;
+            let job = self.draw_job(at);
+            let task = self.index << WORKLOAD_SHIFT | number;
+            self.clients.groups[job.controller].submit(job, task);
+        }
+    }
+
+    fn draw_wait(&mut self) -> Duration {
+        let rate = self.workload.rate * self.fleet.rate_factor.get();
+        Duration::from_secs_f64(-(1.0 - self.rng.f64()).ln() / rate)
+    }
+
+    fn draw_job(&mut self, at: Instant) -> JobArrival {
+        let workload = &self.workload;
+        // The order of the draws is part of what a seed means.
+        let controller = self.rng.usize(0..self.clients.groups.len());
+        let run_time_factor = 0.3 - 0.7 * (1.0 - self.rng.f64()).ln();
+        let service = self.rng.u64(0..workload.services);
+        JobArrival {
+            at: at - self.begin,
+            class: workload.class.clone(),
+            service: format!("{}-{service}", workload.class),
+            run_time: workload.mean_run_time.mul_f64(run_time_factor),
+            cores: workload.cores,
+            memory: workload.memory,
+            tenant: workload.tenant.clone(),
+            controller,
+        }
+    }
+}
+
+async fn submit_stated(clients: Rc<Clients>, mut jobs: Vec<JobArrival>, begin: Instant) {
+    jobs.sort_by_key(|job| job.at);
+    for (index, job) in jobs.into_iter().enumerate() {
+        sleep_until(begin + job.at).await;
+        let group = &clients.groups[job.controller % clients.groups.len()];
+        group.submit(job, STATED_JOB | index as u64);
+    }
+}
--- /dev/null
+++ b/crates/day/src/runner/faults.rs
@@ -0,0 +1,143 @@
+//! Faults of a scenario: each is a task that begins and ends it at its times.
+
+use super::fleet::Fleet;
+use crate::clients::misbehaving;
+use peppercove_kernel::scenario::{Fault, FaultKind};
+use peppercove_protocol::list::NodeState;
+use peppercove_standins::node::FakeNode;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep_until};
+
+/// Begins a fault at its time and ends it at its end.
+pub(super) async fn run(fleet: Rc<Fleet>, fault: Fault, begin: Instant, mut rng: fastrand::Rng) {
+    sleep_until(begin + fault.at).await;
+    let end = begin + fault.at + fault.duration;
+    let targets = fleet.select_nodes(&fault.target, &mut rng);
+    let nodes = targets.iter().map(|index| fleet.nodes[*index].clone());
+    let nodes: Vec<FakeNode> = nodes.collect();
+    match fault.kind {
+        FaultKind::ListDown | FaultKind::ListStale => affect_list(&fleet, &fault, end).await,
+        FaultKind::Burst => burst(&fleet, fault.magnitude, end).await,
+        FaultKind::ControllerKilled => kill_controllers(&fleet, &fault, end, &mut rng).await,
+        FaultKind::ClientGone
+        | FaultKind::ClientFlood
+        | FaultKind::ClientHalfLine
+        | FaultKind::ClientNonsense => misbehave(&fleet, &fault, end).await,
+        FaultKind::RackCut => partition(&fleet, &targets, end).await,
+        FaultKind::Cut => nodes.iter().for_each(FakeNode::disconnect),
+        FaultKind::CutMidframe => nodes.iter().for_each(FakeNode::disconnect_mid_frame),
+        FaultKind::Flush => nodes.iter().for_each(|node| node.flush(fault.magnitude)),
+        FaultKind::Dies => kill_nodes(&fleet, &nodes),
+        FaultKind::Restarts => restart_nodes(&fleet, &nodes, end).await,
+        FaultKind::Drains => drain_nodes(&fleet, &nodes, end).await,
+        FaultKind::Hang
+        | FaultKind::AnswersLost
+        | FaultKind::NeverConfirms
+        | FaultKind::ClassError
+        | FaultKind::ClassSilence
+        | FaultKind::FalseRefusals
+        | FaultKind::Ageing
+        | FaultKind::ReportsLate
+        | FaultKind::Neighbour
+        | FaultKind::Repeats
+        | FaultKind::Lies => {
+            change_node_faults(&nodes, &fault, true);
+            sleep_until(end).await;
+            change_node_faults(&nodes, &fault, false);
+        }
+    }
+}
+
+async fn affect_list(fleet: &Fleet, fault: &Fault, end: Instant) {
+    if fault.kind == FaultKind::ListDown {
+        fleet.list.change_faults(|faults| faults.down = true);
+        sleep_until(end).await;
+        fleet.list.change_faults(|faults| faults.down = false);
+    } else {
+        let further = (fault.magnitude * 1e6) as u64;
+        fleet.list.change_faults(|faults| faults.delay += further);
+        sleep_until(end).await;
+        fleet.list.change_faults(|faults| faults.delay -= further);
+    }
+}
+
+async fn burst(fleet: &Fleet, factor: f64, end: Instant) {
+    fleet.rate_factor.set(fleet.rate_factor.get() * factor);
+    sleep_until(end).await;
+    fleet.rate_factor.set(fleet.rate_factor.get() / factor);
+}
+
+async fn misbehave(fleet: &Fleet, fault: &Fault, end: Instant) {
+    for address in fleet.client_addresses() {
+        spawn_local(misbehaving::run(
+            address,
+            fault.kind,
+            fleet.clock,
+            fault.duration,
+        ));
+    }
+    sleep_until(end).await;
+}
+
+async fn partition(fleet: &Fleet, nodes: &[usize], end: Instant) {
+    let set_cut = |cut: bool| {
+        for node in nodes {
+            fleet.node_proxies[*node].set_cut(cut);
+        }
+    };
+    set_cut(true);
+    sleep_until(end).await;
+    set_cut(false);
+}
+
+/// The nodes stay dead; the list learns of it late.
+fn kill_nodes(fleet: &Fleet, nodes: &[FakeNode]) {
+    nodes.iter().for_each(FakeNode::kill);
+    for node in nodes {
+        fleet.list.change(node.name(), NodeState::Removed);
+    }
+}
+
+async fn restart_nodes(fleet: &Fleet, nodes: &[FakeNode], end: Instant) {
+    nodes.iter().for_each(FakeNode::kill);
+    sleep_until(end).await;
+    for node in nodes {
+        node.restart();
+        fleet.list.change(node.name(), NodeState::Ready);
+    }
+}
+
+async fn drain_nodes(fleet: &Fleet, nodes: &[FakeNode], end: Instant) {
+    for node in nodes {
+        fleet.list.change(node.name(), NodeState::Draining);
+        node.drain();
+    }
+    sleep_until(end).await;
+    for node in nodes {
+        node.kill();
+        fleet.list.change(node.name(), NodeState::Removed);
+    }
+}
+
+fn change_node_faults(nodes: &[FakeNode], fault: &Fault, active: bool) {
+    for node in nodes {
+        node.change_faults(|faults| fault.apply_to(faults, active));
+    }
+}
+
+async fn kill_controllers(fleet: &Fleet, fault: &Fault, end: Instant, rng: &mut fastrand::Rng) {
+    let targets = fault
+        .target
+        .select_controllers(fleet.controllers.len(), rng);
+    for index in &targets {
+        fleet.controllers[*index].kill(&fleet.capture_log);
+    }
+    sleep_until(end).await;
+    for index in targets {
+        let started = fleet.controllers[index].start(&fleet.capture_log).await;
+        if let Err(error) = started {
+            tracing::error!(%error, "a killed controller did not come back");
+        }
+    }
+}
--- a/crates/day/tests/trouble.rs
+++ b/crates/day/tests/incident_import.rs
@@ -1,4 +1,4 @@
-//! A small recording made by hand becomes a day that shows what it shows.
+//! A small recording made by hand becomes a scenario with the faults that it shows.
 
 use peppercove_day::incident_import::{ImportError, import_recording};
 use peppercove_day::{RunOptions, Scenario, run_scenario};
@@ -17,20 +17,20 @@
  "tenants": [], "tick": 2000}"#;
 
 /// Batches in the form of the bench's recordings.
-struct Tap {
+struct Recording {
     text: String,
     body: Vec<u8>,
     records: u32,
 }
 
-impl Tap {
-    fn record(&mut self, parts: &[&[u8]]) -> &mut Tap {
+impl Recording {
+    fn record(&mut self, parts: &[&[u8]]) -> &mut Recording {
         self.records += 1;
         self.body.extend(parts.concat());
         self
     }
 
-    fn instance(&mut self) -> &mut Tap {
+    fn instance(&mut self) -> &mut Recording {
         self.record(&[&[14, 0, 0]])
     }
 
@@ -112,29 +112,32 @@
 }
 
 fn recording() -> String {
-    let mut tap = Tap {
+    let mut recording = Recording {
         text: String::new(),
         body: Vec::new(),
         records: 0,
     };
-    tap.flush(5_000);
+    recording.flush(5_000);
     let facts = FACTS.as_bytes();
-    tap.instance();
-    tap.record(&[
+    recording.instance();
+    recording.record(&[
         &[1],
         &9u64.to_le_bytes(),
         &(facts.len() as u32).to_le_bytes(),
         facts,
     ]);
     let table: Vec<u8> = (1..=3).flat_map(|i| line(i, 1, 0)).collect();
-    tap.record(&[&[13, 0], &3u32.to_le_bytes(), &table])
+    recording
+        .record(&[&[13, 0], &3u32.to_le_bytes(), &table])
         .instance();
-    tap.record(&[&[2, 0], &1u64.to_le_bytes(), &[2]]);
-    tap.flush(1_000_000);
+    recording.record(&[&[2, 0], &1u64.to_le_bytes(), &[2]]);
+    recording.flush(1_000_000);
     // Ten tasks; node 3 answers none of two, and fails class 1 twice later.
     for i in 0..10u64 {
-        tap.instance().record(&[&place(i, u16::from(i % 5 == 4))]);
-        tap.flush(1_000_000 + i * 100_000);
+        recording
+            .instance()
+            .record(&[&place(i, u16::from(i % 5 == 4))]);
+        recording.flush(1_000_000 + i * 100_000);
     }
     for (i, node, code) in [
         (0, 1, 200),
@@ -143,22 +146,24 @@
         (4, 3, 502),
         (9, 3, 502),
     ] {
-        tap.instance().record(&[&reply(i, node, code)]);
-        tap.flush(2_000_000 + i * 10_000);
+        recording.instance().record(&[&reply(i, node, code)]);
+        recording.flush(2_000_000 + i * 10_000);
     }
     // Node 2 drains, and the list is out of reach.
-    tap.record(&[&[13, 1], &1u32.to_le_bytes(), &line(2, 2, 0)])
+    recording
+        .record(&[&[13, 1], &1u32.to_le_bytes(), &line(2, 2, 0)])
         .instance();
-    tap.record(&[&[2, 1], &2u64.to_le_bytes(), &[0]])
+    recording
+        .record(&[&[2, 1], &2u64.to_le_bytes(), &[0]])
         .record(&[&[2, 0], &[0; 8], &[3]]);
-    tap.flush(1_800_000);
-    tap.instance().record(&[&place(20, 0)]);
-    tap.flush(4_000_000);
-    tap.text
+    recording.flush(1_800_000);
+    recording.instance().record(&[&place(20, 0)]);
+    recording.flush(4_000_000);
+    recording.text
 }
 
 #[test]
-fn a_recording_becomes_a_day_with_its_faults_and_the_day_can_be_played() {
+fn recording_becomes_a_scenario_with_its_faults_that_runs_on_sockets() {
     let imported = import_recording(recording().as_bytes(), "made", 10.0, 1).unwrap();
     assert_eq!(
         imported.summary,
@@ -179,20 +184,20 @@
     let folder = std::env::temp_dir().join(format!("peppercove-trouble-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("made-settings.xml"), &imported.settings).unwrap();
-    let script = Scenario::parse(&imported.scenario, &folder).unwrap();
+    let scenario = Scenario::parse(&imported.scenario, &folder).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!(script.config.scheduler.slow_start_budget, 28.0);
+    assert_eq!(scenario.config.scheduler.slow_start_budget, 28.0);
     assert_eq!(
-        script.config.scheduler.classes[1].idempotency,
+        scenario.config.scheduler.classes[1].idempotency,
         peppercove::Idempotency::NonIdempotent
     );
-    let report = run_scenario(&script, 1, &RunOptions::default()).unwrap();
+    let report = run_scenario(&scenario, 1, &RunOptions::default()).unwrap();
     assert!(report.is_clean(), "{:#?}", report.audit.violations);
     assert_eq!(report.jobs, 11);
 }
 
 #[test]
-fn what_is_no_recording_is_told_with_its_line() {
+fn invalid_recording_is_reported_with_its_line() {
     let line = |text: &str| match import_recording(text.as_bytes(), "x", 1.0, 1).unwrap_err() {
         ImportError::Line { line, .. } => line,
         ImportError::Empty(_) => 0,
--- a/crates/day/tests/days.rs
+++ b/crates/day/tests/scenarios.rs
@@ -1,19 +1,19 @@
-//! Every shipped day keeps the five rules and leaves nothing open.
+//! Scenarios on sockets: the built-in ones, invalid files, and records of controllers.
 
 use peppercove_day::{RunOptions, Scenario, built_in_scenarios, run_scenario};
 use std::path::Path;
 
 #[test]
-fn every_shipped_day_keeps_the_rules() {
-    let scripts: Vec<Scenario> = built_in_scenarios()
+fn built_in_scenarios_violate_no_rule_on_sockets() {
+    let scenarios: Vec<Scenario> = built_in_scenarios()
         .iter()
         .map(|(name, text)| {
             Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"))
         })
         .collect();
-    // They mostly wait, so all may run at once; the audit allows for what the machine stalls.
+    // They mostly wait, so all may run at once; the audit allows for stalls of the machine.
     let reports: Vec<_> = std::thread::scope(|scope| {
-        let running: Vec<_> = scripts
+        let running: Vec<_> = scenarios
             .iter()
             .map(|s| scope.spawn(move || run_scenario(s, s.seed, &RunOptions::default()).unwrap()))
             .collect();
@@ -29,7 +29,7 @@
         assert_eq!(report.unanswered_requests, 0, "{}", report.scenario);
         assert!(
             report.jobs > 20 && report.audit.accepted > 20,
-            "{}: nothing was tried",
+            "{}: no job was accepted",
             report.scenario
         );
         let c = report.counters;
@@ -40,7 +40,7 @@
             report.scenario
         );
     }
-    // A day that shows nothing of its fault would prove nothing.
+    // A scenario that shows no effect of its fault would prove nothing.
     let of = |name: &str| reports.iter().find(|r| r.scenario == name).unwrap();
     assert!(
         of("cut").counters.adopted + of("cut").counters.orphans_stopped + of("cut").retries > 0
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_wrong_day_is_told_with_its_place() {
+fn invalid_scenario_is_reported_with_its_place() {
     let cases = [
         (
             "<day name=\"x\" length=\"1s\"><fleet><nodes count=\"1\" kind=\"tiny\"/></fleet></day>",
@@ -85,22 +85,22 @@
     let made = peppercove_config::schema::xsd(&peppercove_day::scenario::SCENARIO_ELEMENT);
     assert!(
         schema == made,
-        "make it anew: peppercove config schema --day > schema/day.xsd"
+        "generate it again: peppercove config schema --day > schema/day.xsd"
     );
 }
 
 #[test]
-fn a_record_of_a_day_put_through_the_core_again_comes_to_the_same() {
+fn replaying_the_record_of_a_controller_gives_the_same_outputs_and_counters() {
     use peppercove_core::recording;
     let (name, text) = built_in_scenarios()
         .iter()
         .find(|(name, _)| *name == "cut")
         .unwrap();
-    let script = Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"));
+    let scenario = Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"));
     let folder = std::env::temp_dir().join(format!("peppercove-records-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let report = run_scenario(
-        &script,
+        &scenario,
         3,
         &RunOptions {
             records: Some(folder.clone()),
@@ -109,13 +109,13 @@
     )
     .unwrap();
     let mut replayed = peppercove_core::Counters::default();
-    for i in 0..script.controllers {
+    for i in 0..scenario.controllers {
         let text = std::fs::read_to_string(folder.join(format!("controller-{i}.jsonl"))).unwrap();
         let (first, rest) = text.split_once('\n').unwrap();
         let head: recording::RecordingHeader = serde_json::from_str(first).unwrap();
-        let limits = peppercove_controller::core_limits(&script.config, head.incarnation);
+        let limits = peppercove_controller::core_limits(&scenario.config, head.incarnation);
         let scheduler =
-            || peppercove::Scheduler::new(head.module(&script.config.scheduler), head.seed);
+            || peppercove::Scheduler::new(head.module(&scenario.config.scheduler), head.seed);
         let mut outputs = [Vec::new(), Vec::new()];
         for outputs in &mut outputs {
             let each = |_: &recording::RecordedInput, o: &[_]| outputs.extend_from_slice(o);
@@ -129,6 +129,6 @@
         assert_eq!(outputs[0], outputs[1]);
     }
     std::fs::remove_dir_all(&folder).unwrap();
-    // Each record was put through twice; once each is what the controllers themselves came to.
+    // Each record was replayed twice; one replay each gives what the controllers counted themselves.
     assert_eq!(replayed, report.counters.plus(&report.counters));
 }
--- a/crates/kernel/examples/first.rs
+++ b/crates/kernel/examples/first.rs
@@ -1,30 +1,26 @@
-//! Plays random days one after the other until a rule breaks, and says which day it was: `first FROM MOST`.
+//! Runs random scenarios one after the other until one violates a rule, and prints which: `first FROM MOST`.
 
 use peppercove_kernel::fuzz::{run_seed, violated_rules};
 
 fn main() {
-    let number = |i: usize, or: u64| {
-        std::env::args()
-            .nth(i)
-            .and_then(|a| a.parse().ok())
-            .unwrap_or(or)
-    };
-    let (from, most) = (number(1, 1), number(2, 10_000));
+    let (from, most) = (argument(1, 1), argument(2, 10_000));
     for seed in from..from + most {
         let (_, report) = run_seed(seed);
         if !report.is_clean() {
-            let what = report
-                .audit
-                .violations
-                .first()
-                .map_or("left open", |b| b.description.as_str());
-            println!(
-                "day {} of the hunt, rules {:?}: {what}",
-                seed - from + 1,
-                violated_rules(&report)
-            );
+            let first = report.audit.violations.first();
+            let description = first.map_or("left open", |violation| &violation.description);
+            let number = seed - from + 1;
+            let rules = violated_rules(&report);
+            println!("day {number} of the hunt, rules {rules:?}: {description}");
             return;
         }
     }
     println!("not found within {most} days");
 }
+
+fn argument(index: usize, default: u64) -> u64 {
+    let argument = std::env::args().nth(index);
+    argument
+        .and_then(|argument| argument.parse().ok())
+        .unwrap_or(default)
+}
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,9 +1,9 @@
-//! Days in simulated time: the real core with the real module, the stand-ins' models of nodes and list, owners, and a
-//! network between them that delays, cuts and half-delivers; judged by the audit from what crossed it.
+//! Scenarios in simulated time: the real core with the real scheduler, models of nodes, node list and clients, and a
+//! simulated network that delays, disconnects and loses; the audit checks what crossed it.
 //!
-//! No sockets, no threads, no clock: one seed is one run, to the byte. [`play`] plays a [`Script`]; `peppercove-day`
-//! plays the same scripts on real sockets. What the daemon's I/O code would decide is in `peppercove-exchange` and used
-//! here as there.
+//! There are no sockets, threads or clocks: one seed is one run, to the byte. [`simulate`] runs a [`Scenario`];
+//! `peppercove-day` runs the same scenarios on sockets. What the daemon's I/O code would decide is in
+//! `peppercove-exchange`, which both use. [`fuzz`] makes random scenarios and shrinks those that fail.
 
 pub mod client_model;
 pub mod fuzz;
@@ -15,7 +15,7 @@
 pub use scenario::Scenario;
 pub use simulator::{simulate, simulate_with_decider, simulate_with_events, simulate_with_subset};
 
-/// The days that the program carries with it, by name.
+/// Scenario files that are built into the program, by name.
 pub fn built_in_scenarios() -> &'static [(&'static str, &'static str)] {
     &[
         ("quiet", include_str!("../days/quiet.xml")),
--- /dev/null
+++ b/crates/kernel/src/scenario/fault_target.rs
@@ -0,0 +1,51 @@
+//! What a fault affects.
+
+use peppercove_standins::node_model::NodeSpec;
+
+/// Nodes or controllers that a fault affects.
+#[derive(Clone, Debug, PartialEq)]
+pub enum FaultTarget {
+    /// A share of all, drawn at random; at least one.
+    Share(f64),
+    /// The node of that name.
+    Node(String),
+    /// The nodes of a rack.
+    Rack(u16),
+    /// The controller of that index.
+    Controller(usize),
+}
+
+impl FaultTarget {
+    /// Indices of the affected nodes.
+    pub fn select_nodes(&self, nodes: &[&NodeSpec], rng: &mut fastrand::Rng) -> Vec<usize> {
+        let matching = |matches: &dyn Fn(&NodeSpec) -> bool| {
+            let all = nodes.iter().enumerate();
+            all.filter(|(_, node)| matches(node))
+                .map(|(index, _)| index)
+                .collect()
+        };
+        match self {
+            FaultTarget::Node(name) => matching(&|node| node.name == *name),
+            FaultTarget::Rack(rack) => matching(&|node| node.rack == *rack),
+            FaultTarget::Share(share) => draw_share(nodes.len(), *share, rng),
+            FaultTarget::Controller(_) => Vec::new(),
+        }
+    }
+
+    /// Indices of the affected controllers.
+    pub fn select_controllers(&self, controllers: usize, rng: &mut fastrand::Rng) -> Vec<usize> {
+        match self {
+            FaultTarget::Controller(index) => vec![*index],
+            FaultTarget::Share(share) => draw_share(controllers, *share, rng),
+            FaultTarget::Node(_) | FaultTarget::Rack(_) => Vec::new(),
+        }
+    }
+}
+
+/// Draws a share of `0..count`, at least one.
+pub fn draw_share(count: usize, share: f64, rng: &mut fastrand::Rng) -> Vec<usize> {
+    let mut drawn: Vec<usize> = (0..count).collect();
+    rng.shuffle(&mut drawn);
+    drawn.truncate(((count as f64 * share).round() as usize).max(1));
+    drawn
+}
--- a/crates/kernel/src/simulator/clients.rs
+++ b/crates/kernel/src/simulator/clients.rs
@@ -1,443 +1,363 @@
-//! Owners, and what passes between them and their controllers.
+//! Clients: what they submit, and what they do with the messages of their controllers.
 
-use super::{Happens, World};
-use crate::client_model::{Next, after_answer, after_door, after_loss, may_try};
+use super::events::{ProcessId, SimEvent};
+use super::{Simulator, class_index, micros};
+use crate::client_model::{ClientPolicy, NextStep};
 use crate::scenario::JobArrival;
-use peppercove::{Idempotency, Micros, ServiceId, TaskKey};
+use peppercove::{Idempotency, Micros};
 use peppercove_audit::Observation;
-use peppercove_core::{Answer, Input, JobId, Program, Rejection, Submission};
 use peppercove_protocol::drmaa::Errno;
 use peppercove_protocol::node;
 use peppercove_protocol::rpc::PlacementOutcome;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use xxhash_rust::xxh3::xxh3_64;
 
-/// A job that somebody waits for.
+/// Marks the task numbers of jobs at stated times.
+const STATED_JOB: u64 = 1 << 56;
+
+/// Position of the workload's index in a task number.
+const WORKLOAD_SHIFT: u32 = 40;
+
+/// A job that a client waits for.
 #[derive(Clone, Debug)]
-pub(super) struct Ask {
-    arrival: Rc<JobArrival>,
-    task: u64,
-    tries: u32,
-    since: Micros,
-    key: String,
-    /// The controller that may have started it.
-    asked: Option<usize>,
+pub(super) struct JobRequest {
+    pub(super) job: Rc<JobArrival>,
+    /// Number of the task, unique in the run.
+    pub(super) task: u64,
+    /// Submissions before this one.
+    pub(super) retries: u32,
+    /// When it was submitted last.
+    submitted: Micros,
+    /// Key of the submission.
+    pub(super) key: String,
+    /// Another controller that may have started it.
+    pub(super) first_controller: Option<usize>,
 }
 
-/// What a controller tells an owner.
+/// A message of a controller to its clients.
 #[derive(Debug)]
 pub(super) enum Reply {
-    Taken {
-        key: String,
-        job: String,
-    },
-    TurnedAway {
+    /// The submission was accepted as this job.
+    Accepted { key: String, job: String },
+    /// The submission was rejected at admission; `retry_after` in milliseconds.
+    Rejected {
         key: String,
         errno: Errno,
         retry_after: Option<u64>,
     },
-    Settled {
+    /// The outcome of a job.
+    Outcome {
         key: String,
         job: String,
         outcome: PlacementOutcome,
     },
 }
 
-/// The owners of one controller, on one connection at a time.
-pub(super) struct Desk {
-    session: String,
+/// The clients of one controller, on one connection at a time.
+pub(super) struct ClientGroup {
+    pub(super) session: String,
     rng: fastrand::Rng,
-    /// Life of the controller that it is connected to.
-    connected: Option<u64>,
-    queue: Vec<Ask>,
-    sent: BTreeMap<String, Ask>,
-    taken: BTreeMap<String, Ask>,
-    early: BTreeMap<String, PlacementOutcome>,
+    /// Incarnation of the controller that they are connected to.
+    connected_to: Option<u64>,
+    /// Requests that wait for a connection.
+    waiting: Vec<JobRequest>,
+    /// Requests that were sent and not answered, by key.
+    pub(super) sent: BTreeMap<String, JobRequest>,
+    /// Accepted requests, by key.
+    accepted: BTreeMap<String, JobRequest>,
+    /// Outcomes that overtook the acceptance of their request, by key.
+    early_outcomes: BTreeMap<String, PlacementOutcome>,
+    /// Calls so far.
     calls: u64,
-    /// When the last message each way arrives: at the controller, at the owner.
-    last: [Micros; 2],
-    pub(super) open: usize,
+    /// Arrival of the last message that is on its way to the controller.
+    last_arrival_at_controller: Micros,
+    /// Arrival of the last message that is on its way to the clients.
+    last_arrival_at_clients: Micros,
+    /// Requests that are not finished.
+    pub(super) open_requests: usize,
 }
 
-impl Desk {
-    pub(super) fn new(seed: u64, i: usize) -> Desk {
-        Desk {
-            session: format!("owners-{seed}-{i}"),
-            rng: fastrand::Rng::with_seed(seed ^ i as u64),
-            connected: None,
-            queue: Vec::new(),
+impl ClientGroup {
+    pub(super) fn new(seed: u64, controller: usize) -> ClientGroup {
+        ClientGroup {
+            session: format!("owners-{seed}-{controller}"),
+            rng: fastrand::Rng::with_seed(seed ^ controller as u64),
+            connected_to: None,
+            waiting: Vec::new(),
             sent: BTreeMap::new(),
-            taken: BTreeMap::new(),
-            early: BTreeMap::new(),
+            accepted: BTreeMap::new(),
+            early_outcomes: BTreeMap::new(),
             calls: 0,
-            last: [0; 2],
-            open: 0,
+            last_arrival_at_controller: 0,
+            last_arrival_at_clients: 0,
+            open_requests: 0,
         }
     }
+
+    /// Ends the connection: returns the requests that were open on it.
+    fn disconnect(&mut self) -> Vec<JobRequest> {
+        let sent = std::mem::take(&mut self.sent).into_values();
+        let mut lost: Vec<JobRequest> = sent.collect();
+        lost.extend(std::mem::take(&mut self.accepted).into_values());
+        self.early_outcomes.clear();
+        lost
+    }
 }
 
-impl World<'_> {
-    pub(super) fn next_arrival(&mut self, load: usize, number: u64, from: Micros) {
-        let rate = self.script.loads[load].rate * self.rate;
+impl Simulator<'_> {
+    /// Draws when the next job of a workload is submitted.
+    pub(super) fn schedule_next_arrival(&mut self, workload: usize, number: u64, from: Micros) {
+        let rate = self.scenario.workloads[workload].rate * self.rate_factor;
         let wait = -(1.0 - self.rng.f64()).ln() / rate;
         let at = from + (wait * 1e6) as Micros;
-        if at < self.end {
-            self.at(
-                at,
-                Happens::Arrives {
-                    load,
-                    number: number + 1,
-                },
-            );
+        if at < self.submissions_end {
+            let number = number + 1;
+            self.schedule_at(at, SimEvent::WorkloadArrival { workload, number });
         }
     }
 
-    pub(super) fn arrives(&mut self, load: usize, number: u64) {
-        let l = &self.script.loads[load];
-        let desk = self.rng.usize(0..self.desks.len());
-        let arrival = JobArrival {
-            at: Duration::from_micros(self.now),
-            class: l.class.clone(),
-            service: format!("{}-{}", l.class, self.rng.u64(0..l.services)),
-            life: l.life.mul_f64(0.3 - 0.7 * (1.0 - self.rng.f64()).ln()),
-            cores: l.cores,
-            memory: l.memory,
-            tenant: l.tenant.clone(),
-            controller: desk,
+    pub(super) fn on_workload_arrival(&mut self, index: usize, number: u64) {
+        let workload = &self.scenario.workloads[index];
+        // The order of the draws is part of what a seed means.
+        let controller = self.rng.usize(0..self.clients.len());
+        let service = self.rng.u64(0..workload.services);
+        let run_time_factor = 0.3 - 0.7 * (1.0 - self.rng.f64()).ln();
+        let job = JobArrival {
+            at: Duration::from_micros(self.now()),
+            class: workload.class.clone(),
+            service: format!("{}-{service}", workload.class),
+            run_time: workload.mean_run_time.mul_f64(run_time_factor),
+            cores: workload.cores,
+            memory: workload.memory,
+            tenant: workload.tenant.clone(),
+            controller,
         };
-        self.submit(desk, arrival, (load as u64) << 40 | number);
-        self.next_arrival(load, number, self.now);
+        self.submit_new(controller, job, (index as u64) << WORKLOAD_SHIFT | number);
+        self.schedule_next_arrival(index, number, self.now());
+    }
+
+    pub(super) fn on_job_arrival(&mut self, index: usize) {
+        let job = self.scenario.jobs[index].clone();
+        let controller = job.controller % self.clients.len();
+        self.submit_new(controller, job, STATED_JOB | index as u64);
     }
 
-    pub(super) fn submit(&mut self, desk: usize, arrival: JobArrival, task: u64) {
+    fn submit_new(&mut self, controller: usize, job: JobArrival, task: u64) {
         self.tally.jobs += 1;
-        self.desks[desk].open += 1;
-        let ask = Ask {
-            arrival: Rc::new(arrival),
+        self.clients[controller].open_requests += 1;
+        let request = JobRequest {
+            job: Rc::new(job),
             task,
-            tries: 0,
-            since: self.now,
+            retries: 0,
+            submitted: self.now(),
             key: String::new(),
-            asked: None,
+            first_controller: None,
         };
-        self.ask(desk, ask);
+        self.submit(controller, request);
     }
 
-    pub(super) fn ask(&mut self, desk: usize, mut ask: Ask) {
-        ask.since = self.now;
-        let latency = self.latency();
-        let now = self.now;
-        let d = &mut self.desks[desk];
-        let Some(life) = d.connected else {
-            return d.queue.push(ask);
-        };
-        d.calls += 1;
-        ask.key = format!("{:x}-{}-{}", ask.task, ask.tries, d.calls);
-        d.sent.insert(ask.key.clone(), ask.clone());
-        d.last[0] = (now + latency).max(d.last[0] + 1);
-        let at = d.last[0];
-        self.at(
-            at,
-            Happens::Call {
-                seat: desk,
-                life,
-                ask: Box::new(ask),
-            },
-        );
-    }
-
-    pub(super) fn call(&mut self, seat: usize, life: u64, ask: Ask) {
-        if self.process(seat, life).is_none() {
-            return self.hazard("a controller dies before it reads a submission");
-        }
-        let config = &self.seats[seat].config;
-        let a = &ask.arrival;
-        let class = config
-            .classes
-            .iter()
-            .position(|c| *c == a.class)
-            .unwrap_or(0);
-        let asks = config.class_defaults[class];
-        let tenant = a
-            .tenant
-            .as_ref()
-            .and_then(|t| config.tenants.iter().position(|n| n == t))
-            .unwrap_or(0);
-        let submission = Submission {
-            session: self.desks[seat].session.clone(),
-            key: ask.key.clone(),
-            task: TaskKey(xxh3_64(format!("task {:x}", ask.task).as_bytes())),
-            service: ServiceId(xxh3_64(
-                format!("{class} {tenant} {}", a.service).as_bytes(),
-            )),
-            class: class as u16,
-            tenant: tenant as u32,
-            cores: a.cores.unwrap_or(asks.0),
-            memory: a.memory.unwrap_or(asks.1),
-            deadline_in: config.scheduler.classes[class].deadline,
-            expected_duration: None,
-            is_retry: ask.tries > 0,
-            requested_elsewhere: ask.asked.is_some_and(|asked| asked != seat),
-            on_hold: false,
-            program: Program {
-                command: "sleep".into(),
-                env: vec![format!("PEPPERCOVE_LIFE_US={}", a.life.as_micros())],
-                ..Program::default()
-            },
-        };
-        // The same key again is the same job: the core looks it up. The number of the call finds its answer.
-        let ticket = ticket(&ask.key);
-        self.input(
-            seat,
-            Input::Submit {
-                ticket,
-                submission: Box::new(submission),
-            },
-        );
-    }
-
-    fn tell(&mut self, seat: usize, life: u64, reply: Reply) {
-        let latency = self.latency();
-        let now = self.now;
-        let d = &mut self.desks[seat];
-        if d.connected != Some(life) {
-            return;
-        }
-        d.last[1] = (now + latency).max(d.last[1] + 1);
-        let at = d.last[1];
-        self.at(
-            at,
-            Happens::Reply {
-                desk: seat,
-                life,
-                reply: Box::new(reply),
-            },
-        );
-    }
-
-    fn key_of(&self, seat: usize, ticket_: u64) -> Option<String> {
-        self.desks[seat]
-            .sent
-            .keys()
-            .find(|k| ticket(k) == ticket_)
-            .cloned()
-    }
-
-    fn job_name(&self, seat: usize, life: u64, job: JobId) -> String {
-        format!("{}.{life:x}.{}", self.seats[seat].config.name, job.0)
-    }
-
-    pub(super) fn accepted(&mut self, seat: usize, life: u64, ticket: u64, job: JobId) {
-        if let Some(key) = self.key_of(seat, ticket) {
-            let job = self.job_name(seat, life, job);
-            self.tell(seat, life, Reply::Taken { key, job });
-        }
-    }
-
-    pub(super) fn turned_away(&mut self, seat: usize, life: u64, ticket: u64, why: Rejection) {
-        let Some(key) = self.key_of(seat, ticket) else {
-            return;
+    /// Sends a request to its controller, or keeps it until there is a connection.
+    pub(super) fn submit(&mut self, controller: usize, mut request: JobRequest) {
+        let latency = self.draw_latency();
+        let now = self.now();
+        request.submitted = now;
+        let clients = &mut self.clients[controller];
+        let Some(incarnation) = clients.connected_to else {
+            return clients.waiting.push(request);
         };
-        let (errno, after) = match why {
-            Rejection::LimitReached(after)
-            | Rejection::ShuttingDown(after)
-            | Rejection::OutcomeAmbiguous(after) => (Errno::TryLater, Some(after.div_ceil(1000))),
-            Rejection::AlreadyRan
-            | Rejection::OutcomeUnknown
-            | Rejection::RequestedElsewhere
-            | Rejection::TaskInUse(_) => (Errno::DeniedByDrm, None),
-            Rejection::NoSuchJob | Rejection::InvalidState(_) => (Errno::InvalidJob, None),
+        clients.calls += 1;
+        request.key = format!("{:x}-{}-{}", request.task, request.retries, clients.calls);
+        clients.sent.insert(request.key.clone(), request.clone());
+        let at = (now + latency).max(clients.last_arrival_at_controller + 1);
+        clients.last_arrival_at_controller = at;
+        let process = ProcessId {
+            controller,
+            incarnation,
         };
-        self.tell(
-            seat,
-            life,
-            Reply::TurnedAway {
-                key,
-                errno,
-                retry_after: after,
-            },
-        );
+        let request = Box::new(request);
+        self.schedule_at(at, SimEvent::Submission { process, request });
     }
 
-    pub(super) fn settled(&mut self, seat: usize, life: u64, job: JobId, answer: Answer) {
-        let process = self.seats[seat].process.as_ref();
-        let Some(j) = process.and_then(|p| p.core.jobs().get(job)) else {
+    /// Sends a message to the clients of a controller, if they are connected to this process.
+    pub(super) fn send_reply(&mut self, process: ProcessId, reply: Reply) {
+        let latency = self.draw_latency();
+        let now = self.now();
+        let clients = &mut self.clients[process.controller];
+        if clients.connected_to != Some(process.incarnation) {
             return;
-        };
-        let outcome = match answer {
-            Answer::Placed(_) => PlacementOutcome::Placed,
-            Answer::Rejected(_) => PlacementOutcome::Refused,
-            Answer::Failed => PlacementOutcome::Failed,
-            Answer::Cancelled => PlacementOutcome::Withdrawn,
-        };
-        if j.submission.session == self.desks[seat].session {
-            let key = j.submission.key.clone();
-            let job = self.job_name(seat, life, job);
-            self.tell(seat, life, Reply::Settled { key, job, outcome });
         }
+        let at = (now + latency).max(clients.last_arrival_at_clients + 1);
+        clients.last_arrival_at_clients = at;
+        let reply = Box::new(reply);
+        self.schedule_at(at, SimEvent::Reply { process, reply });
     }
 
-    pub(super) fn reply(&mut self, desk: usize, life: u64, reply: Reply) {
-        if self.process(desk, life).is_none() && matches!(reply, Reply::Settled { .. }) {
-            self.hazard("a controller dies between an answer and its reading");
+    pub(super) fn on_reply(&mut self, process: ProcessId, reply: Reply) {
+        if !self.is_running(process) && matches!(reply, Reply::Outcome { .. }) {
+            self.record_hazard("a controller dies between an answer and its reading");
         }
-        if self.desks[desk].connected != Some(life) {
+        let controller = process.controller;
+        if self.clients[controller].connected_to != Some(process.incarnation) {
             return;
         }
-        let session = self.desks[desk].session.clone();
         match reply {
-            Reply::Taken { key, job } => {
-                let Some(ask) = self.desks[desk].sent.remove(&key) else {
-                    return;
-                };
-                let controller = self.seats[desk].config.name.clone();
-                let config = &self.seats[desk].config;
-                let class = config
-                    .classes
-                    .iter()
-                    .position(|c| *c == ask.arrival.class)
-                    .unwrap_or(0);
-                let class = &config.scheduler.classes[class];
-                let (deadline, repeat) = (class.deadline, repeat_of(class.idempotency));
-                self.see(Observation::Taken {
-                    controller,
-                    session,
-                    key: key.clone(),
-                    job,
-                    deadline,
-                    repeat,
-                });
-                match self.desks[desk].early.remove(&key) {
-                    Some(outcome) => self.answered(desk, ask, outcome),
-                    None => {
-                        self.desks[desk].taken.insert(key, ask);
-                    }
-                }
-            }
-            Reply::TurnedAway {
+            Reply::Accepted { key, job } => self.on_accepted(controller, key, job),
+            Reply::Rejected {
                 key,
                 errno,
                 retry_after,
-            } => {
-                self.see(Observation::TurnedAway { errno });
-                *self.tally.turned_away.entry(errno.name()).or_insert(0) += 1;
-                let Some(ask) = self.desks[desk].sent.remove(&key) else {
-                    return;
-                };
-                let next = after_door(retry_after, &mut self.desks[desk].rng);
-                self.go_on(desk, ask, next);
-            }
-            Reply::Settled { key, job, outcome } => {
-                self.see(Observation::Settled {
-                    session,
+            } => self.on_rejected(controller, &key, errno, retry_after),
+            Reply::Outcome { key, job, outcome } => {
+                self.record(Observation::Settled {
+                    session: self.clients[controller].session.clone(),
                     key: key.clone(),
                     job,
                     outcome,
                 });
-                match self.desks[desk].taken.remove(&key) {
-                    Some(ask) => self.answered(desk, ask, outcome),
+                let clients = &mut self.clients[controller];
+                match clients.accepted.remove(&key) {
+                    Some(request) => self.on_outcome(controller, request, outcome),
                     None => {
-                        self.desks[desk].early.insert(key, outcome);
+                        clients.early_outcomes.insert(key, outcome);
                     }
                 }
             }
         }
     }
 
-    fn answered(&mut self, desk: usize, ask: Ask, outcome: PlacementOutcome) {
+    fn on_accepted(&mut self, controller: usize, key: String, job: String) {
+        let Some(request) = self.clients[controller].sent.remove(&key) else {
+            return;
+        };
+        let config = &self.controllers[controller].config;
+        let class = &config.scheduler.classes[class_index(config, &request.job.class)];
+        let observation = Observation::Taken {
+            controller: config.name.clone(),
+            session: self.clients[controller].session.clone(),
+            key: key.clone(),
+            job,
+            deadline: class.deadline,
+            repeat: wire_idempotency(class.idempotency),
+        };
+        self.record(observation);
+        let clients = &mut self.clients[controller];
+        match clients.early_outcomes.remove(&key) {
+            Some(outcome) => self.on_outcome(controller, request, outcome),
+            None => {
+                clients.accepted.insert(key, request);
+            }
+        }
+    }
+
+    fn on_rejected(
+        &mut self,
+        controller: usize,
+        key: &str,
+        errno: Errno,
+        retry_after: Option<u64>,
+    ) {
+        self.record(Observation::TurnedAway { errno });
+        self.tally.record_rejection(errno.name());
+        let clients = &mut self.clients[controller];
+        let Some(request) = clients.sent.remove(key) else {
+            return;
+        };
+        let next = ClientPolicy::after_rejection(retry_after, &mut clients.rng);
+        self.take_step(controller, request, next);
+    }
+
+    fn on_outcome(&mut self, controller: usize, request: JobRequest, outcome: PlacementOutcome) {
+        let delay = self.now() - request.submitted;
+        let class = &request.job.class;
         self.tally
-            .answered(ask.task, &ask.arrival.class, outcome, self.now - ask.since);
-        let settle = Duration::from_micros(self.script.config.scheduler.ambiguous_retry_delay);
-        let safe = self.is_safe(&ask);
-        let next = after_answer(outcome, safe, settle, &mut self.desks[desk].rng);
-        self.go_on(desk, ask, next);
+            .record_outcome(request.task, class, outcome, delay);
+        let is_idempotent = self.is_idempotent(&request);
+        let rng = &mut self.clients[controller].rng;
+        let next = self
+            .client_policy
+            .after_outcome(outcome, is_idempotent, rng);
+        self.take_step(controller, request, next);
     }
 
-    fn is_safe(&self, ask: &Ask) -> bool {
-        let config = &self.script.config;
-        let class = config
-            .classes
-            .iter()
-            .position(|c| *c == ask.arrival.class)
-            .unwrap_or(0);
+    fn is_idempotent(&self, request: &JobRequest) -> bool {
+        let config = &self.scenario.config;
+        let class = class_index(config, &request.job.class);
         config.scheduler.classes[class].idempotency == Idempotency::Idempotent
     }
 
-    fn go_on(&mut self, desk: usize, ask: Ask, next: Next) {
+    fn take_step(&mut self, controller: usize, request: JobRequest, next: NextStep) {
         match next {
-            Next::Done => self.desks[desk].open -= 1,
-            Next::Again(after) => self.again(desk, ask, after.as_micros() as Micros),
-            Next::Elsewhere => {
-                let others = self.desks.len() - 1;
-                let i = self.desks[desk].rng.usize(0..others);
-                let other = if i >= desk { i + 1 } else { i };
-                let mut ask = ask;
-                if !self.is_safe(&ask) {
-                    self.hazard("an owner of a keyed or unsafe task asks at another controller");
-                    ask.asked = ask.asked.or(Some(desk));
-                }
-                self.hazard("an owner asks at another controller");
-                self.desks[desk].open -= 1;
-                self.desks[other].open += 1;
-                self.again(other, ask, 0);
-            }
+            NextStep::Finish => self.clients[controller].open_requests -= 1,
+            NextStep::Retry(wait) => self.retry(controller, request, micros(wait)),
+            NextStep::FailOver => self.fail_over(controller, request),
+        }
+    }
+
+    /// Submits the request to another controller, drawn at random.
+    fn fail_over(&mut self, controller: usize, mut request: JobRequest) {
+        let others = self.clients.len() - 1;
+        let drawn = self.clients[controller].rng.usize(0..others);
+        let other = if drawn >= controller {
+            drawn + 1
+        } else {
+            drawn
+        };
+        if !self.is_idempotent(&request) {
+            self.record_hazard("an owner of a keyed or unsafe task asks at another controller");
+            request.first_controller = request.first_controller.or(Some(controller));
         }
+        self.record_hazard("an owner asks at another controller");
+        self.clients[controller].open_requests -= 1;
+        self.clients[other].open_requests += 1;
+        self.retry(other, request, 0);
     }
 
-    fn again(&mut self, desk: usize, mut ask: Ask, after: Micros) {
-        ask.tries += 1;
-        if !may_try(ask.tries) || self.now + after > self.end {
-            self.desks[desk].open -= 1;
+    /// Submits the request again after a wait, unless it was submitted too often or submissions end before.
+    fn retry(&mut self, controller: usize, mut request: JobRequest, wait: Micros) {
+        request.retries += 1;
+        if !ClientPolicy::may_retry(request.retries) || self.now() + wait > self.submissions_end {
+            self.clients[controller].open_requests -= 1;
             return;
         }
-        self.tally.again += 1;
-        self.after(
-            after,
-            Happens::Again {
-                desk,
-                ask: Box::new(ask),
+        self.tally.retries += 1;
+        let request = Box::new(request);
+        self.schedule_after(
+            wait,
+            SimEvent::Retry {
+                controller,
+                request,
             },
         );
     }
 
-    /// An owner looks for its controller: it finds it, or finds that the connection is gone.
-    pub(super) fn reach(&mut self, desk: usize) {
-        let life = self.seats[desk].process.as_ref().map(|p| p.life);
-        if self.desks[desk].connected == life {
+    /// The clients look for their controller: they connect to it, or find that the connection is gone.
+    pub(super) fn reconnect_clients(&mut self, controller: usize) {
+        let incarnation = self.controllers[controller].incarnation();
+        let clients = &mut self.clients[controller];
+        if clients.connected_to == incarnation {
             return;
         }
-        let d = &mut self.desks[desk];
-        let mut lost: Vec<Ask> = std::mem::take(&mut d.sent).into_values().collect();
-        lost.extend(std::mem::take(&mut d.taken).into_values());
-        d.early.clear();
-        d.connected = life;
-        let queued = std::mem::take(&mut d.queue);
-        let settle = Duration::from_micros(self.script.config.scheduler.ambiguous_retry_delay);
-        for ask in lost {
-            let (safe, others) = (self.is_safe(&ask), self.desks.len() > 1);
-            let next = after_loss(
-                safe,
-                others,
-                self.script.owners_move,
-                settle,
-                &mut self.desks[desk].rng,
-            );
-            self.go_on(desk, ask, next);
+        let lost = clients.disconnect();
+        clients.connected_to = incarnation;
+        let waiting = std::mem::take(&mut clients.waiting);
+        let has_others = self.clients.len() > 1;
+        for request in lost {
+            let is_idempotent = self.is_idempotent(&request);
+            let rng = &mut self.clients[controller].rng;
+            let next = self
+                .client_policy
+                .after_disconnect(is_idempotent, has_others, rng);
+            self.take_step(controller, request, next);
         }
-        for ask in queued {
-            self.ask(desk, ask);
+        for request in waiting {
+            self.submit(controller, request);
         }
     }
 }
 
-fn ticket(key: &str) -> u64 {
-    xxh3_64(key.as_bytes())
-}
-
-fn repeat_of(repeat: Idempotency) -> node::Idempotency {
-    match repeat {
+fn wire_idempotency(idempotency: Idempotency) -> node::Idempotency {
+    match idempotency {
         Idempotency::Idempotent => node::Idempotency::Idempotent,
         Idempotency::Keyed { .. } => node::Idempotency::Keyed,
         Idempotency::NonIdempotent => node::Idempotency::NonIdempotent,
--- a/crates/kernel/src/simulator/faults.rs
+++ b/crates/kernel/src/simulator/faults.rs
@@ -1,175 +1,185 @@
-//! What goes wrong, and when it is over.
+//! Faults of the scenario: what they affect, and how they begin and end.
 
-use super::{Happens, World};
-use crate::scenario::{Fault, FaultTarget};
+use super::events::SimEvent;
+use super::{Simulator, WARM_UP, micros};
+use crate::scenario::{Fault, FaultKind};
 use peppercove::Micros;
 use peppercove_protocol::list::NodeState;
-use peppercove_standins::node_model::{ClassFault, Faults};
-use peppercove_standins::node_registry::NodeSnapshot;
+use peppercove_standins::node_model::NodeSpec;
 
-impl World<'_> {
-    pub(super) fn fault(&mut self, index: usize, begins: bool) {
-        let fault = self.script.faults[index].clone();
+/// Keeps the draws of affected nodes apart from other draws with the same seed.
+const TARGET_SEED_SALT: u64 = 0xfa;
+
+/// A node and a controller that are lost within this time count as lost together, in microseconds.
+const LOST_TOGETHER: Micros = 1_000_000;
+
+impl Simulator<'_> {
+    pub(super) fn on_fault_change(&mut self, index: usize, begins: bool) {
+        let scenario = self.scenario;
+        let fault = &scenario.faults[index];
         if begins {
-            let hit = self.hit_by(&fault, index);
-            self.hit.insert(index, hit);
-            let lasts = fault.lasts.as_micros() as Micros;
-            self.after(
-                lasts,
-                Happens::Fault {
-                    index,
-                    begins: false,
-                },
-            );
+            let targets = self.select_targets(fault, index);
+            self.fault_targets.insert(index, targets);
+            let begins = false;
+            let event = SimEvent::FaultChange { index, begins };
+            self.schedule_after(micros(fault.duration), event);
         }
-        let hit = self.hit.get(&index).cloned().unwrap_or_default();
-        self.cause(&fault, &hit, begins);
+        let targets = self.fault_targets.get(&index).cloned();
+        let targets = targets.unwrap_or_default();
+        self.apply_fault(fault, &targets, begins);
     }
 
-    fn hit_by(&mut self, fault: &Fault, index: usize) -> Vec<usize> {
-        let mut rng = fastrand::Rng::with_seed(self.seed ^ 0xfau64 ^ (index as u64) << 16);
-        let of_seats = fault.kind == "controller-killed";
-        let count = if of_seats {
-            self.seats.len()
+    fn select_targets(&self, fault: &Fault, index: usize) -> Vec<usize> {
+        let seed = self.seed ^ TARGET_SEED_SALT ^ (index as u64) << 16;
+        let mut rng = fastrand::Rng::with_seed(seed);
+        if fault.kind == FaultKind::ControllerKilled {
+            let controllers = self.controllers.len();
+            fault.target.select_controllers(controllers, &mut rng)
         } else {
-            self.stations.len()
-        };
-        let spec = |i: &usize| self.stations[*i].model.spec();
-        match &fault.hits {
-            FaultTarget::Controller(i) if of_seats => vec![*i],
-            FaultTarget::Node(name) if !of_seats => {
-                (0..count).filter(|i| spec(i).name == *name).collect()
-            }
-            FaultTarget::Rack(rack) if !of_seats => {
-                (0..count).filter(|i| spec(i).rack == *rack).collect()
-            }
-            FaultTarget::Share(share) => {
-                let mut all: Vec<usize> = (0..count).collect();
-                rng.shuffle(&mut all);
-                all.truncate(((count as f64 * share).round() as usize).max(1));
-                all
-            }
-            _ => Vec::new(),
+            let nodes = self.nodes.iter().map(|node| node.model.spec());
+            let nodes: Vec<&NodeSpec> = nodes.collect();
+            fault.target.select_nodes(&nodes, &mut rng)
         }
     }
 
-    fn list_says(&mut self, node: usize, to: NodeState) {
-        let station = &self.stations[node];
-        let (address, facts) = (station.address, NodeSnapshot::of(&station.model));
-        self.roster.change(self.now, address, to, facts);
-    }
-
-    fn dies(&mut self, node: usize) {
-        if self.stations[node].model.held() > 0 {
-            self.hazard("a node dies or restarts with tasks on it");
-        }
-        let (now, begin) = (self.now, 1_000_000);
-        let near = |f: &Fault| {
-            f.kind == "controller-killed"
-                && (begin + f.at.as_micros() as Micros).abs_diff(now) < begin
-        };
-        if self.script.faults.iter().any(near) {
-            self.hazard("a node and a controller are lost within a second");
-        }
-        self.stations[node].model.die(now);
-        self.stations[node].dead = true;
-        self.links_die(node);
-    }
-
-    fn cause(&mut self, fault: &Fault, hit: &[usize], begins: bool) {
-        let size = fault.size;
-        match (fault.kind.as_str(), begins) {
-            ("list-down", true) => {
-                self.list_down += 1;
-                self.list_breaks();
-            }
-            ("list-down", false) => self.list_down -= 1,
-            ("list-stale", true) => self.roster.delay += (size * 1e6) as Micros,
-            ("list-stale", false) => self.roster.delay -= (size * 1e6) as Micros,
-            ("burst", true) => self.rate *= size,
-            ("burst", false) => self.rate /= size,
-            ("controller-killed", true) => hit.iter().for_each(|seat| self.kill(*seat)),
-            ("controller-killed", false) => hit.iter().for_each(|seat| self.start(*seat)),
-            ("rack-cut", true) => {
-                for &node in hit {
-                    self.stations[node].cut += 1;
-                    for wire in self.wires_of(node) {
-                        self.cut_wire(wire);
-                    }
+    fn apply_fault(&mut self, fault: &Fault, targets: &[usize], begins: bool) {
+        match fault.kind {
+            FaultKind::ListDown => self.set_list_outage(begins),
+            FaultKind::ListStale => self.change_list_delay(fault.magnitude, begins),
+            FaultKind::Burst if begins => self.rate_factor *= fault.magnitude,
+            FaultKind::Burst => self.rate_factor /= fault.magnitude,
+            // Misbehaving clients are a matter of sockets.
+            FaultKind::ClientGone
+            | FaultKind::ClientFlood
+            | FaultKind::ClientHalfLine
+            | FaultKind::ClientNonsense => {}
+            FaultKind::ControllerKilled => {
+                for controller in targets {
+                    self.set_controller_killed(*controller, begins);
                 }
             }
-            ("rack-cut", false) => hit.iter().for_each(|node| self.stations[*node].cut -= 1),
-            ("cut" | "cut-midframe", true) => hit.iter().for_each(|node| self.links_die(*node)),
-            ("flush", true) => hit
-                .iter()
-                .for_each(|node| self.stations[*node].model.flush(size)),
-            ("dies", true) => {
-                for &node in hit {
-                    self.dies(node);
-                    self.list_says(node, NodeState::Removed);
+            FaultKind::Dies | FaultKind::Restarts | FaultKind::Drains => {
+                for node in targets {
+                    self.change_node_process(fault.kind, *node, begins);
                 }
             }
-            ("restarts", true) => hit.iter().for_each(|node| self.dies(*node)),
-            ("restarts", false) => {
-                for &node in hit {
-                    let now = self.now;
-                    let station = &mut self.stations[node];
-                    let life = station.model.incarnation() + 1;
-                    station.model.restart(now, life);
-                    station.dead = false;
-                    self.list_says(node, NodeState::Ready);
+            FaultKind::RackCut => {
+                for node in targets {
+                    self.set_partitioned(*node, begins);
                 }
             }
-            ("drains", true) => {
-                for &node in hit {
-                    self.list_says(node, NodeState::Draining);
-                    self.node_acts(node, |model, now| model.drain(now));
+            FaultKind::Cut | FaultKind::CutMidframe if begins => {
+                for node in targets {
+                    self.close_node_connections(*node);
                 }
             }
-            ("drains", false) => {
-                for &node in hit {
-                    self.dies(node);
-                    self.list_says(node, NodeState::Removed);
+            FaultKind::Flush if begins => {
+                for node in targets {
+                    self.nodes[*node].model.flush(fault.magnitude);
                 }
             }
-            ("cut" | "cut-midframe" | "flush" | "dies", false) => {}
-            // Clients at their worst are a matter of sockets.
-            (kind, _) if kind.starts_with("client-") => {}
-            (kind, on) => {
-                for &node in hit {
-                    let mut faults = self.stations[node].model.faults().clone();
-                    set(&mut faults, kind, fault, on);
-                    self.node_acts(node, |model, now| model.set_faults(now, faults));
+            FaultKind::Cut | FaultKind::CutMidframe | FaultKind::Flush => {}
+            FaultKind::Hang
+            | FaultKind::AnswersLost
+            | FaultKind::NeverConfirms
+            | FaultKind::ClassError
+            | FaultKind::ClassSilence
+            | FaultKind::FalseRefusals
+            | FaultKind::Ageing
+            | FaultKind::ReportsLate
+            | FaultKind::Neighbour
+            | FaultKind::Repeats
+            | FaultKind::Lies => {
+                for node in targets {
+                    self.change_node_faults(fault, *node, begins);
                 }
             }
         }
     }
-}
 
-/// Sets or ends what is wrong with a node.
-fn set(faults: &mut Faults, kind: &str, fault: &Fault, on: bool) {
-    let size = if on { fault.size } else { 0.0 };
-    match kind {
-        "hang" => faults.hangs = on,
-        "answers-lost" => faults.message_loss = size,
-        "never-confirms" => faults.never_confirms = on,
-        "class-error" if on => drop(
-            faults
-                .failing_classes
-                .insert(fault.class, ClassFault::Error),
-        ),
-        "class-silence" if on => drop(
-            faults
-                .failing_classes
-                .insert(fault.class, ClassFault::Silence),
-        ),
-        "class-error" | "class-silence" => drop(faults.failing_classes.remove(&fault.class)),
-        "false-refusals" => faults.false_rejections = size,
-        "ageing" => faults.pace_loss_per_second = size,
-        "reports-late" => faults.extra_report_delay = (size * 1e6) as Micros,
-        "neighbour" => faults.foreign_load = size,
-        "repeats" => faults.duplicates_messages = on,
-        "lies" => faults.reports_unknown_attempts = on,
-        other => unreachable!("the table of a day has no fault '{other}'"),
+    fn set_list_outage(&mut self, begins: bool) {
+        if begins {
+            self.list_outages += 1;
+            self.break_subscriptions();
+        } else {
+            self.list_outages -= 1;
+        }
+    }
+
+    fn change_list_delay(&mut self, seconds: f64, begins: bool) {
+        let change = (seconds * 1e6) as Micros;
+        if begins {
+            self.node_list.delay += change;
+        } else {
+            self.node_list.delay -= change;
+        }
+    }
+
+    fn set_controller_killed(&mut self, controller: usize, begins: bool) {
+        if begins {
+            self.kill_controller(controller);
+        } else {
+            self.start_controller(controller);
+        }
+    }
+
+    fn set_partitioned(&mut self, node: usize, begins: bool) {
+        if !begins {
+            self.nodes[node].partitions -= 1;
+            return;
+        }
+        self.nodes[node].partitions += 1;
+        for connection in self.connections_of(node) {
+            self.partition(connection);
+        }
+    }
+
+    fn change_node_faults(&mut self, fault: &Fault, node: usize, begins: bool) {
+        let mut faults = self.nodes[node].model.faults().clone();
+        fault.apply_to(&mut faults, begins);
+        self.node_acts(node, |model, now| model.set_faults(now, faults));
+    }
+
+    /// Begins or ends a fault of the node's process.
+    fn change_node_process(&mut self, kind: FaultKind, node: usize, begins: bool) {
+        match (kind, begins) {
+            (FaultKind::Drains, true) => {
+                self.change_listed_state(node, NodeState::Draining);
+                self.node_acts(node, |model, now| model.drain(now));
+            }
+            (FaultKind::Dies, true) | (FaultKind::Drains, false) => {
+                self.kill_node(node);
+                self.change_listed_state(node, NodeState::Removed);
+            }
+            (FaultKind::Restarts, true) => self.kill_node(node),
+            (FaultKind::Restarts, false) => self.restart_node(node),
+            (_, _) => {}
+        }
+    }
+
+    fn kill_node(&mut self, node: usize) {
+        let now = self.now();
+        if self.nodes[node].model.held() > 0 {
+            self.record_hazard("a node dies or restarts with tasks on it");
+        }
+        let is_kill_close = |fault: &Fault| {
+            let at = WARM_UP + micros(fault.at);
+            fault.kind == FaultKind::ControllerKilled && at.abs_diff(now) < LOST_TOGETHER
+        };
+        if self.scenario.faults.iter().any(is_kill_close) {
+            self.record_hazard("a node and a controller are lost within a second");
+        }
+        self.nodes[node].model.die(now);
+        self.nodes[node].is_dead = true;
+        self.close_node_connections(node);
+    }
+
+    fn restart_node(&mut self, node: usize) {
+        let now = self.now();
+        let simulated = &mut self.nodes[node];
+        let incarnation = simulated.model.incarnation() + 1;
+        simulated.model.restart(now, incarnation);
+        simulated.is_dead = false;
+        self.change_listed_state(node, NodeState::Ready);
     }
 }
--- a/crates/kernel/tests/view.rs
+++ b/crates/kernel/tests/node_subset.rs
@@ -1,4 +1,5 @@
-//! Below the size of a view, the view around the decision module changes nothing: event by event, the same actions.
+//! In a fleet that is smaller than the subset, the subset around the scheduler changes nothing: event by event, the same
+//! actions.
 
 use peppercove::{Action, Event, Micros, Scheduler};
 use peppercove_core::Decide;
@@ -10,10 +11,10 @@
 use std::cell::Cell;
 use std::path::Path;
 
-/// The module alone and the module in its view, told the same.
+/// The scheduler alone and the scheduler with a subset, given the same events.
 struct Both<'a> {
     alone: Scheduler,
-    viewed: NodeSubset<Scheduler>,
+    with_subset: NodeSubset<Scheduler>,
     events: &'a Cell<u64>,
 }
 
@@ -21,29 +22,29 @@
     fn decide(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         let actions = self.alone.decide(now, events);
         assert_eq!(
-            self.viewed.decide(now, events),
+            self.with_subset.decide(now, events),
             actions,
-            "at {now}, told {events:?}"
+            "at {now}, given {events:?}"
         );
-        assert!(!self.viewed.is_bounded());
+        assert!(!self.with_subset.is_bounded());
         self.events.set(self.events.get() + events.len() as u64);
         actions
     }
 }
 
-fn compare(script: &Scenario, seed: u64) -> u64 {
-    // Controllers of the day add to one count, which outlives them.
+fn compare(scenario: &Scenario, seed: u64) -> u64 {
+    // All controllers of the scenario add to one count, which outlives them.
     let events: &'static Cell<u64> = Box::leak(Box::new(Cell::new(0)));
     let both = |settings: &peppercove::Settings, seed| -> Box<dyn Decide> {
         let alone = Scheduler::new(settings.clone(), seed);
-        let viewed = NodeSubset::new(Scheduler::new(settings.clone(), seed), settings);
+        let with_subset = NodeSubset::new(Scheduler::new(settings.clone(), seed), settings);
         Box::new(Both {
             alone,
-            viewed,
+            with_subset,
             events,
         })
     };
-    let (report, _) = simulate_with_decider(script, seed, &both);
+    let (report, _) = simulate_with_decider(scenario, seed, &both);
     assert!(
         report.is_clean(),
         "seed {seed}: {:#?}",
@@ -53,38 +54,38 @@
 }
 
 #[test]
-fn below_the_size_of_a_view_each_event_gets_the_same_actions() {
+fn subset_larger_than_the_fleet_gives_the_same_actions_for_each_event() {
     let random: u64 = (4_000_000..4_000_020)
         .map(|seed| compare(&RandomScenario::random(seed).to_scenario(), seed))
         .sum();
-    let shipped: u64 = built_in_scenarios()
+    let built_in: u64 = built_in_scenarios()
         .iter()
         .map(|(name, text)| {
-            let script =
+            let scenario =
                 Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"));
-            compare(&script, script.seed)
+            compare(&scenario, scenario.seed)
         })
         .sum();
     assert!(
-        random > 3_000 && shipped > 2_000,
-        "{random} and {shipped} events were compared"
+        random > 3_000 && built_in > 2_000,
+        "{random} and {built_in} events were compared"
     );
 }
 
-/// The small fleets of random days, each controller with four machines of them in view and one of each zone and kind.
+/// The small fleets of random scenarios, with a subset of four nodes and one more of each zone and kind.
 #[test]
-fn with_bounded_views_random_days_keep_the_rules() {
-    let mut placed = 0;
+fn random_scenarios_with_bounded_subsets_violate_no_rule() {
+    let mut accepted = 0;
     for seed in 4_100_000..4_100_040 {
-        let plan = RandomScenario::random(seed);
-        let report = simulate_with_subset(&plan.to_scenario(), seed, 4);
+        let scenario = RandomScenario::random(seed);
+        let report = simulate_with_subset(&scenario.to_scenario(), seed, 4);
         assert!(
             report.is_clean(),
             "seed {seed}: {:#?}\n{}",
             report.audit.violations,
-            plan.to_xml()
+            scenario.to_xml()
         );
-        placed += report.audit.accepted;
+        accepted += report.audit.accepted;
     }
-    assert!(placed > 1_000, "{placed} were taken");
+    assert!(accepted > 1_000, "{accepted} jobs were accepted");
 }
--- a/crates/kernel/tests/days.rs
+++ b/crates/kernel/tests/scenarios.rs
@@ -1,26 +1,26 @@
-//! Days in simulated time: those that once broke a rule, the shipped ones, and random ones.
+//! Scenarios in simulated time: those that once violated a rule, the built-in ones, and random ones.
 
 use peppercove_kernel::fuzz::{FuzzSummary, run_seed};
 use peppercove_kernel::{Scenario, built_in_scenarios, simulate, simulate_with_events};
 use std::path::Path;
 
-fn script(name: &str, text: &str) -> Scenario {
+fn parse(name: &str, text: &str) -> Scenario {
     Scenario::parse(text, Path::new(".")).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-/// Each of these was found by the hunt, or reported, and made smaller; its cause is in the commit that mended it.
+/// Each of these was found by fuzzing, or reported, and shrunk; its cause is in the commit that fixed it.
 #[test]
-fn days_that_once_broke_a_rule_keep_all_of_them() {
+fn scenarios_that_once_violated_a_rule_violate_none() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("days/found");
-    let mut played = 0;
+    let mut runs = 0;
     for file in std::fs::read_dir(folder).unwrap() {
         let path = file.unwrap().path();
-        let script = script(
+        let scenario = parse(
             &path.display().to_string(),
             &std::fs::read_to_string(&path).unwrap(),
         );
-        for seed in script.seed..script.seed + 4 {
-            let report = simulate(&script, seed);
+        for seed in scenario.seed..scenario.seed + 4 {
+            let report = simulate(&scenario, seed);
             assert!(
                 report.is_clean(),
                 "{} seed {seed}: {:#?}",
@@ -29,27 +29,27 @@
             );
             assert!(
                 report.audit.accepted > 0,
-                "{}: nothing was tried",
+                "{}: no job was accepted",
                 path.display()
             );
-            played += 1;
+            runs += 1;
         }
     }
-    assert!(played >= 40, "the days were not found");
+    assert!(runs >= 40, "the scenarios were not found");
 }
 
 #[test]
-fn every_shipped_day_keeps_the_rules_in_the_kernel() {
+fn built_in_scenarios_violate_no_rule_in_simulated_time() {
     for (name, text) in built_in_scenarios() {
-        let script = script(name, text);
+        let scenario = parse(name, text);
         for seed in 1..4 {
-            let report = simulate(&script, seed);
+            let report = simulate(&scenario, seed);
             assert!(
                 report.is_clean(),
                 "{name} seed {seed}: {:#?}",
                 report.audit.violations
             );
-            assert!(report.audit.accepted > 20, "{name}: nothing was tried");
+            assert!(report.audit.accepted > 20, "{name}: no job was accepted");
             let c = report.counters;
             assert_eq!(
                 (c.invalid_transitions, c.unsafe_rejections),
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn one_seed_is_one_run_to_the_byte() {
+fn same_seed_gives_same_report_and_events() {
     for seed in 900..906 {
-        let plan = peppercove_kernel::fuzz::RandomScenario::random(seed);
+        let scenario = peppercove_kernel::fuzz::RandomScenario::random(seed);
         let (first, second) = (
-            simulate_with_events(&plan.to_scenario(), seed),
-            simulate_with_events(&plan.to_scenario(), seed),
+            simulate_with_events(&scenario.to_scenario(), seed),
+            simulate_with_events(&scenario.to_scenario(), seed),
         );
         assert_eq!(first.0, second.0);
         assert_eq!(format!("{:?}", first.1), format!("{:?}", second.1));
@@ -74,17 +74,17 @@
 }
 
 #[test]
-fn random_days_keep_the_rules_and_meet_the_hard_cases() {
+fn random_scenarios_violate_no_rule_and_meet_the_hard_cases() {
     let mut sum = FuzzSummary::default();
     for seed in 1..=150 {
-        let (plan, report) = run_seed(seed);
+        let (scenario, report) = run_seed(seed);
         assert!(
             report.is_clean(),
             "seed {seed}: {:#?}\n{}",
             report.audit.violations,
-            plan.to_xml()
+            scenario.to_xml()
         );
-        sum.add(&plan, &report);
+        sum.add(&scenario, &report);
     }
     for hard in [
         "killed with asks open",
