--- a/crates/cli/src/commands/bench/node_subset/plan.rs
+++ b/crates/cli/src/commands/bench/node_subset/plan.rs
@@ -116,57 +116,58 @@
 }
 
 impl Plan {
-    /// The settings of the schedulers, with classes of every kind of idempotency, one spread over racks and one bound to a
-    /// kind of node.
+    /// The settings of the schedulers.
     pub fn settings(&self) -> Settings {
         let sample = Settings::sample();
-        let safe = TaskClass {
+        let kind = NodeKind {
+            cores: CORES,
+            memory: MEMORY,
+        };
+        Settings {
+            schedulers: self.schedulers,
+            classes: self.classes(&sample.classes[0]),
+            node_kinds: vec![kind; self.kinds],
+            mean_cores: 2.0,
+            mean_memory: 4.0,
+            is_list_polled: false,
+            slow_start_budget: 20.0,
+            fleet_price: 0.1,
+            rejection_price: 0.01,
+            ..sample
+        }
+    }
+
+    /// Classes of every kind of idempotency, one spread over racks and one bound to a kind of node.
+    fn classes(&self, sample: &TaskClass) -> Vec<TaskClass> {
+        let idempotent = TaskClass {
             deadline: 5 * SECOND,
             latency_objective: SECOND,
-            ..sample.classes[0].clone()
+            ..sample.clone()
         };
         let keyed = Idempotency::Keyed {
             scope: DedupScope::Rack,
             window: 4 * SECOND,
         };
-        let classes = vec![
-            safe.clone(),
+        vec![
+            idempotent.clone(),
             TaskClass {
                 idempotency: keyed,
-                ..safe.clone()
+                ..idempotent.clone()
             },
             TaskClass {
                 idempotency: Idempotency::NonIdempotent,
-                ..safe.clone()
+                ..idempotent.clone()
             },
             TaskClass {
                 topology_spread: TopologySpread::Rack,
                 max_per_domain: 2,
-                ..safe.clone()
+                ..idempotent.clone()
             },
             TaskClass {
                 node_kind: (self.kinds > 1).then_some(1),
-                ..safe
+                ..idempotent
             },
-        ];
-        Settings {
-            schedulers: self.schedulers,
-            classes,
-            node_kinds: vec![
-                NodeKind {
-                    cores: CORES,
-                    memory: MEMORY
-                };
-                self.kinds
-            ],
-            mean_cores: 2.0,
-            mean_memory: 4.0,
-            is_list_polled: false,
-            slow_start_budget: 20.0,
-            fleet_price: 0.1,
-            rejection_price: 0.01,
-            ..sample
-        }
+        ]
     }
 
     /// The first list entry of a node.
--- a/crates/cli/src/commands/bench/node_subset/simulation/fleet.rs
+++ b/crates/cli/src/commands/bench/node_subset/simulation/fleet.rs
@@ -51,7 +51,7 @@
         }
         let gone = NodeEntry {
             state: NodeStatus::Gone,
-            ..node.entry.clone()
+            ..node.entry
         };
         let new = NodeEntry {
             node: node_id(self.new_number()),
--- a/crates/cli/src/commands/bench/placing/fake_fleet.rs
+++ b/crates/cli/src/commands/bench/placing/fake_fleet.rs
@@ -172,7 +172,7 @@
             while let Some(Ok(call)) = connection.next().await {
                 let answer = match call {
                     ToList::Hello { version, .. } => FromList::Welcome { version },
-                    _ => FromList::Update {
+                    ToList::Watch { .. } | ToList::Fetch => FromList::Update {
                         generation: 1,
                         scope: Scope::Full,
                         entries: entries.clone(),
--- a/crates/cli/tests/client_departure.rs
+++ b/crates/cli/tests/client_departure.rs
@@ -96,6 +96,17 @@
             }
         }
     }
+
+    fn wait_for_later_requests(&mut self, case: &str) {
+        let deadline = Instant::now() + TIMEOUT;
+        let requests = LATER.count();
+        while self.later < requests {
+            let later = self.later;
+            assert!(Instant::now() < deadline, "{case}: {later} of {requests}");
+            self.receive();
+            std::thread::sleep(Duration::from_millis(1));
+        }
+    }
 }
 
 /// A client leaves while the rejection of its first attempt is on its way. A further attempt that begins at once, before
@@ -134,23 +145,11 @@
         has_attempt: [false; 2],
         later: 0,
     };
-    let deadline = Instant::now() + TIMEOUT;
-    let requests = LATER.count();
-    while nodes.later < requests {
-        let later = nodes.later;
-        assert!(
-            Instant::now() < deadline,
-            "{departure:?}, {first:?} first: {later} of {requests}"
-        );
-        nodes.receive();
-        std::thread::sleep(Duration::from_millis(1));
-    }
+    let case = format!("{departure:?}, {first:?} first");
+    nodes.wait_for_later_requests(&case);
     std::thread::sleep(Duration::from_millis(300));
     nodes.receive();
-    assert_eq!(
-        nodes.has_attempt, [false; 2],
-        "{departure:?}, {first:?} first"
-    );
+    assert_eq!(nodes.has_attempt, [false; 2], "{case}");
 }
 
 #[test]
--- a/crates/cli/tests/fleet/main.rs
+++ b/crates/cli/tests/fleet/main.rs
@@ -4,11 +4,13 @@
 //! about times: after the last fault everything has to come to its end.
 
 mod node;
+mod record;
 mod relay;
 #[path = "../support/mod.rs"]
 mod support;
 
-use node::{Node, NodeRecord};
+use node::Node;
+use record::NodeRecord;
 use relay::{Mode, Relay};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -256,8 +258,32 @@
     }
 
     fn check(&mut self) {
-        let (mut placed, mut answered, mut ended) = (0u64, 0u64, 0u64);
         let record = self.record.borrow();
+        let totals = self.check_answers(&record);
+        check_starts(&record);
+        let Totals {
+            answered,
+            placed,
+            ended,
+        } = totals;
+        let is_loaded = answered > 1500 && placed * 4 > answered * 3;
+        assert!(
+            is_loaded,
+            "{placed} of {answered} placed: the load was too small"
+        );
+        let requests = record.requests;
+        assert!(
+            ended > 1000 && requests > placed,
+            "{ended} ends, {requests} requests at nodes"
+        );
+        drop(record);
+        for instance in &mut self.instances {
+            assert!(instance.is_alive(), "{} has ended", instance.name);
+        }
+    }
+
+    fn check_answers(&self, record: &NodeRecord) -> Totals {
+        let mut totals = Totals::default();
         for instance in &self.instances {
             assert_eq!(
                 instance.clients.faults(),
@@ -268,41 +294,40 @@
             instance.clients.for_each_task(|id, task| {
                 // Most of a burst is beyond the limit of one connection.
                 let is_burst = id >= BURST_ID;
-                answered += if is_burst {
+                totals.answered += if is_burst {
                     0
                 } else {
                     task.answers.len() as u64
                 };
-                ended += u64::from(task.ends);
+                totals.ended += u64::from(task.ends);
                 if let Some(description) = task.description() {
-                    placed += u64::from(!is_burst);
+                    totals.placed += u64::from(!is_burst);
                     let is_known = record.descriptions.contains(description);
                     assert!(is_known, "{id:016x} was answered with what no node sent");
                 }
             });
         }
-        for (task, starts) in &record.starts {
-            let (class, count) = (&starts.class, starts.count);
-            let may_repeat = class == "any";
-            assert!(
-                may_repeat || count == 1,
-                "task {task} of class {class} ran {count} times"
-            );
-        }
-        let is_loaded = answered > 1500 && placed * 4 > answered * 3;
-        assert!(
-            is_loaded,
-            "{placed} of {answered} placed: the load was too small"
-        );
-        let requests = record.requests;
+        totals
+    }
+}
+
+/// Requests of the load that were answered and placed, and ends that were notified.
+#[derive(Default)]
+struct Totals {
+    answered: u64,
+    placed: u64,
+    ended: u64,
+}
+
+/// Only idempotent tasks ran more than once.
+fn check_starts(record: &NodeRecord) {
+    for (task, starts) in &record.starts {
+        let (class, count) = (&starts.class, starts.count);
+        let may_repeat = class == "any";
         assert!(
-            ended > 1000 && requests > placed,
-            "{ended} ends, {requests} requests at nodes"
+            may_repeat || count == 1,
+            "task {task} of class {class} ran {count} times"
         );
-        drop(record);
-        for instance in &mut self.instances {
-            assert!(instance.is_alive(), "{} has ended", instance.name);
-        }
     }
 }
 
--- a/crates/cli/tests/fleet/node.rs
+++ b/crates/cli/tests/fleet/node.rs
@@ -1,13 +1,14 @@
 //! A scripted node that follows the platform's rules, with a listener for each of several controllers.
 
+use crate::record::NodeRecord;
 use crate::support::peer::{running, tested};
 use bytes::BytesMut;
 use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
 use std::cell::RefCell;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -15,57 +16,11 @@
 
 /// A connection without an open request is closed by its node after this.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Nodes of one rack discard a second copy of a task with an idempotency key within this; as in the settings.
-const DEDUP_WINDOW: Duration = Duration::from_secs(3);
 /// Tasks whose id is a multiple of this do not end by themselves.
 const LASTING_ID: u64 = 6;
 /// How long such a task runs: beyond the test.
 const LASTING_TIME: Duration = Duration::from_secs(3600);
 
-/// The starts of one task.
-#[derive(Default)]
-pub struct Starts {
-    pub count: u32,
-    pub class: String,
-}
-
-/// What all nodes know together: keys of their rack, and which tasks ran.
-#[derive(Default)]
-pub struct NodeRecord {
-    /// When a task with this key ran last.
-    keys: BTreeMap<Vec<u8>, Instant>,
-    /// Tasks that ran, by name.
-    pub starts: BTreeMap<String, Starts>,
-    /// Requests that arrived.
-    pub requests: u64,
-    /// Descriptions that were sent.
-    pub descriptions: BTreeSet<Vec<u8>>,
-}
-
-impl NodeRecord {
-    /// Notes that a task runs; false where a copy of it ran in this rack within the window.
-    fn start(&mut self, request: &Message) -> bool {
-        let class = request.text(code::CLASS).unwrap_or_default().to_owned();
-        if class == "key" {
-            let key = request.get(code::KEY).unwrap_or_default().to_vec();
-            if self
-                .keys
-                .get(&key)
-                .is_some_and(|at| at.elapsed() < DEDUP_WINDOW)
-            {
-                return false;
-            }
-            self.keys.insert(key, Instant::now());
-        }
-        let task = request.text(code::TASK).unwrap_or_default().to_owned();
-        self.starts
-            .entry(task)
-            .or_insert(Starts { count: 0, class })
-            .count += 1;
-        true
-    }
-}
-
 /// An attempt: its controller, the id of the request, and the connection that it came over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Attempt {
@@ -239,7 +194,12 @@
                 );
             }
             MessageKind::Release => self.state.borrow_mut().cancel(controller, id, connection),
-            _ => {}
+            MessageKind::Progress
+            | MessageKind::Answer
+            | MessageKind::Heard
+            | MessageKind::Note
+            | MessageKind::Move
+            | MessageKind::Tested => {}
         }
     }
 
--- a/crates/cli/tests/serve/faulty_peers.rs
+++ b/crates/cli/tests/serve/faulty_peers.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn unreadable_clients_are_disconnected_and_unusable_requests_rejected() {
+fn unreadable_clients_are_disconnected() {
     let cluster = Cluster::start();
     let unreadable: [&[u8]; 5] = [
         &[0xff; 64],
@@ -58,6 +58,12 @@
     let mut endless_client = cluster.client();
     let endless = [0x41; 64 << 10];
     while endless_client.stream.write_all(&endless).is_ok() {}
+    assert_nothing_has_reached_the_node(&cluster);
+}
+
+#[test]
+fn unusable_requests_are_rejected() {
+    let cluster = Cluster::start();
     let unusable = [
         request(0, "any"),
         request(9, "nothing like it"),
@@ -66,18 +72,17 @@
     for message in unusable {
         let mut client = cluster.client();
         client.send(&message);
-        assert_eq!(
-            client.receive(),
-            Message::release(message.id, cause::TURNED_AWAY)
-        );
+        let rejection = Message::release(message.id, cause::TURNED_AWAY);
+        assert_eq!(client.receive(), rejection);
     }
+    assert_nothing_has_reached_the_node(&cluster);
+}
+
+/// The first thing that comes to the node is the request that is sent now.
+fn assert_nothing_has_reached_the_node(cluster: &Cluster) {
     let mut client = cluster.client();
     client.request(5, "any");
-    assert_eq!(
-        cluster.node.peer().receive().id,
-        5,
-        "nothing of all that reached a node"
-    );
+    assert_eq!(cluster.node.peer().receive().id, 5);
 }
 
 /// Invariant: a connection that is closed for half a message first gets the answers that are owed on it.
--- a/crates/scale/src/capacity_report/chart.rs
+++ b/crates/scale/src/capacity_report/chart.rs
@@ -139,11 +139,9 @@
         lines: 0,
     };
     let (from, to) = (target.scaled(0.1).nodes, target.scaled(10.0).nodes);
+    let title = format!("{role}: need over budget against the size of the fleet");
     let mut chart = ChartBuilder::on(&area)
-        .caption(
-            format!("{role}: need over budget against the size of the fleet"),
-            ("sans-serif", 18),
-        )
+        .caption(title, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(44)
         .y_label_area_size(64)
@@ -156,23 +154,54 @@
         .x_label_formatter(&|x| format_figure(Some(*x)))
         .y_label_formatter(&|y| format_figure(Some(*y)))
         .draw()?;
-    let budget = BLACK.stroke_width(2);
-    chart.draw_series(LineSeries::new([(from, 1.0), (to, 1.0)], budget))?;
-    legend.add("budget", budget)?;
-    let size = BLACK.mix(0.3).stroke_width(1);
-    let size_line = [(target.nodes, range.low), (target.nodes, range.high)];
-    chart.draw_series(LineSeries::new(size_line, size))?;
-    legend.add("the target's size", size)?;
-    for (i, curve) in curves.iter().enumerate() {
-        let color = Palette99::pick(i).stroke_width(2);
-        let points = curve.points.iter().map(|&(x, y)| (x, y.max(range.low)));
-        chart.draw_series(LineSeries::new(points, color))?;
-        legend.add(&curve.need, color)?;
+    for line in chart_lines(curves, target, range) {
+        chart.draw_series(LineSeries::new(line.points, line.style))?;
+        legend.add(line.name, line.style)?;
     }
     image.present()?;
     Ok(())
 }
 
+/// A line of a chart.
+struct ChartLine<'a> {
+    name: &'a str,
+    style: ShapeStyle,
+    points: Vec<(f64, f64)>,
+}
+
+/// The budget, the size of the target, and the curves of the needs.
+fn chart_lines<'a>(
+    curves: &'a [NeedCurve],
+    target: &Target,
+    range: RatioRange,
+) -> Vec<ChartLine<'a>> {
+    let (from, to) = (target.scaled(0.1).nodes, target.scaled(10.0).nodes);
+    let mut lines = vec![
+        ChartLine {
+            name: "budget",
+            style: BLACK.stroke_width(2),
+            points: vec![(from, 1.0), (to, 1.0)],
+        },
+        ChartLine {
+            name: "the target's size",
+            style: BLACK.mix(0.3).stroke_width(1),
+            points: vec![(target.nodes, range.low), (target.nodes, range.high)],
+        },
+    ];
+    for (i, curve) in curves.iter().enumerate() {
+        let points = curve
+            .points
+            .iter()
+            .map(|&(nodes, ratio)| (nodes, ratio.max(range.low)));
+        lines.push(ChartLine {
+            name: &curve.need,
+            style: Palette99::pick(i).stroke_width(2),
+            points: points.collect(),
+        });
+    }
+    lines
+}
+
 /// The names of the lines, one below the other.
 struct Legend<'a> {
     area: DrawingArea<SVGBackend<'a>, Shift>,
--- a/crates/scale/src/capacity_report/format.rs
+++ b/crates/scale/src/capacity_report/format.rs
@@ -57,7 +57,7 @@
 fn with_separators(digits: &str) -> String {
     let mut text = String::new();
     for (i, digit) in digits.chars().enumerate() {
-        if i > 0 && (digits.len() - i) % 3 == 0 {
+        if i > 0 && (digits.len() - i).is_multiple_of(3) {
             text.push(',');
         }
         text.push(digit);
--- a/crates/scale/src/capacity_report/tables/comparisons.rs
+++ b/crates/scale/src/capacity_report/tables/comparisons.rs
@@ -84,42 +84,13 @@
     axis: Axis,
     curve: &'a Curve,
 ) -> Option<Prediction<'a>> {
-    let last = curve
+    let largest = curve
         .rows
         .last()
         .filter(|r| axis.size_in(&r.sizes) > LARGEST_KNOWN_NODES)?;
-    let nodes = format_count(last.sizes.nodes);
     match axis {
-        Axis::Nodes => {
-            let known = curve
-                .rows
-                .iter()
-                .filter(|r| r.sizes.nodes <= LARGEST_KNOWN_NODES);
-            let known: Vec<(f64, f64)> = known
-                .map(|r| (r.sizes.nodes as f64, r.figure.median))
-                .collect();
-            let figure = Slope::fit(&known)?.predict(last.sizes.nodes as f64);
-            let size = format!(
-                "{nodes} machines, from at most {}",
-                format_count(LARGEST_KNOWN_NODES)
-            );
-            Some(Prediction {
-                measured: last,
-                size,
-                support: known.len(),
-                figure,
-            })
-        }
-        Axis::Combined => {
-            let sum = measurements.estimate(subject, &last.sizes)?;
-            let size = format!("{nodes} machines, all axes up; from the sum of the slopes");
-            Some(Prediction {
-                measured: last,
-                size,
-                support: sum.axes.len(),
-                figure: sum.figure,
-            })
-        }
+        Axis::Nodes => predicted_by_smaller_points(curve, largest),
+        Axis::Combined => predicted_by_slopes(measurements, subject, largest),
         Axis::Schedulers
         | Axis::RunningTasks
         | Axis::Starts
@@ -130,6 +101,39 @@
     }
 }
 
+fn predicted_by_smaller_points<'a>(curve: &Curve, largest: &'a Row) -> Option<Prediction<'a>> {
+    let known = curve
+        .rows
+        .iter()
+        .filter(|r| r.sizes.nodes <= LARGEST_KNOWN_NODES);
+    let known: Vec<(f64, f64)> = known
+        .map(|r| (r.sizes.nodes as f64, r.figure.median))
+        .collect();
+    let nodes = format_count(largest.sizes.nodes);
+    let known_nodes = format_count(LARGEST_KNOWN_NODES);
+    Some(Prediction {
+        measured: largest,
+        size: format!("{nodes} machines, from at most {known_nodes}"),
+        support: known.len(),
+        figure: Slope::fit(&known)?.predict(largest.sizes.nodes as f64),
+    })
+}
+
+fn predicted_by_slopes<'a>(
+    measurements: &Measurements,
+    subject: &Subject,
+    largest: &'a Row,
+) -> Option<Prediction<'a>> {
+    let sum = measurements.estimate(subject, &largest.sizes)?;
+    let nodes = format_count(largest.sizes.nodes);
+    Some(Prediction {
+        measured: largest,
+        size: format!("{nodes} machines, all axes up; from the sum of the slopes"),
+        support: sum.axes.len(),
+        figure: sum.figure,
+    })
+}
+
 /// A row of real processes, and the file that holds it.
 #[derive(Clone, Copy)]
 struct RealRow<'a> {
--- a/crates/scale/src/capacity_report/tables/needs.rs
+++ b/crates/scale/src/capacity_report/tables/needs.rs
@@ -63,13 +63,11 @@
         Some(estimate) => format_with_unit(Some(estimate.figure), &estimate.unit),
         None => format_figure(None),
     };
-    let multiplier = match need.multiplier {
-        Multiplier::Once => Multiplier::Once.description().to_owned(),
-        other => format!(
-            "{} {}",
-            format_figure(Some(demand.multiplier)),
-            other.description()
-        ),
+    let description = need.multiplier.description();
+    let multiplier = if need.multiplier == Multiplier::Once {
+        description.to_owned()
+    } else {
+        format!("{} {description}", format_figure(Some(demand.multiplier)))
     };
     let has_budget = need.budget != Budget::None;
     let ratio = if has_budget {
--- a/crates/scale/src/capacity_report/tables/ranking.rs
+++ b/crates/scale/src/capacity_report/tables/ranking.rs
@@ -3,40 +3,21 @@
 use super::demand_text::{amount_text, budget_text};
 use crate::capacity_report::demand::{Demand, ranked};
 use crate::capacity_report::format::{NOT_MEASURED, format_figure, markdown_table};
-use crate::capacity_report::needs::{Budget, Needs};
+use crate::capacity_report::needs::{Budget, MissingMechanism, Needs};
 use crate::target::Target;
 
 /// Need over budget, the largest first; then what was not measured, then what does not exist.
 pub fn ranking(demands: &[Demand], needs: &Needs, target: &Target) -> String {
-    let mut rows: Vec<Vec<String>> = Vec::new();
-    for (rank, demand) in (1..).zip(ranked(demands)) {
-        rows.push(ranked_row(rank, demand, target));
-    }
+    let is_unmeasured =
+        |demand: &&Demand| demand.estimate.is_none() && demand.need.budget != Budget::None;
+    let ranked = (1..)
+        .zip(ranked(demands))
+        .map(|(rank, demand)| ranked_row(rank, demand, target));
     let unmeasured = demands
         .iter()
-        .filter(|d| d.estimate.is_none() && d.need.budget != Budget::None);
-    for demand in unmeasured {
-        rows.push(vec![
-            "-".into(),
-            demand.need.role.clone(),
-            demand.need.name.clone(),
-            NOT_MEASURED.into(),
-            budget_text(demand, target),
-            NOT_MEASURED.into(),
-            demand.need.next_step.clone(),
-        ]);
-    }
-    for mechanism in &needs.missing {
-        rows.push(vec![
-            "-".into(),
-            "-".into(),
-            mechanism.name.clone(),
-            "does not exist".into(),
-            String::new(),
-            NOT_MEASURED.into(),
-            mechanism.next_step.clone(),
-        ]);
-    }
+        .filter(is_unmeasured)
+        .map(|d| unmeasured_row(d, target));
+    let missing = needs.missing.iter().map(missing_row);
     let head = [
         "rank",
         "role",
@@ -46,7 +27,31 @@
         "need over budget",
         "next",
     ];
-    markdown_table(&head, rows)
+    markdown_table(&head, ranked.chain(unmeasured).chain(missing).collect())
+}
+
+fn unmeasured_row(demand: &Demand, target: &Target) -> Vec<String> {
+    vec![
+        "-".into(),
+        demand.need.role.clone(),
+        demand.need.name.clone(),
+        NOT_MEASURED.into(),
+        budget_text(demand, target),
+        NOT_MEASURED.into(),
+        demand.need.next_step.clone(),
+    ]
+}
+
+fn missing_row(mechanism: &MissingMechanism) -> Vec<String> {
+    vec![
+        "-".into(),
+        "-".into(),
+        mechanism.name.clone(),
+        "does not exist".into(),
+        String::new(),
+        NOT_MEASURED.into(),
+        mechanism.next_step.clone(),
+    ]
 }
 
 fn ranked_row(rank: usize, demand: &Demand, target: &Target) -> Vec<String> {
--- a/crates/scale/src/capacity_report/tables/sensitivity.rs
+++ b/crates/scale/src/capacity_report/tables/sensitivity.rs
@@ -5,7 +5,7 @@
 use crate::capacity_report::measurements::Measurements;
 use crate::capacity_report::needs::Needs;
 use crate::error::ReportError;
-use crate::target::{Assumption, OpenQuantity, Target};
+use crate::target::{OpenQuantity, Target};
 
 /// Ratios that move by less than this share are not shown.
 const SHOWN_SHARE: f64 = 0.05;
@@ -37,14 +37,9 @@
                 continue;
             }
             let other = target.with_assumed(assumption.quantity, value);
-            let moved = Demand::all(needs, measurements, &other)?;
-            let change = Change {
-                target,
-                other: &other,
-                value,
-            };
-            let effects = effects_of(assumption, &change, moved_ratios(&assumed, &moved));
-            cells.push(format!("{}: {effects}", format_figure(Some(value))));
+            let mut effects = moved_ratios(&assumed, &Demand::all(needs, measurements, &other)?);
+            effects.extend(other_effects(assumption.quantity, target, &other));
+            cells.push(effects_text(value, &effects));
         }
         rows.push(cells);
     }
@@ -59,11 +54,12 @@
     ))
 }
 
-/// A target beside the same one with another value of one assumption.
-struct Change<'a> {
-    target: &'a Target,
-    other: &'a Target,
-    value: f64,
+fn effects_text(value: f64, effects: &[String]) -> String {
+    let effects = match effects {
+        [] => "no measured need moves by a twentieth".to_owned(),
+        some => some.join("; "),
+    };
+    format!("{}: {effects}", format_figure(Some(value)))
 }
 
 fn moved_ratios(before: &[Demand], after: &[Demand]) -> Vec<String> {
@@ -77,19 +73,16 @@
     before.iter().zip(after).filter_map(moved).collect()
 }
 
-/// The moved ratios, and what the assumption changes beside them.
-fn effects_of(assumption: &Assumption, change: &Change<'_>, mut effects: Vec<String>) -> String {
-    let Change {
-        target,
-        other,
-        value,
-    } = change;
+/// What another value of an assumption changes beside the ratios.
+fn other_effects(quantity: OpenQuantity, target: &Target, other: &Target) -> Vec<String> {
+    let mut effects = Vec::new();
     let (old_mean, new_mean) = (target.mean_starts(), other.mean_starts());
     if old_mean != new_mean {
         let (new, old) = (format_figure(Some(new_mean)), format_figure(Some(old_mean)));
         effects.push(format!("mean of the day {new} starts/s (was {old})"));
     }
-    match assumption.quantity {
+    let value = other.assumed(quantity);
+    match quantity {
         OpenQuantity::CoresPerNode => {
             let cores = format_figure(Some(value * target.control_nodes));
             effects.push(format!("{cores} cores set aside in all"));
@@ -106,11 +99,7 @@
         | OpenQuantity::Descriptors
         | OpenQuantity::Classes => {}
     }
-    if effects.is_empty() {
-        "no measured need moves by a twentieth".into()
-    } else {
-        effects.join("; ")
-    }
+    effects
 }
 
 /// Need over budget at a tenth of the target's size, at it, and at ten times it.
--- a/crates/scale/src/hollow_scheduler.rs
+++ b/crates/scale/src/hollow_scheduler.rs
@@ -189,12 +189,20 @@
                 self.counts.requested += 1;
                 self.counts.client.add(message.encode().len());
             }
-            Input::NodeMessage(connection, message)
-                if self.connections.contains_key(connection) =>
-            {
-                self.counts.nodes.add(message.encode().len());
+            Input::NodeMessage(connection, message) => {
+                if self.connections.contains_key(connection) {
+                    self.counts.nodes.add(message.encode().len());
+                }
             }
-            _ => {}
+            Input::Start(_)
+            | Input::EndpointEvents(_)
+            | Input::EndpointWatchFailed
+            | Input::AdmitNext
+            | Input::ClientDisconnected(_)
+            | Input::ClientCount(_)
+            | Input::NodeConnected(_)
+            | Input::NodeDisconnected(..)
+            | Input::Tick(_) => {}
         }
     }
 
@@ -231,12 +239,12 @@
         let Ok(Some(message)) = decode(&mut BytesMut::from(frame)) else {
             return;
         };
-        match message.kind {
-            MessageKind::Answer => self.counts.placed += 1,
-            MessageKind::Release if message.cause() == Some(cause::ORDINARY) => {
-                self.counts.ended += 1;
-            }
-            _ => {}
+        if message.kind == MessageKind::Answer {
+            self.counts.placed += 1;
+        }
+        let is_release = message.kind == MessageKind::Release;
+        if is_release && message.cause() == Some(cause::ORDINARY) {
+            self.counts.ended += 1;
         }
     }
 
@@ -266,7 +274,13 @@
                     Input::NodeMessage(connection, tested_message(id)),
                 );
             }
-            _ => {}
+            MessageKind::Progress
+            | MessageKind::Answer
+            | MessageKind::Release
+            | MessageKind::Heard
+            | MessageKind::Note
+            | MessageKind::Move
+            | MessageKind::Tested => {}
         }
     }
 }
--- a/crates/scale/src/loopback_fleet/nodes.rs
+++ b/crates/scale/src/loopback_fleet/nodes.rs
@@ -71,7 +71,13 @@
             }
             start_task(message.id, &outgoing, &pending);
         }
-        _ => {}
+        MessageKind::Progress
+        | MessageKind::Answer
+        | MessageKind::Release
+        | MessageKind::Heard
+        | MessageKind::Note
+        | MessageKind::Move
+        | MessageKind::Tested => {}
     })
     .await;
 }
--- a/crates/scale/src/roles/controller/harness.rs
+++ b/crates/scale/src/roles/controller/harness.rs
@@ -114,34 +114,18 @@
 
     fn carry_out(&mut self, output: &Output) -> Result<(), MeasureError> {
         match output {
-            Output::Connect { node, .. } => {
-                let node = node_number(*node);
-                let holds_tasks = self.unreported.contains_key(&node);
-                let delay = if holds_tasks {
-                    ADOPTION_DELAY
-                } else {
-                    NETWORK_DELAY * 3
-                };
-                self.simulation
-                    .deliver_after(delay, Delivery::Connected(node));
-                Ok(())
-            }
+            Output::Connect { node, .. } => self.connect_later(node_number(*node)),
             Output::Journal(entries) => {
                 self.traffic.entry("journal").add_many(entries.len(), 0);
-                Ok(())
             }
             Output::Accepted { .. } | Output::Answered { .. } => {
                 self.traffic.entry("client_out").add(0);
-                Ok(())
-            }
-            Output::Rejected { .. } => {
-                self.traffic.entry("turned_away").add(0);
-                Ok(())
             }
+            Output::Rejected { .. } => self.traffic.entry("turned_away").add(0),
             Output::Finished(job) => {
                 self.traffic.entry("client_out").add(0);
                 let job = *job;
-                self.input("dispose", || Ok(Input::Dispose(job)))
+                return self.input("dispose", || Ok(Input::Dispose(job)));
             }
             Output::Dispatch { .. }
             | Output::CancelAttempt { .. }
@@ -153,8 +137,20 @@
             | Output::Disconnect(_)
             | Output::Watch
             | Output::Broadcast(_)
-            | Output::Log(_) => self.send_to_node(output),
+            | Output::Log(_) => return self.send_to_node(output),
         }
+        Ok(())
+    }
+
+    fn connect_later(&mut self, node: u64) {
+        let holds_tasks = self.unreported.contains_key(&node);
+        let delay = if holds_tasks {
+            ADOPTION_DELAY
+        } else {
+            NETWORK_DELAY * 3
+        };
+        self.simulation
+            .deliver_after(delay, Delivery::Connected(node));
     }
 
     fn list_frame(
--- a/crates/scale/src/roles/controller/harness/nodes.rs
+++ b/crates/scale/src/roles/controller/harness/nodes.rs
@@ -131,7 +131,12 @@
                 end: TaskExit::Exited { .. },
                 ..
             } => "end",
-            _ => "refused",
+            FromNode::Welcome { .. }
+            | FromNode::KnownTask { .. }
+            | FromNode::Rejected { .. }
+            | FromNode::Ended { .. }
+            | FromNode::Measurement { .. }
+            | FromNode::ProbeReply { .. } => "refused",
         };
         let mut bytes = encode(message, MAX_NODE_FRAME_BYTES)?;
         self.traffic.entry("node_in").add(bytes.len());
--- a/crates/scale/src/roles/discovery.rs
+++ b/crates/scale/src/roles/discovery.rs
@@ -136,9 +136,10 @@
     let changes = (0..sizes.changes_per_second).map(|_| lines.change.as_str());
     let one_second: Vec<&str> = changes.chain([lines.heartbeat.as_str()]).collect();
     figures.extend(time_repeats("changes_read_time", repeats, || {
-        one_second
-            .iter()
-            .try_for_each(|text| Ok(drop(receive_line(text, 1)?)))
+        for text in &one_second {
+            receive_line(text, 1)?;
+        }
+        Ok(())
     })?);
     figures.extend(frame_figures(sizes, repeats)?);
     Ok(figures)
--- a/crates/scale/src/roles/processes.rs
+++ b/crates/scale/src/roles/processes.rs
@@ -246,38 +246,20 @@
     load: &Usage,
     requested: u64,
 ) -> Result<Vec<Figure>, MeasureError> {
-    let placed: Vec<f64> = fleet
+    let placed = fleet
         .clients
         .iter()
-        .map(|clients| clients.outcomes().placed as f64)
-        .collect();
+        .map(|clients| clients.outcomes().placed as f64);
+    let placed: Vec<f64> = placed.collect();
     if placed.iter().any(|placed| *placed <= 0.0) {
         return Err(MeasureError::Implausible(
             "a scheduler placed nothing".into(),
         ));
     }
-    let total: f64 = placed.iter().sum();
-    let ended: u64 = fleet
-        .clients
-        .iter()
-        .map(|clients| clients.outcomes().ended)
-        .sum();
-    let open: u64 = fleet.clients.iter().map(Clients::open_connections).sum();
-    let schedulers = sizes.schedulers as f64;
-    let idle_bytes = idle.bytes.both() as f64 / idle.duration / schedulers;
-    let requests = (requested * sizes.schedulers) as f64;
-    let mut figures = vec![
-        Figure::counted("start_bytes_in", "bytes", load.bytes.sent as f64 / total),
-        Figure::counted(
-            "start_bytes_out",
-            "bytes",
-            load.bytes.received as f64 / total,
-        ),
-        Figure::counted("placed_share", "count", total / requests),
-        Figure::counted("ended_share", "count", ended as f64 / total),
-        Figure::counted("owners_open", "count", open as f64 / schedulers),
-        Figure::counted("idle_bytes", "bytes/s", idle_bytes),
-    ];
+    let total = placed.iter().sum();
+    let mut figures = counted_figures(fleet, sizes, &load.bytes, total, requested);
+    let idle_bytes = idle.bytes.both() as f64 / idle.duration / sizes.schedulers as f64;
+    figures.push(Figure::counted("idle_bytes", "bytes/s", idle_bytes));
     let timed = |name, unit, times| Figure::from_repeats(name, unit, Basis::Timed, times);
     let start_times = start_times(idle, load, &placed);
     // A difference from the idle time: with few starts it is less than that varies, and says nothing.
@@ -304,6 +286,34 @@
     Ok(figures)
 }
 
+/// Bytes and outcomes of the starts, of which `placed` were placed.
+fn counted_figures(
+    fleet: &Fleet,
+    sizes: &Sizes,
+    bytes: &ByteTotals,
+    placed: f64,
+    requested: u64,
+) -> Vec<Figure> {
+    let ended: u64 = fleet
+        .clients
+        .iter()
+        .map(|clients| clients.outcomes().ended)
+        .sum();
+    let open: u64 = fleet.clients.iter().map(Clients::open_connections).sum();
+    let requests = (requested * sizes.schedulers) as f64;
+    vec![
+        Figure::counted("start_bytes_in", "bytes", bytes.sent as f64 / placed),
+        Figure::counted("start_bytes_out", "bytes", bytes.received as f64 / placed),
+        Figure::counted("placed_share", "count", placed / requests),
+        Figure::counted("ended_share", "count", ended as f64 / placed),
+        Figure::counted(
+            "owners_open",
+            "count",
+            open as f64 / sizes.schedulers as f64,
+        ),
+    ]
+}
+
 /// Processor time of a start at each scheduler, microseconds, without what it uses when idle.
 fn start_times(idle: &Usage, load: &Usage, placed: &[f64]) -> Vec<f64> {
     let times = load.processor.iter().zip(&idle.processor).zip(placed);
