--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -13,6 +13,7 @@
 //! | `node_list` | updates of the list of nodes |
 //! | `clients` | messages and connections of clients |
 //! | `admission` | new requests, and tasks that are handed over while they run |
+//! | `answers` | final answers: each request gets one |
 //! | `attempts` | dispatch, cancellation and end of attempts |
 //! | `running_tasks` | tasks from their placement to their end |
 //! | `notifications` | clients are notified of the ends of their tasks |
@@ -27,6 +28,7 @@
 
 mod admission;
 mod ambiguity;
+mod answers;
 mod attempt_matching;
 mod attempts;
 mod bounds;
@@ -62,6 +64,8 @@
 use timer_lag::TimerLag;
 use timers::Timer;
 
+const MICROS_PER_MILLI: Micros = 1000;
+
 /// One controller on the platform, around a decision module.
 #[derive(Debug)]
 pub struct PlatformEngine<D> {
--- a/crates/platform/src/engine/attempts.rs
+++ b/crates/platform/src/engine/attempts.rs
@@ -2,14 +2,12 @@
 
 use super::request::{Attempt, AttemptEnd, AttemptId, AttemptState, Payload};
 use super::timers::Timer;
-use super::{NodeConnectionId, Output, PlatformEngine};
+use super::{MICROS_PER_MILLI, NodeConnectionId, Output, PlatformEngine};
 use crate::wire::{Message, MessageKind, cause, code};
 use peppercove::{AttemptOutcome, Event, Micros, NodeId, RequestId};
 use peppercove_core::Decide;
 use peppercove_core::request_state::RequestState;
 
-const MICROS_PER_MILLI: Micros = 1000;
-
 impl<D: Decide> PlatformEngine<D> {
     /// Carries out a dispatch of the module. Each gets a number and one end, also where nothing can be sent.
     pub(super) fn dispatch(&mut self, id: RequestId, node: NodeId, timeout: Option<Micros>) {
--- a/crates/platform/src/engine/bounds.rs
+++ b/crates/platform/src/engine/bounds.rs
@@ -10,10 +10,14 @@
 
 /// Memory of an open request in the worst case, in KiB.
 const KIB_PER_OPEN_REQUEST: usize = 32;
-/// Fewest and most open requests, whatever the memory.
-const OPEN_REQUESTS: (usize, usize) = (64, 65_536);
-/// Fewest and most open requests of one client.
-const OPEN_REQUESTS_PER_CLIENT: (usize, usize) = (16, 256);
+/// Fewest open requests, whatever the memory.
+const MIN_OPEN_REQUESTS: usize = 64;
+/// Most open requests, whatever the memory.
+const MAX_OPEN_REQUESTS: usize = 65_536;
+/// Fewest open requests of one client.
+const MIN_OPEN_REQUESTS_PER_CLIENT: usize = 16;
+/// Most open requests of one client.
+const MAX_OPEN_REQUESTS_PER_CLIENT: usize = 256;
 /// Fewest running tasks, whatever the memory.
 const MIN_RUNNING_TASKS: usize = 1024;
 /// Descriptors for the program itself: listener, journal service, log, runtime.
@@ -58,15 +62,15 @@
         let memory_bytes = (config.limits.memory_mb as usize).saturating_mul(1 << 20);
         // A quarter of the memory is for open requests.
         let open_requests =
-            (memory_kib / 4 / KIB_PER_OPEN_REQUEST).clamp(OPEN_REQUESTS.0, OPEN_REQUESTS.1);
+            (memory_kib / 4 / KIB_PER_OPEN_REQUEST).clamp(MIN_OPEN_REQUESTS, MAX_OPEN_REQUESTS);
         // Well-behaved clients use up to a third of the descriptors; clients that misbehave may take as many again.
         // Connections to nodes get what is left.
         let client_connections = config.limits.sockets / 3 * 2;
         let connections = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS);
-        let (min_per_client, max_per_client) = OPEN_REQUESTS_PER_CLIENT;
         Bounds {
             open_requests,
-            open_requests_per_client: (open_requests / 4).clamp(min_per_client, max_per_client),
+            open_requests_per_client: (open_requests / 4)
+                .clamp(MIN_OPEN_REQUESTS_PER_CLIENT, MAX_OPEN_REQUESTS_PER_CLIENT),
             // One KiB each, in an eighth of the memory. A task beyond this limit is not tracked: nobody is notified of
             // its end.
             running_tasks: (memory_kib / 8).max(MIN_RUNNING_TASKS),
--- a/crates/platform/src/engine/clients.rs
+++ b/crates/platform/src/engine/clients.rs
@@ -3,7 +3,7 @@
 use super::notifications::SentNotification;
 use super::{ClientId, Output, PlatformEngine, request_parsing};
 use crate::wire::{Message, MessageKind, cause, code};
-use peppercove::{AttemptOutcome, Event, Micros, RequestId};
+use peppercove::{AttemptOutcome, RequestId};
 use peppercove_core::Decide;
 use peppercove_core::request_state::RequestState;
 use std::collections::{BTreeSet, VecDeque};
@@ -65,15 +65,6 @@
             || self.open_requests() >= self.bounds.open_requests
     }
 
-    /// When the final answer to a request must be decided.
-    ///
-    /// An event loop that is late decides it later than its deadline by as much, so that time is kept in reserve. Half
-    /// of the client's time at the least is left for a placement.
-    pub(super) fn answer_by(&self, received_at: Micros, deadline: Micros) -> Micros {
-        let half_of_time = deadline.saturating_sub(received_at) / 2;
-        deadline - self.timer_lag.max().min(half_of_time)
-    }
-
     /// A client cancels its request, or ends its task.
     fn on_client_release(&mut self, client: ClientId, message: &Message) {
         if self.queue.cancel(client, message.id) {
@@ -123,55 +114,6 @@
             .shrink_to(self.bounds.node_connections, &mut self.outputs);
     }
 
-    /// The client waits no more: it is owed no answer.
-    pub(super) fn cancel_request(&mut self, request: RequestId) {
-        self.counters.cancelled += 1;
-        self.events.push(Event::RequestCancelled(request));
-        self.close_request(request);
-    }
-
-    /// Sends the module's final answer; false where none is owed any more.
-    pub(super) fn answer(&mut self, id: RequestId, mut message: Message) -> bool {
-        let Some(request) = self.requests.get(id).filter(|r| r.state.is_open()) else {
-            return false;
-        };
-        message.id = request.wire_id;
-        let client = request.client;
-        self.send_to_client(client, &message);
-        self.close_request(id);
-        true
-    }
-
-    /// A request without a placement is over; its open attempt is cancelled.
-    fn close_request(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(id) else {
-            return;
-        };
-        if !request.state.is_open() {
-            return;
-        }
-        let dispatched = request.dispatched_attempt();
-        let transition = request.state.transition_to(RequestState::Completed);
-        debug_assert!(transition.is_ok());
-        request.payload = None;
-        let client = request.client;
-        self.remove_open_request(client, id);
-        self.requests.mark_completed(id);
-        if let Some(number) = dispatched {
-            let request = id;
-            let attempt = super::request::AttemptId { request, number };
-            self.abandon_attempt(attempt, AttemptOutcome::Cancelled, true);
-        }
-    }
-
-    /// The client has its final answer to this request, or wants none.
-    pub(super) fn remove_open_request(&mut self, client: ClientId, request: RequestId) {
-        self.requests.open -= 1;
-        if let Some(client) = self.clients.get_mut(&client) {
-            client.open_requests.remove(&request);
-        }
-    }
-
     pub(super) fn send_to_client(&mut self, client: ClientId, message: &Message) {
         self.outputs
             .push(Output::SendToClient(client, message.encode()));
--- a/crates/platform/src/engine/node_connections/listed_nodes.rs
+++ b/crates/platform/src/engine/node_connections/listed_nodes.rs
@@ -2,7 +2,7 @@
 
 use super::NodeConnections;
 use crate::endpoint_watch::{NodeListUpdate, NodeUpdate};
-use crate::engine::NodeConnectionId;
+use crate::engine::{MICROS_PER_MILLI, NodeConnectionId};
 use peppercove::adapter_protocol::RecordSchema;
 use peppercove::{Micros, NodeEntry, NodeId, NodeStatus, RequestId, TaskKey};
 use peppercove_core::Backoff;
@@ -10,7 +10,6 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const MICROS_PER_MILLI: Micros = 1000;
 /// Shortest wait before a connection that tasks need is opened again.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait before a connection that tasks need is opened again.
--- a/crates/platform/src/engine/request_parsing.rs
+++ b/crates/platform/src/engine/request_parsing.rs
@@ -1,6 +1,7 @@
 //! Reads the parameters of messages and validates them against the settings. What is not valid never reaches the
 //! decision module.
 
+use super::MICROS_PER_MILLI;
 use super::request::Payload;
 use crate::wire::{Message, cause, code};
 use peppercove::adapter_protocol::{RecordSchema, set_load_value};
@@ -9,7 +10,6 @@
     RequestId, ServiceId, Settings, TaskClass, TaskKey, TaskUpdate,
 };
 
-const MICROS_PER_MILLI: Micros = 1000;
 /// Longest name of a node, in bytes.
 const MAX_NODE_NAME_BYTES: usize = 64;
 /// Digits of a name that is a hexadecimal number.
