--- a/crates/audit/src/node_links.rs
+++ b/crates/audit/src/node_links.rs
@@ -5,6 +5,12 @@
 use peppercove_protocol::node::{AttemptId, FromNode, ProcessIdentity};
 use std::collections::BTreeMap;
 
+/// An attempt and the process that sent it.
+struct SentAttempt {
+    sender: ProcessIdentity,
+    id: AttemptId,
+}
+
 /// The newest link between a controller and a node.
 #[derive(Default)]
 struct Link {
@@ -19,7 +25,7 @@
     remaining: u32,
     node_incarnation: u64,
     /// Attempts that were listed.
-    listed: Vec<(ProcessIdentity, AttemptId)>,
+    listed: Vec<SentAttempt>,
 }
 
 /// All links and handshakes.
@@ -59,66 +65,19 @@
         node: &str,
         message: &FromNode,
     ) {
-        let attempt = match message {
-            FromNode::Welcome {
-                node: welcomed,
-                known_tasks,
-                ..
-            } => {
-                self.begin_handshake(attempts, controller, welcomed, node, *known_tasks);
-                return self.complete_handshake(attempts, controller, node);
-            }
-            FromNode::Running { attempt, .. } => {
-                report(
-                    attempts,
-                    at,
-                    controller,
-                    *attempt,
-                    node,
-                    AttemptState::Running,
-                );
-                return;
-            }
-            FromNode::Rejected { attempt, .. } => {
-                report(
-                    attempts,
-                    at,
-                    controller,
-                    *attempt,
-                    node,
-                    AttemptState::NeverRan,
-                );
-                return;
-            }
-            FromNode::Ended { attempt, .. } => {
-                report(
-                    attempts,
-                    at,
-                    controller,
-                    *attempt,
-                    node,
-                    AttemptState::Ended,
-                );
-                (controller.clone(), *attempt)
-            }
-            FromNode::KnownTask {
-                incarnation,
-                attempt,
-                ended,
-                ..
-            } => {
-                let sender = ProcessIdentity {
-                    name: controller.name.clone(),
-                    incarnation: *incarnation,
-                };
-                report_known(attempts, at, &sender, *attempt, node, ended.is_some());
-                (sender, *attempt)
-            }
-            FromNode::Accepted { .. }
-            | FromNode::Measurement { .. }
-            | FromNode::ProbeReply { .. } => return,
-        };
-        self.list_attempt(attempts, controller, node, attempt);
+        if let FromNode::Welcome {
+            node: welcomed,
+            known_tasks,
+            ..
+        } = message
+        {
+            self.begin_handshake(attempts, controller, welcomed, node, *known_tasks);
+            return self.complete_handshake(attempts, controller, node);
+        }
+        report_message(attempts, at, controller, node, message);
+        if let Some(listed) = listed_attempt(controller, message) {
+            self.list_attempt(attempts, controller, node, listed);
+        }
     }
 
     fn begin_handshake(
@@ -151,7 +110,7 @@
         attempts: &mut AttemptTable,
         controller: &ProcessIdentity,
         node: &str,
-        attempt: (ProcessIdentity, AttemptId),
+        attempt: SentAttempt,
     ) {
         let key = (controller.clone(), node.to_owned());
         if let Some(handshake) = self.handshakes.get_mut(&key) {
@@ -184,7 +143,7 @@
             let is_listed = handshake
                 .listed
                 .iter()
-                .any(|(sender, id)| *sender == attempt.controller && *id == attempt.id);
+                .any(|listed| listed.sender == attempt.controller && listed.id == attempt.id);
             let is_open = matches!(
                 attempt.state,
                 AttemptState::Pending | AttemptState::Ambiguous
@@ -214,6 +173,67 @@
     }
 }
 
+/// What a message says of the state of an attempt.
+fn report_message(
+    attempts: &mut AttemptTable,
+    at: Micros,
+    controller: &ProcessIdentity,
+    node: &str,
+    message: &FromNode,
+) {
+    let (attempt, state) = match message {
+        FromNode::Running { attempt, .. } => (*attempt, AttemptState::Running),
+        FromNode::Rejected { attempt, .. } => (*attempt, AttemptState::NeverRan),
+        FromNode::Ended { attempt, .. } => (*attempt, AttemptState::Ended),
+        FromNode::KnownTask {
+            incarnation,
+            attempt,
+            ended,
+            ..
+        } => {
+            let sender = earlier_process(controller, *incarnation);
+            return report_known(attempts, at, &sender, *attempt, node, ended.is_some());
+        }
+        FromNode::Welcome { .. }
+        | FromNode::Accepted { .. }
+        | FromNode::Measurement { .. }
+        | FromNode::ProbeReply { .. } => return,
+    };
+    report(attempts, at, controller, attempt, node, state);
+}
+
+/// The attempt that a message lists, if it may belong to a handshake.
+fn listed_attempt(controller: &ProcessIdentity, message: &FromNode) -> Option<SentAttempt> {
+    match message {
+        FromNode::KnownTask {
+            incarnation,
+            attempt,
+            ..
+        } => Some(SentAttempt {
+            sender: earlier_process(controller, *incarnation),
+            id: *attempt,
+        }),
+        FromNode::Ended { attempt, .. } => Some(SentAttempt {
+            sender: controller.clone(),
+            id: *attempt,
+        }),
+        FromNode::Welcome { .. }
+        | FromNode::Running { .. }
+        | FromNode::Rejected { .. }
+        | FromNode::Accepted { .. }
+        | FromNode::Measurement { .. }
+        | FromNode::ProbeReply { .. } => None,
+    }
+}
+
+/// Another incarnation of a controller.
+fn earlier_process(controller: &ProcessIdentity, incarnation: u64) -> ProcessIdentity {
+    ProcessIdentity {
+        name: controller.name.clone(),
+        incarnation,
+    }
+}
+
 /// A node reports the state of an attempt of the controller's present incarnation.
 fn report(
     attempts: &mut AttemptTable,
--- a/crates/day/src/cluster.rs
+++ b/crates/day/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A small cluster of stand-ins and one controller on loopback, to look at and to test against.
+//! A small cluster of fake nodes and one controller on loopback, to look at and to test against.
 
 use peppercove_config::Config;
 use peppercove_controller::{Controller, StartError};
@@ -13,46 +13,58 @@
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
+/// Publication delay of the node list, in microseconds.
+const LIST_DELAY: u64 = 100_000;
+
+/// Interval at which the node list looks at free resources.
+const LIST_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Interval at which the start looks whether all links are up.
+const CONNECT_POLL: Duration = Duration::from_millis(2);
+
+/// Racks that the nodes are spread over.
+const RACKS: usize = 4;
+
 /// Why a cluster did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// A socket or a thread could not be had.
+    /// A socket or a runtime could not be had.
     #[error("socket: {0}")]
     Io(#[from] io::Error),
     /// The controller did not start.
     #[error("controller: {0}")]
     Start(#[from] StartError),
-    /// Its thread ended.
+    /// Its thread ended early.
     #[error("the cluster ended before it began")]
     Ended,
 }
 
-/// Nodes, a list of them and a controller, in a thread of their own until this is dropped.
+/// Nodes, their list and a controller, in a thread of their own until this is dropped.
 pub struct Cluster {
-    /// Where the controller listens for clients.
+    /// Address at which the controller listens for clients.
     pub contact: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Cluster {
-    /// Starts so many nodes; `shape` may change what each is.
+    /// Starts a cluster of so many nodes; `adjust` may change the properties of each.
     ///
     /// # Errors
-    /// [`ClusterError`] where a socket or the controller cannot be had.
+    /// [`ClusterError`] if a socket or the controller cannot be had.
     pub fn start(
         config: Config,
         nodes: usize,
-        shape: impl Fn(NodeSpec) -> NodeSpec + Send + 'static,
+        adjust: impl Fn(NodeSpec) -> NodeSpec + Send + 'static,
     ) -> Result<Cluster, ClusterError> {
-        let (ready, told) = mpsc::channel();
+        let (ready, started) = mpsc::channel();
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::spawn(move || {
-            if let Err(error) = serve(config, nodes, &shape, &ready, stopped) {
+            if let Err(error) = serve(config, nodes, &adjust, &ready, stopped) {
                 let _ = ready.send(Err(error));
             }
         });
-        let contact = told.recv().map_err(|_| ClusterError::Ended)??;
+        let contact = started.recv().map_err(|_| ClusterError::Ended)??;
         Ok(Cluster {
             contact,
             stop: Some(stop),
@@ -72,12 +84,14 @@
     }
 }
 
+/// Where the address of the controller, or why there is none, is sent to.
 type Ready = mpsc::Sender<Result<SocketAddr, ClusterError>>;
 
+/// Runs the cluster until `stopped` resolves.
 fn serve(
     mut config: Config,
     nodes: usize,
-    shape: &impl Fn(NodeSpec) -> NodeSpec,
+    adjust: &impl Fn(NodeSpec) -> NodeSpec,
     ready: &Ready,
     stopped: oneshot::Receiver<()>,
 ) -> Result<(), ClusterError> {
@@ -85,22 +99,17 @@
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
-        let (clock, shared) = (Clock::default(), FleetState::default());
-        let list = FakeNodeList::start(clock, 100_000, Duration::from_millis(250)).await?;
-        for i in 0..nodes {
-            let node = FakeNode::start(
-                shape(node_spec(&config, i)),
-                shared.clone(),
-                clock,
-                i as u64,
-            )
-            .await?;
+        let (clock, fleet) = (Clock::default(), FleetState::default());
+        let list = FakeNodeList::start(clock, LIST_DELAY, LIST_REFRESH_INTERVAL).await?;
+        for index in 0..nodes {
+            let spec = adjust(node_spec(&config, index));
+            let node = FakeNode::start(spec, fleet.clone(), clock, index as u64).await?;
             list.add(&node, node.address());
         }
         config.network.node_list = list.address().into();
         let controller = Controller::start(config).await?;
         while controller.status().connected_nodes < nodes {
-            tokio::time::sleep(Duration::from_millis(2)).await;
+            tokio::time::sleep(CONNECT_POLL).await;
         }
         let _ = ready.send(Ok(controller.address()));
         let _ = stopped.await;
@@ -109,17 +118,18 @@
     })
 }
 
-/// The `i`-th node of a small cluster with these settings.
-pub fn node_spec(config: &Config, i: usize) -> NodeSpec {
-    let kind = i % config.scheduler.node_kinds.len();
+/// The node of that index in a small cluster with these settings.
+pub fn node_spec(config: &Config, index: usize) -> NodeSpec {
+    let settings = &config.scheduler;
+    let kind = index % settings.node_kinds.len();
     NodeSpec {
         kind: kind as u8,
-        rack: (i % 4) as u16,
-        cores: config.scheduler.node_kinds[kind].cores,
-        memory: config.scheduler.node_kinds[kind].memory,
-        cores_overcommit: config.scheduler.cores_overcommit,
-        memory_overcommit: config.scheduler.memory_overcommit,
-        preempts: config.scheduler.allows_preemption,
-        ..NodeSpec::small(format!("node-{i}"))
+        rack: (index % RACKS) as u16,
+        cores: settings.node_kinds[kind].cores,
+        memory: settings.node_kinds[kind].memory,
+        cores_overcommit: settings.cores_overcommit,
+        memory_overcommit: settings.memory_overcommit,
+        preempts: settings.allows_preemption,
+        ..NodeSpec::small(format!("node-{index}"))
     }
 }
--- a/crates/day/src/incident_import/recording.rs
+++ b/crates/day/src/incident_import/recording.rs
@@ -70,8 +70,8 @@
         });
     }
     let frame = BatchFrame {
-        records: word(&bytes, 4),
-        time: u64::from(word(&bytes, 8)) | u64::from(word(&bytes, 12)) << 32,
+        records: u32_at(&bytes, 4),
+        time: u64::from(u32_at(&bytes, 8)) | u64::from(u32_at(&bytes, 12)) << 32,
         body: &bytes[BATCH_HEADER_BYTES..],
     };
     on_batch(header.process, frame)
@@ -98,7 +98,7 @@
 }
 
 /// The little-endian number of four bytes at this position.
-fn word(bytes: &[u8], at: usize) -> u32 {
+fn u32_at(bytes: &[u8], at: usize) -> u32 {
     u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
 }
 
--- a/crates/day/src/runner/arrivals.rs
+++ b/crates/day/src/runner/arrivals.rs
@@ -77,18 +77,9 @@
         let workload = &self.workload;
         // The order of the draws is part of what a seed means.
         let controller = self.rng.usize(0..self.clients.groups.len());
-        let run_time_factor = 0.3 - 0.7 * (1.0 - self.rng.f64()).ln();
+        let run_time_factor = Workload::draw_run_time_factor(&mut self.rng);
         let service = self.rng.u64(0..workload.services);
-        JobArrival {
-            at: at - self.begin,
-            class: workload.class.clone(),
-            service: format!("{}-{service}", workload.class),
-            run_time: workload.mean_run_time.mul_f64(run_time_factor),
-            cores: workload.cores,
-            memory: workload.memory,
-            tenant: workload.tenant.clone(),
-            controller,
-        }
+        workload.job(at - self.begin, service, run_time_factor, controller)
     }
 }
 
--- a/crates/kernel/src/scenario.rs
+++ b/crates/kernel/src/scenario.rs
@@ -33,6 +33,33 @@
     pub tenant: Option<String>,
 }
 
+impl Workload {
+    /// A job of the workload, with what was drawn for it: a service, and its run time as a multiple of the mean.
+    pub fn job(
+        &self,
+        at: Duration,
+        service: u64,
+        run_time_factor: f64,
+        controller: usize,
+    ) -> JobArrival {
+        JobArrival {
+            at,
+            class: self.class.clone(),
+            service: format!("{}-{service}", self.class),
+            run_time: self.mean_run_time.mul_f64(run_time_factor),
+            cores: self.cores,
+            memory: self.memory,
+            tenant: self.tenant.clone(),
+            controller,
+        }
+    }
+
+    /// Draws the run time of a job as a multiple of the mean.
+    pub fn draw_run_time_factor(rng: &mut fastrand::Rng) -> f64 {
+        0.3 - 0.7 * (1.0 - rng.f64()).ln()
+    }
+}
+
 /// One job and the time of its submission.
 #[derive(Clone, Debug)]
 pub struct JobArrival {
--- a/crates/kernel/src/simulator/clients.rs
+++ b/crates/kernel/src/simulator/clients.rs
@@ -3,7 +3,7 @@
 use super::events::{ProcessId, SimEvent};
 use super::{Simulator, class_index, micros};
 use crate::client_model::{ClientPolicy, NextStep};
-use crate::scenario::JobArrival;
+use crate::scenario::{JobArrival, Workload};
 use peppercove::{Idempotency, Micros};
 use peppercove_audit::Observation;
 use peppercove_protocol::drmaa::Errno;
@@ -122,17 +122,9 @@
         // The order of the draws is part of what a seed means.
         let controller = self.rng.usize(0..self.clients.len());
         let service = self.rng.u64(0..workload.services);
-        let run_time_factor = 0.3 - 0.7 * (1.0 - self.rng.f64()).ln();
-        let job = JobArrival {
-            at: Duration::from_micros(self.now()),
-            class: workload.class.clone(),
-            service: format!("{}-{service}", workload.class),
-            run_time: workload.mean_run_time.mul_f64(run_time_factor),
-            cores: workload.cores,
-            memory: workload.memory,
-            tenant: workload.tenant.clone(),
-            controller,
-        };
+        let run_time_factor = Workload::draw_run_time_factor(&mut self.rng);
+        let at = Duration::from_micros(self.now());
+        let job = workload.job(at, service, run_time_factor, controller);
         self.submit_new(controller, job, (index as u64) << WORKLOAD_SHIFT | number);
         self.schedule_next_arrival(index, number, self.now());
     }
--- a/crates/standins/src/node_model/tests.rs
+++ b/crates/standins/src/node_model/tests.rs
@@ -5,8 +5,10 @@
     AttemptId, FromNode, Idempotency, NodeReason, OfferedTask, ProcessIdentity, Program, TaskExit,
 };
 
+/// Time in which an offer may start where the test is about something else.
+const EXPIRES_IN: Micros = 10_000_000;
+
 fn offered(task: u64, idempotency: Idempotency, cores: f64) -> OfferedTask {
-    let program = Program::default();
     OfferedTask {
         task,
         service: 1,
@@ -16,7 +18,7 @@
         memory: cores,
         priority: 0,
         idempotency,
-        program,
+        program: Program::default(),
     }
 }
 
@@ -24,141 +26,139 @@
     AttemptId { request: 1, number }
 }
 
-fn connected(spec: NodeSpec, fleet: &FleetState) -> (NodeModel, ProcessIdentity) {
-    let mut model = NodeModel::new(spec, fleet.clone(), 1, 1);
-    let controller = ProcessIdentity {
-        name: "c".into(),
-        incarnation: 1,
-    };
-    model.handshake(0, &controller, 1);
-    (model, controller)
+fn controller(name: &str, incarnation: u64) -> ProcessIdentity {
+    ProcessIdentity {
+        name: name.into(),
+        incarnation,
+    }
+}
+
+/// A node that the first incarnation of controller "c" is connected to.
+struct TestNode {
+    model: NodeModel,
+    controller: ProcessIdentity,
 }
 
-fn run_until(model: &mut NodeModel, until: Micros) -> Vec<FromNode> {
-    let mut out = Vec::new();
-    while let Some(at) = model.next_wake().filter(|at| *at <= until) {
-        out.extend(model.tick(at).into_iter().map(|sent| sent.message));
+impl TestNode {
+    fn new(spec: NodeSpec, fleet: &FleetState) -> TestNode {
+        let mut model = NodeModel::new(spec, fleet.clone(), 1, 1);
+        let controller = controller("c", 1);
+        model.handshake(0, &controller, 1);
+        TestNode { model, controller }
+    }
+
+    fn offer(
+        &mut self,
+        now: Micros,
+        number: u16,
+        expires_in: Micros,
+        task: OfferedTask,
+    ) -> Vec<Outgoing> {
+        let attempt = attempt(number);
+        self.model
+            .offer(now, &self.controller, attempt, expires_in, task)
+    }
+
+    fn cancel(&mut self, now: Micros, number: u16) -> Vec<FromNode> {
+        let controller = &self.controller;
+        messages(self.model.cancel_attempt(now, controller, attempt(number)))
+    }
+
+    fn set_hanging(&mut self, now: Micros, hangs: bool) -> Vec<FromNode> {
+        let faults = Faults {
+            hangs,
+            ..Faults::default()
+        };
+        messages(self.model.set_faults(now, faults))
     }
-    out
+
+    fn run_until(&mut self, until: Micros) -> Vec<FromNode> {
+        let mut sent = Vec::new();
+        while let Some(at) = self.model.next_wake().filter(|at| *at <= until) {
+            sent.extend(messages(self.model.tick(at)));
+        }
+        sent
+    }
+}
+
+fn messages(outgoing: Vec<Outgoing>) -> Vec<FromNode> {
+    outgoing.into_iter().map(|sent| sent.message).collect()
+}
+
+fn is_ineligible(message: &FromNode) -> bool {
+    matches!(
+        message,
+        FromNode::Rejected {
+            reason: NodeReason::Ineligible,
+            ..
+        }
+    )
 }
 
 #[test]
 fn offered_task_is_accepted_runs_and_its_end_is_resent_until_acknowledged() {
     let fleet = FleetState::default();
-    let (mut model, c) = connected(NodeSpec::small("n"), &fleet);
-    model.offer(
-        0,
-        &c,
-        attempt(0),
-        1_000_000,
-        offered(1, Idempotency::Idempotent, 1.0),
-    );
-    let sent = run_until(&mut model, 60_000_000);
-    let mut kinds: Vec<&str> = sent
-        .iter()
-        .map(|m| match m {
-            FromNode::Accepted { .. } => "accepted",
-            FromNode::Running { .. } => "running",
-            FromNode::Ended {
-                end: TaskExit::Exited { status: 0, .. },
-                ..
-            } => "exited",
-            _ => "other",
-        })
-        .collect();
+    let mut node = TestNode::new(NodeSpec::small("n"), &fleet);
+    node.offer(0, 0, 1_000_000, offered(1, Idempotency::Idempotent, 1.0));
+    let kind = |message: &FromNode| match message {
+        FromNode::Accepted { .. } => "accepted",
+        FromNode::Running { .. } => "running",
+        FromNode::Ended {
+            end: TaskExit::Exited { status: 0, .. },
+            ..
+        } => "exited",
+        _ => "other",
+    };
+    let sent = node.run_until(60_000_000);
+    let mut kinds: Vec<&str> = sent.iter().map(kind).collect();
     // The end is sent again until it is acknowledged, since the message may be lost.
-    assert!(
-        kinds.iter().filter(|k| **k == "exited").count() > 3,
-        "{kinds:?}"
-    );
+    let ends = kinds.iter().filter(|kind| **kind == "exited").count();
+    assert!(ends > 3, "{kinds:?}");
     kinds.dedup();
     assert_eq!(kinds, ["accepted", "running", "exited"]);
-    model.acknowledge_end(&c, attempt(0));
-    assert!(
-        run_until(&mut model, 600_000_000).is_empty(),
-        "the end is acknowledged"
-    );
+    node.model.acknowledge_end(&node.controller, attempt(0));
+    let sent = node.run_until(600_000_000);
+    assert!(sent.is_empty(), "the end is acknowledged: {sent:?}");
     assert_eq!(fleet.start_log.borrow().starts.len(), 1);
 }
 
 #[test]
 fn offers_beyond_overcommit_or_expired_are_rejected() {
     let fleet = FleetState::default();
-    let (mut model, c) = connected(
-        NodeSpec {
-            cores_overcommit: 1.0,
-            ..NodeSpec::small("n")
-        },
-        &fleet,
-    );
-    model.offer(
-        0,
-        &c,
-        attempt(0),
-        1_000_000,
-        offered(1, Idempotency::Idempotent, 20.0),
-    );
-    model.offer(
-        0,
-        &c,
-        attempt(1),
-        1_000_000,
-        offered(2, Idempotency::Idempotent, 20.0),
-    );
-    model.offer(
-        0,
-        &c,
-        attempt(2),
-        1,
-        offered(3, Idempotency::Idempotent, 0.5),
-    );
-    let refused: Vec<(u16, NodeReason)> = run_until(&mut model, 1_000_000)
-        .iter()
-        .filter_map(|m| match m {
-            FromNode::Rejected {
-                attempt, reason, ..
-            } => Some((attempt.number, *reason)),
-            _ => None,
-        })
-        .collect();
-    assert_eq!(
-        refused,
-        [
-            (1, NodeReason::InsufficientCores),
-            (2, NodeReason::Ineligible)
-        ]
-    );
+    let spec = NodeSpec {
+        cores_overcommit: 1.0,
+        ..NodeSpec::small("n")
+    };
+    let mut node = TestNode::new(spec, &fleet);
+    node.offer(0, 0, 1_000_000, offered(1, Idempotency::Idempotent, 20.0));
+    node.offer(0, 1, 1_000_000, offered(2, Idempotency::Idempotent, 20.0));
+    node.offer(0, 2, 1, offered(3, Idempotency::Idempotent, 0.5));
+    let sent = node.run_until(1_000_000);
+    let rejections = sent.iter().filter_map(|message| match message {
+        FromNode::Rejected {
+            attempt, reason, ..
+        } => Some((attempt.number, *reason)),
+        _ => None,
+    });
+    let expected = [
+        (1, NodeReason::InsufficientCores),
+        (2, NodeReason::Ineligible),
+    ];
+    assert_eq!(rejections.collect::<Vec<_>>(), expected);
 }
 
 #[test]
 fn second_copy_of_a_keyed_task_is_rejected_within_its_group() {
     let fleet = FleetState::default();
-    let (mut first, c) = connected(NodeSpec::small("a"), &fleet);
-    let (mut second, _) = connected(NodeSpec::small("b"), &fleet);
-    first.offer(
-        0,
-        &c,
-        attempt(0),
-        1_000_000,
-        offered(7, Idempotency::Keyed, 1.0),
-    );
-    run_until(&mut first, 1_000_000);
-    second.offer(
-        1_000_000,
-        &c,
-        attempt(1),
-        1_000_000,
-        offered(7, Idempotency::Keyed, 1.0),
-    );
-    let sent = run_until(&mut second, 2_000_000);
+    let mut first = TestNode::new(NodeSpec::small("a"), &fleet);
+    let mut second = TestNode::new(NodeSpec::small("b"), &fleet);
+    let task = offered(7, Idempotency::Keyed, 1.0);
+    first.offer(0, 0, 1_000_000, task.clone());
+    first.run_until(1_000_000);
+    second.offer(1_000_000, 1, 1_000_000, task);
+    let sent = second.run_until(2_000_000);
     assert!(
-        matches!(
-            sent[..],
-            [FromNode::Rejected {
-                reason: NodeReason::Ineligible,
-                ..
-            }]
-        ),
+        matches!(&sent[..], [only] if is_ineligible(only)),
         "{sent:?}"
     );
 }
@@ -172,42 +172,27 @@
         admission_queue_limit: 100,
         ..NodeSpec::small("n")
     };
-    let (mut model, c) = connected(spec, &fleet);
-    model.restart(1_000_000, 2);
-    model.handshake(1_000_000, &c, 2);
-    for i in 0..10 {
-        model.offer(
-            1_000_000,
-            &c,
-            attempt(i),
-            1_000_000,
-            offered(u64::from(i), Idempotency::Idempotent, 0.1),
-        );
+    let mut node = TestNode::new(spec, &fleet);
+    node.model.restart(1_000_000, 2);
+    node.model.handshake(1_000_000, &node.controller, 2);
+    for number in 0..10 {
+        let task = offered(u64::from(number), Idempotency::Idempotent, 0.1);
+        node.offer(1_000_000, number, 1_000_000, task);
     }
-    assert!(!model.has_crashed());
-    model.offer(
-        1_000_001,
-        &c,
-        attempt(10),
-        1_000_000,
-        offered(10, Idempotency::Idempotent, 0.1),
-    );
-    assert!(model.has_crashed());
+    assert!(!node.model.has_crashed());
+    let task = offered(10, Idempotency::Idempotent, 0.1);
+    node.offer(1_000_001, 10, 1_000_000, task);
+    assert!(node.model.has_crashed());
     assert_eq!(fleet.start_log.borrow().crashes.len(), 1);
 }
 
 #[test]
 fn task_not_listed_in_handshake_never_starts() {
     let fleet = FleetState::default();
-    let (mut model, c) = connected(NodeSpec::small("n"), &fleet);
-    model.offer(
-        0,
-        &c,
-        attempt(0),
-        10_000_000,
-        offered(1, Idempotency::NonIdempotent, 1.0),
-    );
-    let answer = model.handshake(100, &c, 2);
+    let mut node = TestNode::new(NodeSpec::small("n"), &fleet);
+    let task = offered(1, Idempotency::NonIdempotent, 1.0);
+    node.offer(0, 0, EXPIRES_IN, task);
+    let answer = node.model.handshake(100, &node.controller, 2);
     assert!(
         matches!(
             answer[..],
@@ -220,103 +205,47 @@
         "{answer:?}"
     );
     assert!(
-        !model.is_current("c", 1),
+        !node.model.is_current("c", 1),
         "messages on the older link are ignored"
     );
-    assert!(run_until(&mut model, 60_000_000).is_empty());
+    assert!(node.run_until(60_000_000).is_empty());
     assert!(fleet.start_log.borrow().starts.is_empty());
 }
 
 #[test]
 fn cancelling_an_absent_attempt_reports_its_recorded_outcome() {
     let fleet = FleetState::default();
-    let (mut model, c) = connected(NodeSpec::small("n"), &fleet);
-    let never = model.cancel_attempt(0, &c, attempt(7));
+    let mut node = TestNode::new(NodeSpec::small("n"), &fleet);
+    let never = node.cancel(0, 7);
     assert!(
-        matches!(
-            &never[..],
-            [Outgoing {
-                message: FromNode::Rejected { .. },
-                ..
-            }]
-        ),
+        matches!(&never[..], [FromNode::Rejected { .. }]),
         "{never:?}"
     );
-    model.offer(
-        0,
-        &c,
-        attempt(0),
-        10_000_000,
-        offered(1, Idempotency::NonIdempotent, 1.0),
-    );
-    run_until(&mut model, 5_500_000);
-    let ended = model.cancel_attempt(5_500_000, &c, attempt(0));
-    assert!(
-        matches!(
-            &ended[..],
-            [Outgoing {
-                message: FromNode::Ended { .. },
-                ..
-            }]
-        ),
-        "{ended:?}"
-    );
+    let task = offered(1, Idempotency::NonIdempotent, 1.0);
+    node.offer(0, 0, EXPIRES_IN, task.clone());
+    node.run_until(5_500_000);
+    let ended = node.cancel(5_500_000, 0);
+    assert!(matches!(&ended[..], [FromNode::Ended { .. }]), "{ended:?}");
     // A second copy of a task that ran is rejected, whoever sends it.
-    let other = ProcessIdentity {
-        name: "d".into(),
-        incarnation: 1,
-    };
-    model.handshake(5_600_000, &other, 9);
-    model.offer(
-        5_600_000,
-        &other,
-        attempt(0),
-        10_000_000,
-        offered(1, Idempotency::NonIdempotent, 1.0),
-    );
-    let sent = run_until(&mut model, 6_000_000);
-    assert!(
-        sent.iter().any(|m| matches!(
-            m,
-            FromNode::Rejected {
-                reason: NodeReason::Ineligible,
-                ..
-            }
-        )),
-        "{sent:?}"
-    );
+    node.controller = controller("d", 1);
+    node.model.handshake(5_600_000, &node.controller, 9);
+    node.offer(5_600_000, 0, EXPIRES_IN, task);
+    let sent = node.run_until(6_000_000);
+    assert!(sent.iter().any(is_ineligible), "{sent:?}");
     assert_eq!(fleet.start_log.borrow().starts.len(), 1);
 }
 
 #[test]
 fn withheld_message_is_not_sent_to_another_incarnation() {
     let fleet = FleetState::default();
-    let (mut model, c) = connected(NodeSpec::small("n"), &fleet);
-    model.offer(
-        0,
-        &c,
-        attempt(0),
-        10_000_000,
-        offered(1, Idempotency::NonIdempotent, 30.0),
-    );
-    run_until(&mut model, 1_500);
-    model.set_faults(
-        1_500,
-        Faults {
-            hangs: true,
-            ..Faults::default()
-        },
-    );
-    model.cancel_attempt(1_600, &c, attempt(9));
-    model.handshake(
-        2_000,
-        &ProcessIdentity {
-            incarnation: 2,
-            ..c
-        },
-        2,
-    );
-    let sent = model.set_faults(3_000, Faults::default());
+    let mut node = TestNode::new(NodeSpec::small("n"), &fleet);
+    let task = offered(1, Idempotency::NonIdempotent, 30.0);
+    node.offer(0, 0, EXPIRES_IN, task);
+    node.run_until(1_500);
+    node.set_hanging(1_500, true);
+    node.cancel(1_600, 9);
+    node.model.handshake(2_000, &controller("c", 2), 2);
+    let sent = node.set_hanging(3_000, false);
     assert!(
         sent.is_empty(),
         "a rejection of an attempt of the earlier incarnation: {sent:?}"
@@ -326,40 +255,15 @@
 #[test]
 fn hanging_node_sends_pending_messages_when_the_fault_ends() {
     let fleet = FleetState::default();
-    let (mut model, c) = connected(NodeSpec::small("n"), &fleet);
-    model.set_faults(
-        0,
-        Faults {
-            hangs: true,
-            ..Faults::default()
-        },
-    );
-    assert!(
-        model
-            .offer(
-                0,
-                &c,
-                attempt(0),
-                500_000,
-                offered(1, Idempotency::NonIdempotent, 1.0)
-            )
-            .is_empty()
-    );
-    assert!(run_until(&mut model, 900_000).is_empty());
-    let mut sent: Vec<FromNode> = model
-        .set_faults(1_000_000, Faults::default())
-        .into_iter()
-        .map(|sent| sent.message)
-        .collect();
-    sent.extend(run_until(&mut model, 2_000_000));
+    let mut node = TestNode::new(NodeSpec::small("n"), &fleet);
+    node.set_hanging(0, true);
+    let task = offered(1, Idempotency::NonIdempotent, 1.0);
+    assert!(node.offer(0, 0, 500_000, task).is_empty());
+    assert!(node.run_until(900_000).is_empty());
+    let mut sent = node.set_hanging(1_000_000, false);
+    sent.extend(node.run_until(2_000_000));
     assert!(
-        matches!(
-            sent[..],
-            [FromNode::Rejected {
-                reason: NodeReason::Ineligible,
-                ..
-            }]
-        ),
+        matches!(&sent[..], [only] if is_ineligible(only)),
         "expired: {sent:?}"
     );
 }
@@ -367,39 +271,29 @@
 #[test]
 fn running_task_survives_its_controller_and_is_reported_to_the_next_incarnation() {
     let fleet = FleetState::default();
-    let (mut model, c) = connected(NodeSpec::small("n"), &fleet);
-    model.offer(
-        0,
-        &c,
-        attempt(0),
-        1_000_000,
-        offered(1, Idempotency::NonIdempotent, 1.0),
+    let mut node = TestNode::new(NodeSpec::small("n"), &fleet);
+    let task = offered(1, Idempotency::NonIdempotent, 1.0);
+    node.offer(0, 0, 1_000_000, task);
+    node.run_until(1_000_000);
+    node.model.disconnect(1_000_000, "c", 1);
+    let next = controller("c", 2);
+    let answer = node.model.handshake(1_500_000, &next, 2);
+    assert!(
+        matches!(
+            answer[..],
+            [
+                FromNode::Welcome { known_tasks: 1, .. },
+                FromNode::KnownTask { incarnation: 1, .. }
+            ]
+        ),
+        "{answer:?}"
     );
-    run_until(&mut model, 1_000_000);
-    model.disconnect(1_000_000, "c", 1);
-    let next = ProcessIdentity {
-        incarnation: 2,
-        ..c
+    let adopted = AttemptId {
+        request: 9,
+        number: 0,
     };
-    let answer = model.handshake(1_500_000, &next, 2);
-    assert!(matches!(
-        answer[..],
-        [
-            FromNode::Welcome { known_tasks: 1, .. },
-            FromNode::KnownTask { incarnation: 1, .. }
-        ]
-    ));
-    model.adopt(
-        1_500_000,
-        &next,
-        1,
-        attempt(0),
-        AttemptId {
-            request: 9,
-            number: 0,
-        },
-    );
-    let sent = run_until(&mut model, 5_300_000);
+    node.model.adopt(1_500_000, &next, 1, attempt(0), adopted);
+    let sent = node.run_until(5_300_000);
     assert!(
         matches!(
             sent[..],
