--- a/crates/cli/tests/fleet/node.rs
+++ b/crates/cli/tests/fleet/node.rs
@@ -1,21 +1,18 @@
 //! A scripted node that follows the platform's rules, with a listener for each of several controllers.
 
 use crate::record::NodeRecord;
+use crate::support::node_connection::carry_messages;
 use crate::support::peer::{running, tested};
-use bytes::BytesMut;
-use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, cause, code};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::{AbortHandle, spawn_local};
 
-/// A connection without an open request is closed by its node after this.
-const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Tasks whose id is a multiple of this do not end by themselves.
 const LASTING_ID: u64 = 6;
 /// How long such a task runs: beyond the test.
@@ -143,42 +140,12 @@
     async fn serve(self, controller: usize, stream: TcpStream) {
         let (outgoing, queue) = unbounded_channel::<Message>();
         let connection = self.state.borrow_mut().add_connection(controller, outgoing);
-        self.carry_messages(controller, connection, stream, queue)
-            .await;
+        let on_message = |message: &Message| self.on_message(controller, connection, message);
+        let is_in_use = || self.state.borrow().has_open_request(connection);
+        carry_messages(stream, queue, on_message, is_in_use).await;
         self.state.borrow_mut().remove_connection(connection);
     }
 
-    /// Carries messages both ways until one side closes, or until the connection is idle.
-    async fn carry_messages(
-        &self,
-        controller: usize,
-        connection: u64,
-        stream: TcpStream,
-        mut queue: UnboundedReceiver<Message>,
-    ) {
-        let (mut reader, mut writer) = stream.into_split();
-        let mut buffer = BytesMut::new();
-        loop {
-            tokio::select! {
-                message = queue.recv() => {
-                    let Some(message) = message else { return };
-                    if writer.write_all(&message.encode()).await.is_err() {
-                        return;
-                    }
-                }
-                read = tokio::time::timeout(IDLE_TIMEOUT, reader.read_buf(&mut buffer)) => match read {
-                    Ok(Ok(1..)) => {
-                        while let Ok(Some(message)) = decode(&mut buffer) {
-                            self.on_message(controller, connection, &message);
-                        }
-                    }
-                    Err(_) if self.state.borrow().has_open_request(connection) => {}
-                    Ok(_) | Err(_) => return,
-                },
-            }
-        }
-    }
-
     fn on_message(&self, controller: usize, connection: u64, message: &Message) {
         let id = message.id;
         match message.kind {
--- a/crates/cli/tests/node_subset/node.rs
+++ b/crates/cli/tests/node_subset/node.rs
@@ -1,20 +1,16 @@
 //! Hollow nodes: each a listener in this thread, which records what comes to it.
 
+use crate::support::node_connection::carry_messages;
 use crate::support::peer::{running, tested};
-use bytes::BytesMut;
-use peppercove_platform::wire::{Message, MessageKind, cause, code, decode};
+use peppercove_platform::wire::{Message, MessageKind, cause, code};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::{AbortHandle, spawn_local};
 
-/// A connection that is idle for so long is closed by its node.
-const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
-
 /// A request that came to a node.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
@@ -118,29 +114,11 @@
     /// Serves one connection until it breaks or is idle.
     async fn serve(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let (mut reader, mut writer) = stream.into_split();
-        let (outgoing, mut queue) = unbounded_channel::<Message>();
-        let mut buffer = BytesMut::new();
-        loop {
-            tokio::select! {
-                message = queue.recv() => {
-                    let Some(message) = message else { return };
-                    if writer.write_all(&message.encode()).await.is_err() {
-                        return;
-                    }
-                }
-                read = tokio::time::timeout(IDLE_TIMEOUT, reader.read_buf(&mut buffer)) => match read {
-                    Ok(Ok(1..)) => {
-                        while let Ok(Some(message)) = decode(&mut buffer) {
-                            self.on_message(&message, &outgoing);
-                        }
-                    }
-                    // Open requests hold a handle of the queue.
-                    Err(_) if outgoing.strong_count() > 1 || self.is_silent.get() => {}
-                    Ok(_) | Err(_) => return,
-                },
-            }
-        }
+        let (outgoing, queue) = unbounded_channel::<Message>();
+        let on_message = |message: &Message| self.on_message(message, &outgoing);
+        // Open requests hold a handle of the queue.
+        let is_in_use = || outgoing.strong_count() > 1 || self.is_silent.get();
+        carry_messages(stream, queue, on_message, is_in_use).await;
     }
 
     fn on_message(&self, message: &Message, outgoing: &UnboundedSender<Message>) {
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -5,6 +5,7 @@
 pub mod configuration;
 pub mod journal_service;
 pub mod listener;
+pub mod node_connection;
 pub mod peer;
 pub mod process;
 
--- a/crates/scale/src/harness.rs
+++ b/crates/scale/src/harness.rs
@@ -5,7 +5,7 @@
 //! implements [`Harness`] for what is particular to that part; the order in which things happen is here.
 
 use crate::error::MeasureError;
-use crate::row::Sizes;
+use crate::row::{Figure, Sizes};
 use crate::timings::Timings;
 use crate::workload::SIMULATION_START;
 use crate::workload::cluster::Cluster;
@@ -118,6 +118,9 @@
     /// What the simulated peers deliver.
     type Delivery;
 
+    /// A full list of the nodes, as it is sent.
+    type List;
+
     /// The shared state.
     fn simulation(&mut self) -> &mut Simulation<Self::Delivery>;
 
@@ -148,6 +151,25 @@
     /// Where a message cannot be read.
     fn deliver(&mut self, delivery: Self::Delivery) -> Result<(), MeasureError>;
 
+    /// A full list with the nodes as they are now.
+    ///
+    /// # Errors
+    /// Where it is longer than may be sent.
+    fn full_list(&mut self) -> Result<Self::List, MeasureError>;
+
+    /// A full list comes; `kind` is the kind of event that its time counts as.
+    ///
+    /// # Errors
+    /// Where the list cannot be read.
+    fn receive_full_list(
+        &mut self,
+        kind: &'static str,
+        list: Self::List,
+    ) -> Result<(), MeasureError>;
+
+    /// What was counted since the last [`Harness::reset_counts`].
+    fn counted(&self) -> Vec<Figure>;
+
     /// Forgets what was counted so far.
     fn reset_counts(&mut self);
 
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod drmaa_loopback;
 pub mod error;
 pub mod harness;
+pub mod hollow_measurement;
 pub mod hollow_scheduler;
 pub mod loopback_fleet;
 pub mod memory;
--- a/crates/scale/src/roles/controller.rs
+++ b/crates/scale/src/roles/controller.rs
@@ -7,12 +7,13 @@
 
 use crate::error::MeasureError;
 use crate::harness::{Harness, RunLimits};
+use crate::hollow_measurement::{FULL_LIST, StartEvents, measure_starts, set_up_figures};
 use crate::memory::{resident_bytes, resident_per_item};
 use crate::role::Role;
 use crate::row::{Axis, Figure, Sizes};
 use crate::sweep::{Sweep, sweeps_from_base, with_target_fleet_schedulers};
+use crate::workload::SECOND;
 use crate::workload::run_length::RunLength;
-use crate::workload::{CHANGES_PER_WINDOW, SECOND, WINDOWS};
 use harness::ControllerHarness;
 use peppercove::Micros;
 use peppercove_protocol::codec::MAX_LIST_FRAME_BYTES;
@@ -36,10 +37,12 @@
 /// Timed figures of the set-up that are kept.
 const SET_UP_FIGURES: [&str; 3] = ["first_list_time", "link_up_time", "adopted_time"];
 
-/// The kinds of events of one start; the first is the submission.
-const START_EVENTS: [&str; 8] = [
-    "submit", "send", "accepted", "running", "refused", "end", "dispose", "tick",
-];
+const START_EVENTS: StartEvents<'_> = StartEvents {
+    kinds: &[
+        "submit", "send", "accepted", "running", "refused", "end", "dispose", "tick",
+    ],
+    batch: None,
+};
 
 fn sweeps(is_quick: bool) -> Vec<Sweep> {
     let running = if is_quick {
@@ -66,18 +69,12 @@
         baseline,
     } = set_up(&mut harness, sizes)?;
     figures.extend(harness.idle_figures()?);
-    harness.warm_up(&length)?;
-    figures.extend(resident_per_item(
-        "resident",
+    figures.extend(measure_starts(
+        &mut harness,
+        &length,
         baseline,
-        resident_bytes()?,
-        1,
-    ));
-    run_windows(&mut harness, &length)?;
-    let timings = &harness.simulation().timings;
-    figures.extend(timings.figures());
-    figures.extend(timings.figure_per_first("start_time", &START_EVENTS));
-    figures.extend(harness.counted());
+        &START_EVENTS,
+    )?);
     figures.extend(harness.held());
     Ok(figures)
 }
@@ -102,7 +99,7 @@
         ),
     ];
     let baseline = resident_bytes()?;
-    harness.receive_list("first_list", first)?;
+    harness.receive_full_list("first_list", first)?;
     let listed = resident_bytes()?;
     harness.run(RunLimits::span(SETTLE))?;
     let running = resident_bytes()?;
@@ -114,25 +111,8 @@
         running,
         sizes.running_tasks,
     ));
-    let timed = harness.simulation().timings.figures().into_iter();
-    figures.extend(timed.filter(|figure| SET_UP_FIGURES.contains(&figure.name.as_str())));
-    harness.receive_list("whole_list", second)?;
+    figures.extend(set_up_figures(harness, &SET_UP_FIGURES));
+    harness.receive_full_list(FULL_LIST, second)?;
     harness.run(RunLimits::span(SETTLE))?;
     Ok(SetUp { figures, baseline })
 }
-
-fn run_windows(harness: &mut ControllerHarness, length: &RunLength) -> Result<(), MeasureError> {
-    for window in 0..WINDOWS {
-        let list = harness.full_list()?;
-        harness.simulation().timings.begin_window(window);
-        harness.run(RunLimits::starts(
-            length.window_starts,
-            Some(length.window_deadline()),
-        ))?;
-        for _ in 0..CHANGES_PER_WINDOW {
-            harness.change_list()?;
-        }
-        harness.receive_list("whole_list", list)?;
-    }
-    Ok(())
-}
--- a/crates/scale/src/roles/controller/harness.rs
+++ b/crates/scale/src/roles/controller/harness.rs
@@ -6,7 +6,7 @@
 use super::format::{config, decode, encode, node_address, node_name, node_number, submission};
 use crate::error::MeasureError;
 use crate::harness::{Harness, Simulation};
-use crate::row::Sizes;
+use crate::row::{Figure, Sizes};
 use crate::traffic::TrafficByKind;
 use crate::workload::SECOND;
 use crate::workload::cluster::{Cluster, Location};
@@ -169,20 +169,11 @@
         Ok(encode(&update, MAX_LIST_FRAME_BYTES)?.freeze())
     }
 
-    /// The frame of a full list.
-    ///
-    /// # Errors
-    /// [`MeasureError::Frame`] where it is longer than a frame may be.
-    pub fn full_list(&mut self) -> Result<Bytes, MeasureError> {
-        let nodes = self.simulation.sizes().nodes;
-        self.list_frame(0..nodes, Scope::Full)
-    }
-
     /// An update of the list comes.
     ///
     /// # Errors
     /// Where the frame cannot be read.
-    pub fn receive_list(&mut self, kind: &'static str, frame: Bytes) -> Result<(), MeasureError> {
+    fn receive_list(&mut self, kind: &'static str, frame: Bytes) -> Result<(), MeasureError> {
         self.traffic.entry(kind).add(frame.len());
         let mut bytes = BytesMut::from(&frame[..]);
         self.input(kind, || {
@@ -211,6 +202,7 @@
 
 impl Harness for ControllerHarness {
     type Delivery = Delivery;
+    type List = Bytes;
 
     fn simulation(&mut self) -> &mut Simulation<Delivery> {
         &mut self.simulation
@@ -248,6 +240,19 @@
         }
     }
 
+    fn full_list(&mut self) -> Result<Bytes, MeasureError> {
+        let nodes = self.simulation.sizes().nodes;
+        self.list_frame(0..nodes, Scope::Full)
+    }
+
+    fn receive_full_list(&mut self, kind: &'static str, list: Bytes) -> Result<(), MeasureError> {
+        self.receive_list(kind, list)
+    }
+
+    fn counted(&self) -> Vec<Figure> {
+        self.counted_figures()
+    }
+
     fn reset_counts(&mut self) {
         self.traffic.clear();
     }
--- a/crates/scale/src/roles/controller/harness/figures.rs
+++ b/crates/scale/src/roles/controller/harness/figures.rs
@@ -47,7 +47,7 @@
     }
 
     /// Messages and bytes for each start by way, and the bytes of a list change.
-    pub fn counted(&self) -> Vec<Figure> {
+    pub(super) fn counted_figures(&self) -> Vec<Figure> {
         let starts = self.traffic.of("client_in").messages.max(1);
         let per_start = |name: &str, unit, count: u64| {
             Figure::counted(name, unit, count as f64 / starts as f64).with_samples(starts)
--- a/crates/scale/src/roles/module/harness.rs
+++ b/crates/scale/src/roles/module/harness.rs
@@ -148,28 +148,6 @@
             .deliver_after(delay, Delivery::Answer(attempt, answer));
     }
 
-    /// The entries of a full list.
-    pub fn full_list(&mut self) -> Vec<NodeEntry> {
-        let cluster = &mut self.simulation.cluster;
-        (0..cluster.sizes.nodes)
-            .map(|i| cluster.entry(i, node_id(i)))
-            .collect()
-    }
-
-    /// A full list comes.
-    pub fn receive_list(&mut self, entries: Vec<NodeEntry>) {
-        self.list_version += 1;
-        let version = self.list_version;
-        self.handle(
-            "whole_list",
-            Event::NodeList {
-                kind: ListUpdateKind::Full,
-                version,
-                entries,
-            },
-        );
-    }
-
     /// The module is told of tasks that run already.
     pub fn add_running_tasks(&mut self) {
         for n in 0..self.simulation.sizes().running_tasks {
@@ -256,31 +234,11 @@
             },
         );
     }
-
-    /// Actions for each event of a kind, the share of requests that were not placed, and for each start the nodes that the
-    /// module looked at and compared with each other.
-    pub fn counted(&self) -> Vec<Figure> {
-        let actions = |(kind, count): (&&str, &EventCount)| {
-            let mean = count.actions as f64 / count.events as f64;
-            Figure::counted(&format!("actions_for_{kind}"), "count", mean)
-                .with_samples(count.events)
-        };
-        let mut figures: Vec<Figure> = self.counts.iter().map(actions).collect();
-        let requests = self.counts.get("place").map_or(0, |count| count.events);
-        let per_request = |figure: u64| figure as f64 / requests.max(1) as f64;
-        let comparisons = self.scheduler.comparisons() - self.earlier_comparisons;
-        figures.extend([
-            Figure::counted("turned_away", "share", per_request(self.rejected))
-                .with_samples(requests),
-            Figure::counted("compared_for_start", "count", per_request(comparisons))
-                .with_samples(requests),
-        ]);
-        figures
-    }
 }
 
 impl Harness for ModuleHarness {
     type Delivery = Delivery;
+    type List = Vec<NodeEntry>;
 
     fn simulation(&mut self) -> &mut Simulation<Delivery> {
         &mut self.simulation
@@ -335,6 +293,53 @@
         Ok(())
     }
 
+    fn full_list(&mut self) -> Result<Vec<NodeEntry>, MeasureError> {
+        let cluster = &mut self.simulation.cluster;
+        let entries = (0..cluster.sizes.nodes)
+            .map(|i| cluster.entry(i, node_id(i)))
+            .collect();
+        Ok(entries)
+    }
+
+    fn receive_full_list(
+        &mut self,
+        kind: &'static str,
+        entries: Vec<NodeEntry>,
+    ) -> Result<(), MeasureError> {
+        self.list_version += 1;
+        let version = self.list_version;
+        self.handle(
+            kind,
+            Event::NodeList {
+                kind: ListUpdateKind::Full,
+                version,
+                entries,
+            },
+        );
+        Ok(())
+    }
+
+    /// Actions for each event of a kind, the share of requests that were not placed, and for each start the nodes that the
+    /// module looked at and compared with each other.
+    fn counted(&self) -> Vec<Figure> {
+        let actions = |(kind, count): (&&str, &EventCount)| {
+            let mean = count.actions as f64 / count.events as f64;
+            Figure::counted(&format!("actions_for_{kind}"), "count", mean)
+                .with_samples(count.events)
+        };
+        let mut figures: Vec<Figure> = self.counts.iter().map(actions).collect();
+        let requests = self.counts.get("place").map_or(0, |count| count.events);
+        let per_request = |figure: u64| figure as f64 / requests.max(1) as f64;
+        let comparisons = self.scheduler.comparisons() - self.earlier_comparisons;
+        figures.extend([
+            Figure::counted("turned_away", "share", per_request(self.rejected))
+                .with_samples(requests),
+            Figure::counted("compared_for_start", "count", per_request(comparisons))
+                .with_samples(requests),
+        ]);
+        figures
+    }
+
     fn reset_counts(&mut self) {
         self.counts.clear();
         self.rejected = 0;
--- a/crates/scale/src/roles/serve.rs
+++ b/crates/scale/src/roles/serve.rs
@@ -9,14 +9,16 @@
 
 use crate::error::MeasureError;
 use crate::harness::{Harness, RunLimits};
+use crate::hollow_measurement::{FULL_LIST, StartEvents, measure_starts, set_up_figures};
 use crate::memory::{resident_bytes, resident_per_item};
 use crate::role::Role;
 use crate::row::{Axis, Figure, Sizes};
 use crate::sweep::{Sweep, sweeps_from_base, with_target_fleet_schedulers};
+use crate::workload::SECOND;
 use crate::workload::run_length::RunLength;
-use crate::workload::{CHANGES_PER_WINDOW, SECOND, WINDOWS};
 use harness::ServeHarness;
 use peppercove::Micros;
+use std::rc::Rc;
 
 /// The role.
 pub const ROLE: Role = Role {
@@ -35,10 +37,12 @@
 /// Timed figures of the set-up that are kept.
 const SET_UP_FIGURES: [&str; 3] = ["first_list_time", "standing_time", "link_up_time"];
 
-/// The kinds of events of one start; the first is the request itself.
-const START_EVENTS: [&str; 7] = [
-    "set_up", "turn", "tick", "link_up", "answer", "refused", "end",
-];
+const START_EVENTS: StartEvents<'_> = StartEvents {
+    kinds: &[
+        "set_up", "turn", "tick", "link_up", "answer", "refused", "end",
+    ],
+    batch: Some(BATCH),
+};
 
 fn sweeps(is_quick: bool) -> Vec<Sweep> {
     let axes = [
@@ -59,27 +63,15 @@
     let SetUp {
         mut figures,
         baseline,
+        lists,
     } = set_up(&mut harness, sizes)?;
     figures.extend(harness.idle_figures()?);
-    harness.warm_up(&length)?;
-    figures.extend(resident_per_item(
-        "resident",
-        baseline,
-        resident_bytes()?,
-        1,
-    ));
-    run_windows(&mut harness, &length)?;
-    let timings = &harness.simulation().timings;
+    let mut of_starts = measure_starts(&mut harness, &length, baseline, &START_EVENTS)?;
     // Connections that come up here are few; those of the set-up are the figure.
-    figures.extend(
-        timings
-            .figures()
-            .into_iter()
-            .filter(|f| f.name != "link_up_time"),
-    );
-    figures.extend(timings.figure_per_first("start_time", &START_EVENTS));
-    figures.extend(harness.counted());
+    of_starts.retain(|figure| figure.name != "link_up_time");
+    figures.extend(of_starts);
     figures.extend(harness.held());
+    drop(lists);
     Ok(figures)
 }
 
@@ -87,18 +79,20 @@
 struct SetUp {
     figures: Vec<Figure>,
     baseline: u64,
+    /// The lists of the set-up. The baseline contains them: they have to exist as long as memory is compared with it.
+    lists: [Rc<String>; 2],
 }
 
 /// The first list, the running tasks, the client connections, and a second list.
 fn set_up(harness: &mut ServeHarness, sizes: &Sizes) -> Result<SetUp, MeasureError> {
-    let (first, second) = (harness.full_list(), harness.full_list());
+    let (first, second) = (harness.full_list()?, harness.full_list()?);
     let mut figures = vec![Figure::counted(
         "whole_list_bytes",
         "bytes",
         first.len() as f64,
     )];
     let baseline = resident_bytes()?;
-    harness.receive_list("first_list", &first)?;
+    harness.receive_full_list("first_list", first.clone())?;
     let listed = resident_bytes()?;
     harness.add_running_tasks()?;
     harness.run(RunLimits::span(SETTLE))?;
@@ -119,28 +113,12 @@
         connected,
         sizes.connections,
     ));
-    let timed = harness.simulation().timings.figures().into_iter();
-    figures.extend(timed.filter(|figure| SET_UP_FIGURES.contains(&figure.name.as_str())));
-    harness.receive_list("whole_list", &second)?;
+    figures.extend(set_up_figures(harness, &SET_UP_FIGURES));
+    harness.receive_full_list(FULL_LIST, second.clone())?;
     harness.run(RunLimits::span(SETTLE))?;
-    Ok(SetUp { figures, baseline })
-}
-
-fn run_windows(harness: &mut ServeHarness, length: &RunLength) -> Result<(), MeasureError> {
-    for window in 0..WINDOWS {
-        let list = harness.full_list();
-        harness.simulation().timings.begin_window(window);
-        harness.run(RunLimits::starts(
-            length.window_starts,
-            Some(length.window_deadline()),
-        ))?;
-        // Each change in a batch of its own.
-        for _ in 0..CHANGES_PER_WINDOW {
-            harness.change_list()?;
-            harness.run(RunLimits::span(BATCH))?;
-        }
-        harness.receive_list("whole_list", &list)?;
-        harness.run(RunLimits::span(BATCH))?;
-    }
-    Ok(())
+    Ok(SetUp {
+        figures,
+        baseline,
+        lists: [first, second],
+    })
 }
--- a/crates/scale/src/roles/serve/harness.rs
+++ b/crates/scale/src/roles/serve/harness.rs
@@ -6,7 +6,7 @@
 use super::format;
 use crate::error::MeasureError;
 use crate::harness::{Harness, Simulation};
-use crate::row::Sizes;
+use crate::row::{Figure, Sizes};
 use crate::traffic::TrafficByKind;
 use crate::workload::cluster::Cluster;
 use bytes::{Bytes, BytesMut};
@@ -16,6 +16,7 @@
 use peppercove_platform::wire::{Message, MessageKind, cause, decode};
 use peppercove_platform::{Bounds, ClientId, Input, NodeConnectionId, Output, PlatformEngine};
 use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
 
 /// Bytes of the endpoint list that are read at a time.
 const READ_SIZE: usize = 64 << 10;
@@ -162,17 +163,11 @@
         )
     }
 
-    /// The text of an event with all nodes.
-    pub fn full_list(&mut self) -> String {
-        let nodes = self.simulation.sizes().nodes;
-        self.list_event(true, 0..nodes)
-    }
-
     /// An event of the endpoint list comes. The first one, of kind `first_list`, is the configuration's.
     ///
     /// # Errors
     /// [`MeasureError::EndpointList`] where the event cannot be read.
-    pub fn receive_list(&mut self, kind: &'static str, text: &str) -> Result<(), MeasureError> {
+    fn receive_list(&mut self, kind: &'static str, text: &str) -> Result<(), MeasureError> {
         self.traffic.entry(kind).add(text.len());
         let max_line_bytes = self.max_line_bytes;
         self.input(kind, || {
@@ -257,6 +252,7 @@
 
 impl Harness for ServeHarness {
     type Delivery = Delivery;
+    type List = Rc<String>;
 
     fn simulation(&mut self) -> &mut Simulation<Delivery> {
         &mut self.simulation
@@ -311,6 +307,23 @@
         }
     }
 
+    fn full_list(&mut self) -> Result<Rc<String>, MeasureError> {
+        let nodes = self.simulation.sizes().nodes;
+        Ok(Rc::new(self.list_event(true, 0..nodes)))
+    }
+
+    fn receive_full_list(
+        &mut self,
+        kind: &'static str,
+        list: Rc<String>,
+    ) -> Result<(), MeasureError> {
+        self.receive_list(kind, &list)
+    }
+
+    fn counted(&self) -> Vec<Figure> {
+        self.counted_figures()
+    }
+
     fn reset_counts(&mut self) {
         self.traffic.clear();
         self.rejected = 0;
--- a/crates/scale/src/roles/serve/harness/figures.rs
+++ b/crates/scale/src/roles/serve/harness/figures.rs
@@ -64,7 +64,7 @@
     }
 
     /// Messages and bytes for each start by way, the bytes of a list change, and the share of requests rejected.
-    pub fn counted(&self) -> Vec<Figure> {
+    pub(super) fn counted_figures(&self) -> Vec<Figure> {
         let starts = self.traffic.of("owner_in").messages.max(1);
         let per_start = |name: &str, unit, count: u64| {
             Figure::counted(name, unit, count as f64 / starts as f64).with_samples(starts)
--- a/crates/scale/tests/growth_of_hollow_roles.rs
+++ b/crates/scale/tests/growth_of_hollow_roles.rs
@@ -126,6 +126,14 @@
     }
 }
 
+fn receive_first_list<H: Harness<List: Clone>>(harness: &mut H) -> H::List {
+    let list = harness.full_list().expect("a list");
+    harness
+        .receive_full_list("first_list", list.clone())
+        .expect("a list");
+    list
+}
+
 fn run_starts_and_changes<H: Harness>(harness: &mut H) {
     harness.warm_up(&run_length()).expect("starts");
     harness
@@ -138,8 +146,7 @@
 
 fn measure_module(sizes: &Sizes) -> Vec<Figure> {
     let mut harness = ModuleHarness::new(sizes).expect("a harness");
-    let list = harness.full_list();
-    harness.receive_list(list);
+    receive_first_list(&mut harness);
     harness.add_running_tasks();
     run_starts_and_changes(&mut harness);
     harness.counted()
@@ -147,8 +154,7 @@
 
 fn measure_serve(sizes: &Sizes) -> Vec<Figure> {
     let mut harness = ServeHarness::new(sizes).expect("a harness");
-    let list = harness.full_list();
-    harness.receive_list("first_list", &list).expect("a list");
+    let list_bytes = receive_first_list(&mut harness).len();
     harness.add_running_tasks().expect("tasks");
     harness.connect_clients().expect("clients");
     harness
@@ -161,22 +167,24 @@
     figures.push(Figure::counted(
         "whole_list_bytes",
         "bytes",
-        list.len() as f64,
+        list_bytes as f64,
     ));
     figures
 }
 
 fn measure_controller(sizes: &Sizes) -> Vec<Figure> {
     let mut harness = ControllerHarness::new(sizes).expect("a harness");
-    let list = harness.full_list().expect("a list");
-    let list_bytes = list.len() as f64;
-    harness.receive_list("first_list", list).expect("a list");
+    let list_bytes = receive_first_list(&mut harness).len();
     harness.run(RunLimits::span(SECOND)).expect("connections");
     let mut figures = harness.idle_figures().expect("idle time");
     run_starts_and_changes(&mut harness);
     figures.extend(harness.counted());
     figures.extend(harness.held());
-    figures.push(Figure::counted("whole_list_bytes", "bytes", list_bytes));
+    figures.push(Figure::counted(
+        "whole_list_bytes",
+        "bytes",
+        list_bytes as f64,
+    ));
     figures
 }
 
