--- a/crates/cli/tests/command_aliases.rs
+++ b/crates/cli/tests/command_aliases.rs
@@ -106,7 +106,11 @@
     ] {
         assert!(is_listed(name), "{name} is not in\n{help}");
     }
+    let is_anywhere = |name: &str| {
+        let mut words = help.split(|c: char| !c.is_alphanumeric());
+        words.any(|word| word == name)
+    };
     for name in ["day", "hunt", "trouble"] {
-        assert!(!is_listed(name), "{name} is in\n{help}");
+        assert!(!is_anywhere(name), "{name} is in\n{help}");
     }
 }
--- a/crates/scale/src/harness.rs
+++ b/crates/scale/src/harness.rs
@@ -64,6 +64,14 @@
         &self.cluster.sizes
     }
 
+    /// Runs `work` with the current time; its processor time counts as an event of this kind.
+    pub fn time_event<T>(&mut self, kind: &'static str, work: impl FnOnce(Micros) -> T) -> T {
+        let now = self.now;
+        let (result, nanos) = self.timings.time(|| work(now));
+        self.timings.record(kind, nanos);
+        result
+    }
+
     /// Lets something happen after `delay` microseconds.
     pub fn deliver_after(&mut self, delay: Micros, delivery: D) {
         self.timers
--- a/crates/scale/src/roles/controller/harness.rs
+++ b/crates/scale/src/roles/controller/harness.rs
@@ -101,15 +101,11 @@
         kind: &'static str,
         read: impl FnOnce() -> Result<Input, MeasureError>,
     ) -> Result<(), MeasureError> {
-        let now = self.simulation.now;
         let core = &mut self.core;
-        let handle = || Ok(core.handle(now, read()?));
-        let (outputs, nanos): (Result<Vec<Output>, MeasureError>, u64) =
-            self.simulation.timings.time(handle);
-        self.simulation.timings.record(kind, nanos);
-        outputs?
-            .into_iter()
-            .try_for_each(|output| self.carry_out(&output))
+        let outputs = self
+            .simulation
+            .time_event(kind, |now| Ok::<_, MeasureError>(core.handle(now, read()?)))?;
+        outputs.iter().try_for_each(|output| self.carry_out(output))
     }
 
     fn carry_out(&mut self, output: &Output) -> Result<(), MeasureError> {
--- a/crates/scale/src/roles/serve/harness.rs
+++ b/crates/scale/src/roles/serve/harness.rs
@@ -94,13 +94,11 @@
         kind: &'static str,
         read: impl FnOnce() -> Result<Input, MeasureError>,
     ) -> Result<(), MeasureError> {
-        let now = self.simulation.now;
         let engine = &mut self.engine;
-        let handle = || Ok(engine.handle(now, read()?));
-        let (outputs, nanos): (Result<Vec<Output>, MeasureError>, u64) =
-            self.simulation.timings.time(handle);
-        self.simulation.timings.record(kind, nanos);
-        for output in outputs? {
+        let outputs = self.simulation.time_event(kind, |now| {
+            Ok::<_, MeasureError>(engine.handle(now, read()?))
+        })?;
+        for output in outputs {
             self.carry_out(output);
         }
         Ok(())
--- a/crates/scale/tests/growth_of_hollow_roles.rs
+++ b/crates/scale/tests/growth_of_hollow_roles.rs
@@ -278,3 +278,12 @@
         );
     }
 }
+
+#[test]
+fn starts_of_the_warm_up_are_not_counted() {
+    for measure in [measure_module, measure_serve, measure_controller] {
+        let figures = measure(&Sizes::BASE);
+        let per_start = figures.iter().find(|figure| figure.name == "turned_away");
+        assert_eq!(per_start.expect("counted for each start").samples, STARTS);
+    }
+}
