--- a/crates/audit/tests/seeded_faults/main.rs
+++ b/crates/audit/tests/seeded_faults/main.rs
@@ -362,6 +362,52 @@
     );
 }
 
+#[test]
+fn rule_2_complete_handshake_proves_that_unlisted_attempts_never_ran() {
+    let welcome = |known_tasks| FromNode::Welcome {
+        version: peppercove_protocol::VERSION,
+        node: ProcessIdentity {
+            name: "a".into(),
+            incarnation: 1,
+        },
+        known_tasks,
+        is_complete: true,
+    };
+    let disconnected = || {
+        let mut history = History::new();
+        history
+            .node_sends(0, "a", welcome(0))
+            .offer(MS, "a", id(1, 0), task(1, 2));
+        let (controller, node) = (controller(), "a".into());
+        history.observe(2 * MS, Observation::LinkClosed { controller, node });
+        history
+    };
+    let offered_again = |history: &mut History| {
+        history.offer(9 * MS, "b", id(1, 1), task(1, 2));
+        history.violated_rules()
+    };
+    assert_eq!(offered_again(&mut disconnected()), [2], "no handshake");
+    let mut unlisted = disconnected();
+    unlisted.node_sends(3 * MS, "a", welcome(0));
+    assert_eq!(offered_again(&mut unlisted), CLEAN);
+    let mut incomplete = disconnected();
+    incomplete.node_sends(3 * MS, "a", welcome(1));
+    assert_eq!(
+        offered_again(&mut incomplete),
+        [2],
+        "a task is to be listed"
+    );
+    let listed = FromNode::KnownTask {
+        incarnation: 1,
+        attempt: id(1, 0),
+        task: task(1, 2),
+        ended: None,
+    };
+    incomplete.0.pop();
+    incomplete.node_sends(4 * MS, "a", listed);
+    assert_eq!(offered_again(&mut incomplete), [2], "it is listed");
+}
+
 /// Found by fuzzing: a node restarted twice before an attempt expired that had not run on its earlier incarnation.
 #[test]
 fn pending_attempt_to_an_earlier_incarnation_is_not_counted_but_may_have_run() {
--- a/crates/standins/src/node_model/connections.rs
+++ b/crates/standins/src/node_model/connections.rs
@@ -30,25 +30,9 @@
         self.connections.insert(controller.name.clone(), connection);
         // Tasks that were not started are dropped: the controller takes what is not listed now as never started.
         self.drop_unstarted(now, &controller.name);
+        let ended = self.unacknowledged_ends_of(controller);
         let mut known = self.live_tasks_of(controller);
-        let mut ended = Vec::new();
-        for (id, task) in self.completed.of_controller(&controller.name) {
-            if id.incarnation != controller.incarnation {
-                // Another incarnation does not know the attempt, but must learn that the task has run.
-                known.push(FromNode::KnownTask {
-                    incarnation: id.incarnation,
-                    attempt: id.attempt,
-                    task: task.offered.clone(),
-                    ended: Some(task.exit),
-                });
-            } else if !task.is_acknowledged {
-                ended.push(FromNode::Ended {
-                    attempt: id.attempt,
-                    end: task.exit,
-                    load: None,
-                });
-            }
-        }
+        known.extend(self.completed_tasks_of_earlier(controller));
         let mut messages = vec![FromNode::Welcome {
             version: peppercove_protocol::VERSION,
             node: ProcessIdentity {
@@ -77,6 +61,33 @@
         .collect()
     }
 
+    /// Ends that this incarnation of the controller has not acknowledged.
+    fn unacknowledged_ends_of(&self, controller: &ProcessIdentity) -> Vec<FromNode> {
+        let completed = self.completed.of_controller(&controller.name);
+        completed
+            .filter(|(id, task)| id.incarnation == controller.incarnation && !task.is_acknowledged)
+            .map(|(id, task)| FromNode::Ended {
+                attempt: id.attempt,
+                end: task.exit,
+                load: None,
+            })
+            .collect()
+    }
+
+    /// Ended tasks of earlier incarnations: this one does not know the attempts, but must learn that the tasks have run.
+    fn completed_tasks_of_earlier(&self, controller: &ProcessIdentity) -> Vec<FromNode> {
+        let completed = self.completed.of_controller(&controller.name);
+        completed
+            .filter(|(id, _)| id.incarnation != controller.incarnation)
+            .map(|(id, task)| FromNode::KnownTask {
+                incarnation: id.incarnation,
+                attempt: id.attempt,
+                task: task.offered.clone(),
+                ended: Some(task.exit),
+            })
+            .collect()
+    }
+
     /// The link is the newest of its controller. Messages on an older link must be ignored: an offer that was long
     /// under way would start after the controller was told that it never did.
     pub fn is_current(&self, controller: &str, link: u64) -> bool {
