--- a/bench/seeded_faults.py
+++ b/bench/seeded_faults.py
@@ -197,7 +197,10 @@
     all_done = True
     with tempfile.TemporaryDirectory() as folder:
         root = pathlib.Path(folder) / "seeded-faults"
-        shutil.copytree(".", root, ignore=shutil.ignore_patterns(*NOT_COPIED))
+        # Times of change are not copied: a build folder shared with earlier runs would count as up to date, with their
+        # faults in it.
+        ignored = shutil.ignore_patterns(*NOT_COPIED)
+        shutil.copytree(".", root, ignore=ignored, copy_function=shutil.copy)
         if not arguments.only:
             is_done, text = run_days(root, arguments)
             all_done &= is_done
