--- a/crates/audit/src/auditor.rs
+++ b/crates/audit/src/auditor.rs
@@ -115,6 +115,10 @@
         }
     }
 
+    #[expect(
+        clippy::wildcard_enum_match_arm,
+        reason = "the table of attempts matches all messages but the offer"
+    )]
     fn on_controller_message(
         &mut self,
         at: Micros,
--- a/crates/core/tests/core/properties.rs
+++ b/crates/core/tests/core/properties.rs
@@ -147,7 +147,7 @@
     #[test]
     fn each_job_is_answered_once_and_attempts_never_overlap(steps in steps()) {
         let (settings, limits) = settings_and_limits();
-        let mut core = Core::new(Scheduler::new(settings.clone(), 7), limits);
+        let mut core = Core::new(Scheduler::new(settings, 7), limits);
         let mut accepted = BTreeSet::new();
         let mut answers_by_job: BTreeMap<JobId, Vec<Answer>> = BTreeMap::new();
         let mut in_flight: BTreeMap<RequestId, u16> = BTreeMap::new();
--- a/crates/day/src/capturing_proxy/message_reader.rs
+++ b/crates/day/src/capturing_proxy/message_reader.rs
@@ -165,6 +165,10 @@
         }
     }
 
+    #[expect(
+        clippy::wildcard_enum_match_arm,
+        reason = "every message but the handshake is recorded as it is"
+    )]
     fn on_message_to_node(&mut self, bytes: &[u8], node: String) -> Result<(), Unreadable> {
         match decode_frame(bytes).map_err(|_| Unreadable)? {
             ToNode::Hello { controller, .. } => self.controller = Some(controller),
--- a/crates/day/src/clients/misbehaving.rs
+++ b/crates/day/src/clients/misbehaving.rs
@@ -35,6 +35,10 @@
 type Lines = Framed<TcpStream, LinesCodec>;
 
 /// Runs one client that misbehaves as the kind of fault says; other kinds do nothing.
+#[expect(
+    clippy::wildcard_enum_match_arm,
+    reason = "only faults of clients have a client that misbehaves"
+)]
 pub async fn run(address: SocketAddrV4, kind: FaultKind, clock: Clock, duration: Duration) {
     let end = clock.now() + duration.as_micros() as u64;
     let Ok(stream) = TcpStream::connect(address).await else {
--- a/crates/exchange/src/node_messages.rs
+++ b/crates/exchange/src/node_messages.rs
@@ -12,6 +12,7 @@
 
 /// The frame that an output is, and the node that it is for; `None` where it is for another peer. `job` finds the job
 /// of a dispatch; `nonce` marks a probe.
+#[expect(clippy::too_many_lines, reason = "one arm for each output")]
 pub fn encode_output<'a>(
     config: &Config,
     nonce: u64,
--- a/crates/fleet/tests/node_list_updates.rs
+++ b/crates/fleet/tests/node_list_updates.rs
@@ -126,6 +126,10 @@
 /// A node may have reported its free capacity since the list measured it; passed on again, the value of the list would
 /// overwrite the report.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one sequence of events, in its order"
+)]
 fn free_capacity_of_a_list_entry_is_passed_on_once() {
     let with_capacity = |m: u64| NodeEntry {
         free_cores: Some(16.0),
--- a/crates/kernel/src/fuzz/random_scenario.rs
+++ b/crates/kernel/src/fuzz/random_scenario.rs
@@ -186,6 +186,10 @@
         self.faults.sort_by_key(|fault| fault.at_ms);
     }
 
+    #[expect(
+        clippy::wildcard_enum_match_arm,
+        reason = "kinds without a range of their own share one, also new ones"
+    )]
     fn draw_fault(&self, rng: &mut fastrand::Rng, kind: FaultKind, at_ms: u64) -> Fault {
         let target = self.draw_target(rng, kind);
         let class = kind.needs_class().then(|| *pick(rng, &CLASSES));
--- a/crates/platform/tests/engine/random_node_reports/network.rs
+++ b/crates/platform/tests/engine/random_node_reports/network.rs
@@ -119,6 +119,7 @@
     }
 
     /// One thing happens that the platform allows.
+    #[expect(clippy::too_many_lines, reason = "one arm for each output")]
     pub(super) fn step(&mut self, next_id: &mut u64, is_quiet: bool) {
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         let number = self.rng.choice(&numbers).copied().unwrap_or(0);
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -161,6 +161,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of messages and their bytes")]
 fn messages_of_a_node_have_the_bytes_of_0ad3387() {
     let node = ProcessIdentity {
         name: "node-7".into(),
@@ -341,6 +342,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of messages and their bytes")]
 fn json_rpc_has_the_bytes_of_0ad3387() {
     let text = String::from;
     let template = rpc::JobTemplate {
