--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -343,6 +343,7 @@
         });
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each step of the model")]
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Place {
--- a/tests/scheduler/preferences.rs
+++ b/tests/scheduler/preferences.rs
@@ -118,7 +118,7 @@
         free_memory: Some(20.0),
         ..node_entry(0, 0)
     };
-    let mut entries = vec![active.clone()];
+    let mut entries = vec![active];
     entries.extend((1..6).map(|m| node_entry(m, m as u16)));
     scheduler.handle(
         SECOND,
--- a/tests/scheduler/queue.rs
+++ b/tests/scheduler/queue.rs
@@ -45,7 +45,7 @@
     );
     let low = PlacementRequest {
         id: RequestId(2),
-        ..node_sized.clone()
+        ..node_sized
     };
     let high = PlacementRequest {
         id: RequestId(3),
