--- a/crates/cli/tests/client_departure.rs
+++ b/crates/cli/tests/client_departure.rs
@@ -123,7 +123,7 @@
     let (mut first_node, second_listener) = first_connected(&a, &b);
     assert_eq!(first_node.receive().id, LEAVING);
     let rejection = Message::release(LEAVING, cause::FULL).with(code::NOTE, b"no_cores");
-    controller.while_stopped(|| match first {
+    controller.while_paused(|| match first {
         First::Departure => {
             departure.leave(&mut client);
             first_node.send(&rejection);
--- a/crates/cli/tests/serve/requests.rs
+++ b/crates/cli/tests/serve/requests.rs
@@ -6,6 +6,7 @@
 use crate::support::process::Controller;
 use crate::{Cluster, SOCKETS};
 use peppercove_platform::wire::{Message, MessageKind, cause, code};
+use std::collections::BTreeSet;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -158,18 +159,25 @@
             .flat_map(|n| request(id(n), "any").encode())
             .collect();
         // It finds the burst and the other request at once.
-        controller.while_stopped(|| {
+        controller.while_paused(|| {
             first.send_bytes(&burst);
             second.request(id(BURST), "any");
         });
         clients.push([first, second]);
     }
+    // Kept open until all are checked: a controller whose connection is closed opens another one, which would be accepted
+    // in place of that of the next controller.
+    let mut connections: Vec<Peer> = Vec::new();
+    let mut controllers_seen = BTreeSet::new();
     for _ in &controllers {
-        let mut node = node.peer();
-        let position = (0..=BURST).position(|_| node.receive().id & 0xffff == BURST);
-        assert!(
-            position.is_some_and(|p| p < 4),
-            "{position:?} requests went before it"
-        );
+        let mut connection = node.peer();
+        let mut ids = Vec::new();
+        while ids.last().is_none_or(|id| id & 0xffff != BURST) {
+            ids.push(connection.receive().id);
+        }
+        assert!(ids.len() <= 4, "{} requests went before it", ids.len() - 1);
+        controllers_seen.insert(ids[0] >> 16);
+        connections.push(connection);
     }
+    assert_eq!(controllers_seen, BTreeSet::from([1, 2, 3]));
 }
--- a/crates/cli/tests/serve/shutdown.rs
+++ b/crates/cli/tests/serve/shutdown.rs
@@ -42,14 +42,14 @@
     let (mut client, mut node) = cluster.run_one(5, "one");
     cluster.controller.signal("-TERM");
     std::thread::sleep(Duration::from_millis(200));
-    cluster.controller.signal("-STOP");
+    cluster.controller.pause();
     let mut new_clients: Vec<Peer> = CLIENTS.map(|_| cluster.client()).collect();
     client.request(50, "one");
     for (id, client) in CLIENTS.zip(&mut new_clients) {
         client.request(id, "one");
     }
     std::thread::sleep(SHUTDOWN_TIME);
-    cluster.controller.signal("-CONT");
+    cluster.controller.resume();
     let node = std::thread::spawn(move || {
         for _ in 0..=CLIENTS.count() {
             let id = node.receive().id;
@@ -69,7 +69,7 @@
     let mut cluster = Cluster::start();
     let mut client = cluster.client();
     client.pass_test(1);
-    cluster.controller.while_stopped(|| {
+    cluster.controller.while_paused(|| {
         cluster.controller.signal("-TERM");
         client.request(5, "one");
     });
--- a/crates/cli/tests/support/process.rs
+++ b/crates/cli/tests/support/process.rs
@@ -65,13 +65,36 @@
         assert!(sent.is_ok_and(|status| status.success()));
     }
 
-    /// Lets it find everything that happens during `act` at once: it is stopped meanwhile.
-    pub fn while_stopped(&self, act: impl FnOnce()) {
+    /// Stops it by SIGSTOP. The signal takes effect some time after it was sent: the process goes on reading until then,
+    /// for long enough on a busy machine to see what is sent right afterwards.
+    pub fn pause(&self) {
         self.signal("-STOP");
-        act();
+        let deadline = Instant::now() + TIMEOUT;
+        while !self.is_paused() {
+            assert!(Instant::now() < deadline, "it did not stop");
+            std::thread::sleep(Duration::from_millis(1));
+        }
+    }
+
+    /// Whether the state of the process is `T`, stopped by a signal (proc(5)).
+    fn is_paused(&self) -> bool {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
+        let stat = stat.expect("it runs");
+        let (_, after_command) = stat.rsplit_once(')').expect("a command");
+        after_command.trim_start().starts_with('T')
+    }
+
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
+    /// Lets it find everything that happens during `act` at once: it is paused meanwhile.
+    pub fn while_paused(&self, act: impl FnOnce()) {
+        self.pause();
+        act();
+        self.resume();
+    }
+
     /// Gives it another configuration.
     pub fn configure(&self, config: &str) {
         std::fs::write(self.config_path(), config).expect("written");
