--- a/crates/cli/src/commands/bench/node_subset.rs
+++ b/crates/cli/src/commands/bench/node_subset.rs
@@ -19,7 +19,7 @@
 /// Runs the plans and prints their rows, as a table or as JSON.
 pub fn run(arguments: &NodeSubsetArguments) -> Result<()> {
     let services = arguments.services.max(1);
-    let plans = if arguments.worth {
+    let plans = if arguments.measures_quality {
         plan::quality_plans(arguments.quick, services)
     } else {
         plan::cost_plans(arguments.quick, services)
@@ -33,7 +33,7 @@
         rows.push(row);
     }
     if !arguments.json {
-        let table = if arguments.worth {
+        let table = if arguments.measures_quality {
             row::quality_table(&rows)
         } else {
             row::cost_table(&rows)
--- a/crates/cli/src/commands/bench/node_subset/arguments.rs
+++ b/crates/cli/src/commands/bench/node_subset/arguments.rs
@@ -9,8 +9,8 @@
     #[arg(long)]
     pub quick: bool,
     /// What bounded subsets do to the quality of placements, in place of what they cost.
-    #[arg(long)]
-    pub worth: bool,
+    #[arg(long = "worth")]
+    pub measures_quality: bool,
     /// Services whose tasks come to one scheduler.
     #[arg(long, default_value_t = 256)]
     pub services: u64,
--- a/crates/cli/src/commands/fuzz.rs
+++ b/crates/cli/src/commands/fuzz.rs
@@ -73,34 +73,38 @@
     let processors = std::thread::available_parallelism().map_or(1, usize::from);
     let workers = arguments.jobs.unwrap_or(processors).clamp(1, MAX_WORKERS);
     let options = run_options(None, arguments.processes)?;
-    let bar = progress_bar(arguments.days);
+    let bar = progress_bar(arguments.scenarios);
     let failed = AtomicUsize::new(0);
-    let states = run_on_workers(workers, arguments.days, |worker: &mut Worker, index| {
-        if arguments.first && failed.load(Ordering::Relaxed) > 0 {
-            return ControlFlow::Break(());
-        }
-        let seed = arguments.from + index;
-        match run_random(arguments, seed, &options) {
-            Ok((scenario, report)) => {
-                worker.outcome.summary.add(&scenario, &report);
-                if !report.is_clean() {
-                    let count = failed.fetch_add(1, Ordering::Relaxed) + 1;
-                    bar.set_message(format!("{count} broken"));
-                    worker.outcome.failures.push(Failure {
-                        seed,
-                        scenario,
-                        report,
-                    });
-                }
-                bar.inc(1);
-                ControlFlow::Continue(())
+    let states = run_on_workers(
+        workers,
+        arguments.scenarios,
+        |worker: &mut Worker, index| {
+            if arguments.first && failed.load(Ordering::Relaxed) > 0 {
+                return ControlFlow::Break(());
             }
-            Err(error) => {
-                worker.error = Some(error);
-                ControlFlow::Break(())
+            let seed = arguments.from + index;
+            match run_random(arguments, seed, &options) {
+                Ok((scenario, report)) => {
+                    worker.outcome.summary.add(&scenario, &report);
+                    if !report.is_clean() {
+                        let count = failed.fetch_add(1, Ordering::Relaxed) + 1;
+                        bar.set_message(format!("{count} broken"));
+                        worker.outcome.failures.push(Failure {
+                            seed,
+                            scenario,
+                            report,
+                        });
+                    }
+                    bar.inc(1);
+                    ControlFlow::Continue(())
+                }
+                Err(error) => {
+                    worker.error = Some(error);
+                    ControlFlow::Break(())
+                }
             }
-        }
-    });
+        },
+    );
     bar.finish_and_clear();
     merge(states)
 }
@@ -125,7 +129,7 @@
         let report = run_scenario(&scenario, scenario.seed, options);
         return Ok((random, report.with_context(|| format!("day {seed}"))?));
     }
-    let Some(subset_size) = arguments.view else {
+    let Some(subset_size) = arguments.subset_size else {
         return Ok(run_seed(seed));
     };
     let random = RandomScenario::random(seed);
--- a/crates/cli/src/commands/fuzz/arguments.rs
+++ b/crates/cli/src/commands/fuzz/arguments.rs
@@ -10,8 +10,8 @@
     #[arg(long, default_value_t = 1)]
     pub from: u64,
     /// Scenarios to run.
-    #[arg(long, default_value_t = 1000)]
-    pub days: u64,
+    #[arg(long = "days", default_value_t = 1000)]
+    pub scenarios: u64,
     /// Scenarios run at once; as many as there are processors where left out.
     #[arg(long)]
     pub jobs: Option<usize>,
@@ -25,8 +25,8 @@
     #[arg(long, conflicts_with_all = ["sockets", "processes"])]
     pub compare: bool,
     /// Controllers see subsets of so many nodes beside one of each zone and kind, as those of a large fleet do.
-    #[arg(long, value_name = "SIZE", conflicts_with_all = ["sockets", "processes", "compare", "out"])]
-    pub view: Option<u64>,
+    #[arg(long = "view", value_name = "SIZE", conflicts_with_all = ["sockets", "processes", "compare", "out"])]
+    pub subset_size: Option<u64>,
     /// Where the scenarios that failed are written, made smaller.
     #[arg(long, value_name = "DIR")]
     pub out: Option<PathBuf>,
--- a/crates/cli/src/commands/fuzz/comparison.rs
+++ b/crates/cli/src/commands/fuzz/comparison.rs
@@ -35,7 +35,7 @@
         comparisons.push(compare(arguments.from + index, &options));
         ControlFlow::Continue(())
     };
-    let comparisons = run_on_workers(workers, arguments.days, compare_index);
+    let comparisons = run_on_workers(workers, arguments.scenarios, compare_index);
     let mut comparisons: Vec<Comparison> = comparisons.into_iter().flatten().collect();
     comparisons.sort_by_key(|comparison| comparison.seed);
     let jobs: usize = comparisons.iter().map(|comparison| comparison.jobs).sum();
--- a/crates/scale/src/capacity_report/format.rs
+++ b/crates/scale/src/capacity_report/format.rs
@@ -11,7 +11,7 @@
 /// Whole numbers below this power of ten are written in full.
 const FULL_BELOW_POWER: i32 = 5;
 
-/// Smaller figures are not told apart.
+/// Smaller figures are not distinguished.
 const SMALLEST: f64 = 1e-6;
 
 /// A figure with three significant digits and thousands separators; whole numbers of up to five digits in full.
--- a/crates/scale/src/harness.rs
+++ b/crates/scale/src/harness.rs
@@ -1,7 +1,7 @@
 //! What the harnesses of roles without sockets share: simulated time, the arrival of tasks and of list changes, and what is
 //! recorded.
 //!
-//! A harness drives one part of the program, such as the platform engine, and plays everything that talks to it. It
+//! A harness drives one part of the program, such as the platform engine, and simulates everything that talks to it. It
 //! implements [`Harness`] for what is particular to that part; the order in which things happen is here.
 
 use crate::error::MeasureError;
@@ -135,7 +135,7 @@
     /// When the part under test wants to be called by itself.
     fn next_wake(&self) -> Option<Micros>;
 
-    /// Calls the part under test by itself, at the time that it asked for.
+    /// Calls the part under test by itself, at the time that it requested.
     ///
     /// # Errors
     /// Those of the part under test.
--- a/crates/scale/src/loopback_fleet/request_ids.rs
+++ b/crates/scale/src/loopback_fleet/request_ids.rs
@@ -1,4 +1,4 @@
-//! Ids of requests, which tell the scheduler that is asked and whether the task ends.
+//! Ids of requests, which name the scheduler and say whether the task ends.
 
 /// The bit of a request's id that marks a task which does not end.
 pub const LASTING_TASK: u64 = 1 << 39;
@@ -6,7 +6,7 @@
 /// The number of bits below the scheduler's number in a request's id.
 const SCHEDULER_SHIFT: u32 = 40;
 
-/// The id of a request; it tells the scheduler that is asked.
+/// The id of a request to a scheduler.
 pub fn request_id(scheduler: usize, number: u64) -> u64 {
     (scheduler as u64 + 1) << SCHEDULER_SHIFT | number
 }
--- a/crates/scale/src/roles.rs
+++ b/crates/scale/src/roles.rs
@@ -4,8 +4,8 @@
 pub mod configuration;
 pub mod controller;
 pub mod discovery;
-pub mod machine;
 pub mod module;
+pub mod node;
 pub mod processes;
 pub mod serve;
 
@@ -18,7 +18,7 @@
     controller::ROLE,
     discovery::ROLE,
     configuration::ROLE,
-    machine::ROLE,
+    node::ROLE,
     client::ROLE,
     processes::ROLE,
 ];
--- a/crates/scale/src/roles/client.rs
+++ b/crates/scale/src/roles/client.rs
@@ -1,6 +1,6 @@
 //! A client's side: messages, bytes and connections of its requests, on both fronts.
 //!
-//! As in [`machine`](crate::roles::machine), points of few nodes are of the DRMAA front.
+//! As in [`node`](crate::roles::node), points of few nodes are of the DRMAA front.
 
 use crate::drmaa_loopback::{self, MAX_FAKE_NODES};
 use crate::error::MeasureError;
--- a/crates/scale/src/roles/controller.rs
+++ b/crates/scale/src/roles/controller.rs
@@ -75,7 +75,7 @@
         baseline,
         &START_EVENTS,
     )?);
-    figures.extend(harness.held());
+    figures.extend(harness.table_sizes());
     Ok(figures)
 }
 
--- a/crates/scale/src/roles/controller/harness/figures.rs
+++ b/crates/scale/src/roles/controller/harness/figures.rs
@@ -13,7 +13,7 @@
 
 impl ControllerHarness {
     /// What the core holds, and the connections that are open.
-    pub fn held(&self) -> Vec<Figure> {
+    pub fn table_sizes(&self) -> Vec<Figure> {
         let connections = self.connected_nodes + self.simulation.cluster.sizes.connections;
         let count = |name: &str, value: f64| Figure::counted(name, "count", value);
         vec![
--- a/crates/scale/src/roles/module/harness.rs
+++ b/crates/scale/src/roles/module/harness.rs
@@ -1,4 +1,4 @@
-//! The decision module, and the nodes, list and clients that it is told of.
+//! The decision module, and the nodes, list and clients around it.
 
 use crate::error::MeasureError;
 use crate::harness::{Harness, Simulation};
@@ -46,7 +46,7 @@
     actions: u64,
 }
 
-/// A scheduler, and what it is told of.
+/// A scheduler, and what is around it.
 pub struct ModuleHarness {
     simulation: Simulation<Delivery>,
     scheduler: Scheduler,
@@ -148,7 +148,7 @@
             .deliver_after(delay, Delivery::Answer(attempt, answer));
     }
 
-    /// The module is told of tasks that run already.
+    /// The module is notified of tasks that run already.
     pub fn add_running_tasks(&mut self) {
         for n in 0..self.simulation.sizes().running_tasks {
             let node = node_id(self.simulation.cluster.node_of_task(n));
--- a/crates/scale/src/roles/serve.rs
+++ b/crates/scale/src/roles/serve.rs
@@ -70,7 +70,7 @@
     // Connections that come up here are few; those of the set-up are the figure.
     of_starts.retain(|figure| figure.name != "link_up_time");
     figures.extend(of_starts);
-    figures.extend(harness.held());
+    figures.extend(harness.table_sizes());
     drop(lists);
     Ok(figures)
 }
--- a/crates/scale/src/roles/serve/harness/figures.rs
+++ b/crates/scale/src/roles/serve/harness/figures.rs
@@ -13,7 +13,7 @@
 
 impl ServeHarness {
     /// What the engine holds, and the connections that are open.
-    pub fn held(&self) -> Vec<Figure> {
+    pub fn table_sizes(&self) -> Vec<Figure> {
         let node_connections = self.connections_by_node.len() as f64;
         let client_connections = self.simulation.cluster.sizes.connections as f64;
         let count = |name: &str, value: f64| Figure::counted(name, "count", value);
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -65,7 +65,7 @@
     sweeps
 }
 
-/// The sweeps of a role that sees a bounded subset of the nodes: the sweep along [`Axis::Nodes`] stands at the number of
+/// The sweeps of a role that sees a bounded subset of the nodes: the sweep along [`Axis::Nodes`] has the number of
 /// schedulers of a target fleet.
 ///
 /// The more schedulers, the smaller a subset. At the base's sixteen schedulers a subset holds two in five nodes of a large
--- a/crates/scale/tests/growth_of_hollow_roles.rs
+++ b/crates/scale/tests/growth_of_hollow_roles.rs
@@ -163,7 +163,7 @@
     let mut figures = harness.idle_figures().expect("idle time");
     run_starts_and_changes(&mut harness);
     figures.extend(harness.counted());
-    figures.extend(harness.held());
+    figures.extend(harness.table_sizes());
     figures.push(Figure::counted(
         "whole_list_bytes",
         "bytes",
@@ -179,7 +179,7 @@
     let mut figures = harness.idle_figures().expect("idle time");
     run_starts_and_changes(&mut harness);
     figures.extend(harness.counted());
-    figures.extend(harness.held());
+    figures.extend(harness.table_sizes());
     figures.push(Figure::counted(
         "whole_list_bytes",
         "bytes",
