--- a/crates/cli/src/commands/fuzz/summary.rs
+++ b/crates/cli/src/commands/fuzz/summary.rs
@@ -5,16 +5,16 @@
 
 /// Prints the summary of a run of so many seconds, with the pairs of faults that overlapped where they are wanted.
 pub fn print(summary: &FuzzSummary, seconds: f64, with_pairs: bool) {
-    let (share, low, high) = summary.share();
+    let (share, low, high) = summary.failure_share();
     println!(
         "{} days in {seconds:.1} s, {} broken: {share:.4}, with 95 in 100 between {low:.4} and {high:.4}",
-        summary.days, summary.broken
+        summary.scenarios, summary.failed
     );
     let by_rule: Vec<String> = (0..=5).map(|rule| rule_text(summary, rule)).collect();
     println!("days by rule: {}", by_rule.join(", "));
-    println!("jobs {}, offers {}", summary.jobs, summary.offers);
+    println!("jobs {}, offers {}", summary.jobs, summary.dispatches);
     print_classes(summary);
-    for (errno, count) in &summary.turned_away {
+    for (errno, count) in &summary.rejections {
         println!("turned away {errno}: {count}");
     }
     for (hazard, scenarios) in &summary.hazards {
@@ -32,7 +32,10 @@
     } else {
         format!("rule {rule}")
     };
-    format!("{name} {}", summary.by_rule.get(&rule).unwrap_or(&0))
+    format!(
+        "{name} {}",
+        summary.failures_by_rule.get(&rule).unwrap_or(&0)
+    )
 }
 
 fn print_classes(summary: &FuzzSummary) {
@@ -74,10 +77,10 @@
     let kinds = FAULT_KINDS.len();
     println!(
         "{} of {} pairs of faults overlapped",
-        summary.pairs.len(),
+        summary.fault_pairs.len(),
         kinds * (kinds + 1) / 2
     );
-    for ((first, second), scenarios) in &summary.pairs {
+    for ((first, second), scenarios) in &summary.fault_pairs {
         println!("{first} with {second}: {scenarios}");
     }
 }
--- a/crates/cli/tests/compat/terms.rs
+++ b/crates/cli/tests/compat/terms.rs
@@ -28,6 +28,7 @@
     (".Done", "ControlAccepted"),
     (".Settled", "Answered"),
     (".Offer", "Dispatch"),
+    (".Watch", "WatchNodes"),
     (".Withdraw", "CancelAttempt"),
     (".Act", "ControlTask"),
     (".StopStanding", "DiscardOrphan"),
@@ -44,6 +45,7 @@
     ("Settled.Withdrawn", "Cancelled"),
     ("Settled.Refused", "Rejected"),
     ("Ran", "Completed"),
+    ("GivenUp", "Evicted"),
 ];
 
 /// `(old, new)`: a part of a line for the people on call, within `Log("...")`.
--- a/crates/cli/tests/node_subset/checks.rs
+++ b/crates/cli/tests/node_subset/checks.rs
@@ -108,7 +108,7 @@
             let instance = instance_of(request.id);
             let index = scheduler_index(instance);
             let share =
-                peppercove_fleet::cold_start_share(id, index, SCHEDULERS, SLOW_START_BUDGET);
+                peppercove_fleet::slow_start_share(id, index, SCHEDULERS, SLOW_START_BUDGET);
             assert!(
                 share > 0,
                 "c{instance} has no share of {name} in slow start: {request:?}"
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -8,7 +8,7 @@
 
 pub use document::Document;
 pub use problem::{ConfigError, Problem};
-pub use value::parse_span;
+pub use value::parse_duration;
 pub use xsd::xsd;
 
 /// What values an attribute may have.
@@ -21,11 +21,11 @@
     /// `true` or `false`.
     Flag,
     /// A whole number between two bounds.
-    Count(u64, u64),
+    Integer(u64, u64),
     /// A number between two bounds.
     Number(f64, f64),
     /// A time such as `250us`, `800ms`, `5s` or `2m`.
-    Span,
+    Duration,
     /// One of the words given.
     Choice(&'static [&'static str]),
     /// An IPv4 address and a port.
@@ -42,7 +42,7 @@
     /// Its value where it is left out; `None` makes it required, an empty text leaves it absent.
     pub default: Option<&'static str>,
     /// What it means, for operators; it becomes the documentation in the schema.
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 /// How often an element may stand in its parent.
@@ -82,13 +82,13 @@
     /// Its name in the file.
     pub name: &'static str,
     /// How often it stands in its parent.
-    pub often: Occurrence,
+    pub occurrence: Occurrence,
     /// Its attributes.
     pub attributes: &'static [Attribute],
     /// Elements that may stand in it.
     pub children: &'static [Element],
     /// What it means, for operators; it becomes the documentation in the schema.
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 impl Element {
--- a/crates/config/src/schema/check.rs
+++ b/crates/config/src/schema/check.rs
@@ -127,7 +127,7 @@
     ) {
         for attribute in element.attributes {
             if attribute.default.is_none() && node.attribute(attribute.name).is_none() {
-                let (name, about) = (attribute.name, attribute.about);
+                let (name, about) = (attribute.name, attribute.description);
                 self.report(
                     node,
                     path,
@@ -159,7 +159,7 @@
             };
             let child_path = format!("{path}/{name}");
             let same_name = found.entry(known.name).or_default();
-            if !same_name.is_empty() && known.often.is_single() {
+            if !same_name.is_empty() && known.occurrence.is_single() {
                 self.report(child, &child_path, "may stand only once");
             }
             same_name.push(self.check_element(child, known, &child_path));
@@ -183,8 +183,8 @@
         found: &BTreeMap<&'static str, Vec<Document>>,
     ) {
         for child in element.children {
-            if child.often.is_required() && !found.contains_key(child.name) {
-                let (name, about) = (child.name, child.about);
+            if child.occurrence.is_required() && !found.contains_key(child.name) {
+                let (name, about) = (child.name, child.description);
                 self.report(node, path, format!("element <{name}> is missing: {about}"));
             }
         }
--- a/crates/config/src/schema/document.rs
+++ b/crates/config/src/schema/document.rs
@@ -2,7 +2,7 @@
 
 use super::check::parse_and_check;
 use super::problem::{ConfigError, Problem};
-use super::value::{check_value, parse_span};
+use super::value::{check_value, parse_duration};
 use super::{Attribute, Element};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -43,7 +43,7 @@
         let single_children = element
             .children
             .iter()
-            .filter(|child| child.often.is_single());
+            .filter(|child| child.occurrence.is_single());
         Document {
             line: 0,
             column: 0,
@@ -82,7 +82,7 @@
         let (mut element, mut document) = (root, self);
         for step in path.split('/') {
             let children = element.children;
-            let single = |child: &&Element| child.name == step && child.often.is_single();
+            let single = |child: &&Element| child.name == step && child.occurrence.is_single();
             element = children.iter().find(single).ok_or_else(|| {
                 format!("there is no single element '{step}' in <{}>", element.name)
             })?;
@@ -137,44 +137,44 @@
     }
 
     /// The text of an attribute, where it is there.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub fn optional_string(&self, name: &str) -> Option<&str> {
         self.values.get(name).map(String::as_str)
     }
 
     /// The text of an attribute that the table requires or gives a default.
-    pub fn word(&self, name: &str) -> &str {
-        self.text(name).unwrap_or_default()
+    pub fn string(&self, name: &str) -> &str {
+        self.optional_string(name).unwrap_or_default()
     }
 
     /// Value of a flag.
     pub fn flag(&self, name: &str) -> bool {
-        self.word(name) == "true"
+        self.string(name) == "true"
     }
 
     /// Value of a whole number; 0 where it is absent.
-    pub fn count(&self, name: &str) -> u64 {
-        self.word(name).parse().unwrap_or_default()
+    pub fn integer(&self, name: &str) -> u64 {
+        self.string(name).parse().unwrap_or_default()
     }
 
     /// Value of a number; 0 where it is absent.
     pub fn number(&self, name: &str) -> f64 {
-        self.word(name).parse().unwrap_or_default()
+        self.string(name).parse().unwrap_or_default()
     }
 
     /// Value of a time span; zero where it is absent.
-    pub fn span(&self, name: &str) -> Duration {
-        parse_span(self.word(name)).unwrap_or_default()
+    pub fn duration(&self, name: &str) -> Duration {
+        parse_duration(self.string(name)).unwrap_or_default()
     }
 
     /// Value of a time span in microseconds; 0 where it is absent.
     pub fn micros(&self, name: &str) -> u64 {
-        u64::try_from(self.span(name).as_micros()).unwrap_or(u64::MAX)
+        u64::try_from(self.duration(name).as_micros()).unwrap_or(u64::MAX)
     }
 
     /// Value of an address; port 0 of the loopback where it is absent.
     pub fn address(&self, name: &str) -> SocketAddr {
         let unset = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
-        self.word(name)
+        self.string(name)
             .parse::<SocketAddrV4>()
             .unwrap_or(unset)
             .into()
--- a/crates/config/src/schema/value.rs
+++ b/crates/config/src/schema/value.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Parses a time such as `250us`, `800ms`, `5s` or `2m`; `None` where it is none.
-pub fn parse_span(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let (count, unit) = text.split_at(digits);
     let seconds = match unit {
@@ -34,9 +34,9 @@
         ValueKind::Text => !text.is_empty(),
         ValueKind::Name => is_name(text),
         ValueKind::Flag => matches!(text, "true" | "false"),
-        ValueKind::Count(least, most) => is_within::<u64>(text, least, most),
+        ValueKind::Integer(least, most) => is_within::<u64>(text, least, most),
         ValueKind::Number(least, most) => is_within::<f64>(text, least, most),
-        ValueKind::Span => parse_span(text).is_some_and(|span| span <= MAX_SPAN),
+        ValueKind::Duration => parse_duration(text).is_some_and(|span| span <= MAX_SPAN),
         ValueKind::Choice(words) => words.contains(&text),
         ValueKind::Address => text.parse::<SocketAddrV4>().is_ok(),
     };
@@ -63,13 +63,13 @@
         ValueKind::Text => "a text".into(),
         ValueKind::Name => "a name of up to 64 letters, digits, '-', '_' and '.'".into(),
         ValueKind::Flag => "true or false".into(),
-        ValueKind::Count(least, u64::MAX) => format!("a whole number of {least} or more"),
-        ValueKind::Count(least, most) => format!("a whole number from {least} to {most}"),
+        ValueKind::Integer(least, u64::MAX) => format!("a whole number of {least} or more"),
+        ValueKind::Integer(least, most) => format!("a whole number from {least} to {most}"),
         ValueKind::Number(least, most) if most == f64::MAX => {
             format!("a number of {least} or more")
         }
         ValueKind::Number(least, most) => format!("a number from {least} to {most}"),
-        ValueKind::Span => "a time such as 250us, 800ms, 5s or 2m, a year at most,".into(),
+        ValueKind::Duration => "a time such as 250us, 800ms, 5s or 2m, a year at most,".into(),
         ValueKind::Choice(words) => words.join(" or "),
         ValueKind::Address => "an IPv4 address and a port, such as 127.0.0.1:7070,".into(),
     }
--- a/crates/config/src/schema/xsd.rs
+++ b/crates/config/src/schema/xsd.rs
@@ -38,7 +38,7 @@
 fn write_element(out: &mut String, element: &Element, depth: usize) {
     let pad = "  ".repeat(depth);
     let _ = writeln!(out, "{pad}<xs:element name=\"{}\">", element.name);
-    write_about(out, element.about, depth + 1);
+    write_about(out, element.description, depth + 1);
     let _ = writeln!(out, "{pad}  <xs:complexType>");
     if !element.children.is_empty() {
         let _ = writeln!(
@@ -82,7 +82,7 @@
         out,
         "{pad}<xs:attribute name=\"{name}\"{named}{use_or_default}>"
     );
-    write_about(out, attribute.about, depth + 1);
+    write_about(out, attribute.description, depth + 1);
     if let SimpleType::Restriction { base, facets } = simple_type {
         let _ = writeln!(
             out,
@@ -106,9 +106,9 @@
             ValueKind::Text => SimpleType::Named("xs:string"),
             ValueKind::Name => SimpleType::Named("name"),
             ValueKind::Flag => SimpleType::Named("xs:boolean"),
-            ValueKind::Span => SimpleType::Named("span"),
+            ValueKind::Duration => SimpleType::Named("span"),
             ValueKind::Address => SimpleType::Named("address"),
-            ValueKind::Count(least, most) => SimpleType::Restriction {
+            ValueKind::Integer(least, most) => SimpleType::Restriction {
                 base: "xs:unsignedLong",
                 facets: bounds(least, (most != u64::MAX).then_some(most)),
             },
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -28,8 +28,8 @@
 /// The table of a controller's settings.
 pub static SETTINGS: Element = Element {
     name: "peppercove",
-    often: Occurrence::Once,
-    about: "Settings of one controller.",
+    occurrence: Occurrence::Once,
+    description: "Settings of one controller.",
     attributes: &[],
     children: &[
         controller::ELEMENT,
@@ -137,11 +137,13 @@
     let default_class = classes::default_class(classes, &class_names, problems);
     let scheduler = scheduler::read(document, &node_kinds, problems);
     Config {
-        name: controller.word("name").into(),
-        seed: controller.text("seed").and_then(|seed| seed.parse().ok()),
-        shutdown_timeout: controller.span("stop-within"),
-        record_path: controller.text("record").map(PathBuf::from),
-        journal_path: controller.text("journal").map(PathBuf::from),
+        name: controller.string("name").into(),
+        seed: controller
+            .optional_string("seed")
+            .and_then(|seed| seed.parse().ok()),
+        shutdown_timeout: controller.duration("stop-within"),
+        record_path: controller.optional_string("record").map(PathBuf::from),
+        journal_path: controller.optional_string("journal").map(PathBuf::from),
         journal_sync: controller.flag("journal-sync"),
         network: NetworkSettings::read(document),
         push: RemoteWriteSettings::read(document.child("push"), problems),
@@ -154,7 +156,7 @@
         tenants,
         node_kinds,
         log_format: LogFormat::read(logs),
-        log_level: logs.word("level").into(),
+        log_level: logs.string("level").into(),
     }
 }
 
@@ -162,7 +164,7 @@
 fn unique_names(elements: &[Document], problems: &mut Vec<Problem>) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for element in elements {
-        let name = element.word("name");
+        let name = element.string("name");
         if names.iter().any(|taken| taken == name) {
             problems.push(element.problem(format!("name=\"{name}\" stands twice")));
         }
--- a/crates/config/src/settings/classes.rs
+++ b/crates/config/src/settings/classes.rs
@@ -7,8 +7,8 @@
 /// The section in the table.
 pub(super) const ELEMENT: Element = Element {
     name: "classes",
-    often: Occurrence::Once,
-    about: "The classes of tasks: the job categories of DRMAA.",
+    occurrence: Occurrence::Once,
+    description: "The classes of tasks: the job categories of DRMAA.",
     attributes: &[
         attribute(
             "default",
@@ -21,19 +21,19 @@
     ],
     children: &[Element {
         name: "class",
-        often: Occurrence::Some,
-        about: "One class.",
+        occurrence: Occurrence::Some,
+        description: "One class.",
         attributes: &[
             attribute("name", ValueKind::Name, None, "Its name."),
             attribute(
                 "aim",
-                ValueKind::Span,
+                ValueKind::Duration,
                 None,
                 "A first start within this earns its full worth.",
             ),
             attribute(
                 "deadline",
-                ValueKind::Span,
+                ValueKind::Duration,
                 None,
                 "How long an owner waits for a placing.",
             ),
@@ -51,7 +51,7 @@
             ),
             attribute(
                 "window",
-                ValueKind::Span,
+                ValueKind::Duration,
                 Some("5s"),
                 "For this long after the first send.",
             ),
@@ -87,7 +87,7 @@
             ),
             attribute(
                 "priority",
-                ValueKind::Count(0, 3),
+                ValueKind::Integer(0, 3),
                 Some("0"),
                 "Higher ones win in contention and evictions.",
             ),
@@ -105,7 +105,7 @@
             ),
             attribute(
                 "most",
-                ValueKind::Count(1, 1 << 31),
+                ValueKind::Integer(1, 1 << 31),
                 Some("1"),
                 "The most tasks of one service in one such place.",
             ),
@@ -132,7 +132,7 @@
     classes: &[String],
     problems: &mut Vec<Problem>,
 ) -> u16 {
-    let default = section.word("default");
+    let default = section.string("default");
     let index = classes.iter().position(|class| class == default);
     if index.is_none() {
         problems.push(section.problem(format!("default=\"{default}\" is no class")));
@@ -179,16 +179,16 @@
         start_seconds: class.number("start-seconds"),
         saturation_start: class.number("calm"),
         saturation_span: class.number("fade"),
-        priority: class.count("priority") as u8,
+        priority: class.integer("priority") as u8,
         node_kind,
         topology_spread: topology_spread(class),
-        max_per_domain: class.count("most") as u32,
+        max_per_domain: class.integer("most") as u32,
     }
 }
 
 /// Index of the only kind of node that a class may run on.
 fn node_kind(class: &Document, node_kinds: &[String], problems: &mut Vec<Problem>) -> Option<u8> {
-    let name = class.text("kind")?;
+    let name = class.optional_string("kind")?;
     let index = node_kinds.iter().position(|kind| kind == name);
     if index.is_none() {
         problems.push(class.problem(format!("kind=\"{name}\" is no kind of node")));
@@ -197,7 +197,7 @@
 }
 
 fn idempotency(class: &Document) -> Idempotency {
-    match class.word("repeat") {
+    match class.string("repeat") {
         "keyed" => Idempotency::Keyed {
             scope: dedup_scope(class),
             window: class.micros("window"),
@@ -208,7 +208,7 @@
 }
 
 fn dedup_scope(class: &Document) -> DedupScope {
-    match class.word("group") {
+    match class.string("group") {
         "zone" => DedupScope::Zone,
         "rack" => DedupScope::Rack,
         _ => DedupScope::All,
@@ -216,7 +216,7 @@
 }
 
 fn topology_spread(class: &Document) -> TopologySpread {
-    match class.word("spread") {
+    match class.string("spread") {
         "node" => TopologySpread::Node,
         "rack" => TopologySpread::Rack,
         "zone" => TopologySpread::Zone,
--- a/crates/config/src/settings/controller.rs
+++ b/crates/config/src/settings/controller.rs
@@ -6,8 +6,8 @@
 /// The section in the table.
 pub(super) const ELEMENT: Element = Element {
     name: "controller",
-    often: Occurrence::Once,
-    about: "This controller, and how many share the nodes.",
+    occurrence: Occurrence::Once,
+    description: "This controller, and how many share the nodes.",
     attributes: &[
         attribute(
             "name",
@@ -17,20 +17,20 @@
         ),
         attribute(
             "number",
-            ValueKind::Count(0, 65_535),
+            ValueKind::Integer(0, 65_535),
             Some("0"),
             "Its number among those that share the nodes.",
         ),
         attribute(
             "of",
-            ValueKind::Count(1, 65_536),
+            ValueKind::Integer(1, 65_536),
             Some("1"),
             "How many share the nodes, this one included.",
         ),
-        attribute("zone", ValueKind::Count(0, 255), Some("0"), "Its zone."),
+        attribute("zone", ValueKind::Integer(0, 255), Some("0"), "Its zone."),
         attribute(
             "seed",
-            ValueKind::Count(0, u64::MAX),
+            ValueKind::Integer(0, u64::MAX),
             Some(""),
             "Seed of its draws; a new one at each start where left out.",
         ),
@@ -42,7 +42,7 @@
         ),
         attribute(
             "stop-within",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("10s"),
             "How long a stop may wait for what is open.",
         ),
@@ -70,7 +70,7 @@
 
 /// Reports a controller whose index is not one of those that share the nodes.
 pub(super) fn check(section: &Document, problems: &mut Vec<Problem>) {
-    if section.count("number") >= section.count("of") {
+    if section.integer("number") >= section.integer("of") {
         problems.push(section.problem("number must be below of"));
     }
 }
--- a/crates/config/src/settings/limits.rs
+++ b/crates/config/src/settings/limits.rs
@@ -7,8 +7,8 @@
 /// The section in the table.
 pub(super) const ELEMENT: Element = Element {
     name: "limits",
-    often: Occurrence::Maybe,
-    about: "What bounds the daemon. Each bound met is counted and answered.",
+    occurrence: Occurrence::Maybe,
+    description: "What bounds the daemon. Each bound met is counted and answered.",
     attributes: &[
         attribute(
             "clients",
@@ -30,7 +30,7 @@
         ),
         attribute(
             "client-idle",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("5m"),
             "A line begun and not finished within this closes its connection.",
         ),
@@ -78,25 +78,25 @@
         ),
         attribute(
             "retry-after",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("1s"),
             "Advice to a client that met a bound.",
         ),
         attribute(
             "answer-reserve",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("20ms"),
             "The answer is given this long before its owner gives up.",
         ),
         attribute(
             "fate-memory",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("10m"),
             "How long it is remembered that an unsafe task may have run.",
         ),
         attribute(
             "lost-after",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("30s"),
             "A task on a node out of reach counts as lost after this.",
         ),
@@ -114,7 +114,7 @@
     /// Lines that may wait for a client to read them; a slower client is disconnected.
     pub client_queue: usize,
     /// A line that is begun and not finished within this closes its connection.
-    pub client_idle: Duration,
+    pub client_idle_timeout: Duration,
     /// Messages that may wait to be written to one node.
     pub node_queue: usize,
     /// Placement requests that may be open at once.
@@ -136,18 +136,18 @@
     /// How long it is remembered that a non-idempotent task may have run.
     pub outcome_retention: Duration,
     /// A task on an unreachable node counts as lost after this.
-    pub lost_after: Duration,
+    pub unreachable_timeout: Duration,
 }
 
 impl Limits {
     /// Reads the section `limits` of a checked document.
     pub(super) fn read(section: &Document) -> Limits {
-        let size = |name: &str| usize::try_from(section.count(name)).unwrap_or(usize::MAX);
+        let size = |name: &str| usize::try_from(section.integer(name)).unwrap_or(usize::MAX);
         Limits {
             clients: size("clients"),
             pending_calls: size("calls"),
             client_queue: size("client-queue"),
-            client_idle: section.span("client-idle"),
+            client_idle_timeout: section.duration("client-idle"),
             node_queue: size("node-queue"),
             open_requests: size("open-asks"),
             jobs: size("jobs"),
@@ -155,10 +155,10 @@
             sessions: size("sessions"),
             bulk_jobs: size("bulk"),
             ambiguous_tasks: size("doubtful"),
-            retry_after: section.span("retry-after"),
-            deadline_margin: section.span("answer-reserve"),
-            outcome_retention: section.span("fate-memory"),
-            lost_after: section.span("lost-after"),
+            retry_after: section.duration("retry-after"),
+            deadline_margin: section.duration("answer-reserve"),
+            outcome_retention: section.duration("fate-memory"),
+            unreachable_timeout: section.duration("lost-after"),
         }
     }
 }
--- a/crates/config/src/settings/logs.rs
+++ b/crates/config/src/settings/logs.rs
@@ -6,8 +6,8 @@
 /// The section in the table.
 pub(super) const ELEMENT: Element = Element {
     name: "logs",
-    often: Occurrence::Maybe,
-    about: "What is logged, to standard error.",
+    occurrence: Occurrence::Maybe,
+    description: "What is logged, to standard error.",
     attributes: &[
         attribute(
             "format",
@@ -37,7 +37,7 @@
 impl LogFormat {
     /// Reads the section `logs` of a checked document.
     pub(super) fn read(section: &Document) -> LogFormat {
-        if section.word("format") == "json" {
+        if section.string("format") == "json" {
             LogFormat::Json
         } else {
             LogFormat::Text
--- a/crates/config/src/settings/network.rs
+++ b/crates/config/src/settings/network.rs
@@ -8,8 +8,8 @@
 /// The section `node-list` in the table.
 pub(super) const NODE_LIST: Element = Element {
     name: "node-list",
-    often: Occurrence::Once,
-    about: "Where the list of nodes comes from.",
+    occurrence: Occurrence::Once,
+    description: "Where the list of nodes comes from.",
     attributes: &[
         attribute(
             "address",
@@ -25,13 +25,13 @@
         ),
         attribute(
             "ask-every",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("10s"),
             "Without a subscription the list counts as told this long after it was last asked for.",
         ),
         attribute(
             "timeout",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("2s"),
             "A call that has no answer by then has failed.",
         ),
@@ -42,24 +42,24 @@
 /// The section `links` in the table.
 pub(super) const LINKS: Element = Element {
     name: "links",
-    often: Occurrence::Maybe,
-    about: "Links to nodes and to the list.",
+    occurrence: Occurrence::Maybe,
+    description: "Links to nodes and to the list.",
     attributes: &[
         attribute(
             "connect-timeout",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("1s"),
             "A connection or greeting not done by then has failed.",
         ),
         attribute(
             "retry-least",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("50ms"),
             "First wait before a link is tried again; waits are scattered.",
         ),
         attribute(
             "retry-most",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("5s"),
             "Waits double up to this.",
         ),
@@ -79,9 +79,9 @@
     /// A connection or handshake that is not complete after this has failed.
     pub connect_timeout: Duration,
     /// First backoff before a connection is attempted again.
-    pub retry_least: Duration,
+    pub min_backoff: Duration,
     /// Largest backoff; never below the first.
-    pub retry_most: Duration,
+    pub max_backoff: Duration,
 }
 
 impl NetworkSettings {
@@ -90,14 +90,14 @@
         let controller = document.child("controller");
         let node_list = document.child("node-list");
         let links = document.child("links");
-        let retry_least = links.span("retry-least");
+        let retry_least = links.duration("retry-least");
         NetworkSettings {
             clients: controller.address("clients"),
             node_list: node_list.address("address"),
-            list_timeout: node_list.span("timeout"),
-            connect_timeout: links.span("connect-timeout"),
-            retry_least,
-            retry_most: links.span("retry-most").max(retry_least),
+            list_timeout: node_list.duration("timeout"),
+            connect_timeout: links.duration("connect-timeout"),
+            min_backoff: retry_least,
+            max_backoff: links.duration("retry-most").max(retry_least),
         }
     }
 }
--- a/crates/config/src/settings/nodes.rs
+++ b/crates/config/src/settings/nodes.rs
@@ -7,8 +7,8 @@
 /// The section in the table.
 pub(super) const ELEMENT: Element = Element {
     name: "nodes",
-    often: Occurrence::Once,
-    about: "What all nodes have in common, and their kinds.",
+    occurrence: Occurrence::Once,
+    description: "What all nodes have in common, and their kinds.",
     attributes: &[
         attribute(
             "accepts-cores",
@@ -49,8 +49,8 @@
     ],
     children: &[Element {
         name: "kind",
-        often: Occurrence::Some,
-        about: "A kind of node; the list names kinds by their place here, from 0.",
+        occurrence: Occurrence::Some,
+        description: "A kind of node; the list names kinds by their place here, from 0.",
         attributes: &[
             attribute("name", ValueKind::Name, None, "Its name."),
             attribute("cores", POSITIVE, None, "Cores of a node."),
@@ -71,7 +71,7 @@
 
 /// From when on a task counts as placed.
 pub(super) fn placement_ack(section: &Document) -> PlacementAck {
-    if section.word("confirms") == "accepted" {
+    if section.string("confirms") == "accepted" {
         PlacementAck::Accepted
     } else {
         PlacementAck::Running
@@ -80,7 +80,7 @@
 
 /// What the free resources of a load report subtract.
 pub(super) fn load_basis(section: &Document) -> LoadBasis {
-    if section.word("report-counts") == "used" {
+    if section.string("report-counts") == "used" {
         LoadBasis::Used
     } else {
         LoadBasis::Requested
--- a/crates/config/src/settings/peers.rs
+++ b/crates/config/src/settings/peers.rs
@@ -7,8 +7,8 @@
 /// The section in the table.
 pub(super) const ELEMENT: Element = Element {
     name: "peers",
-    often: Occurrence::Maybe,
-    about: "Other controllers that messages may be sent to; none where left out.",
+    occurrence: Occurrence::Maybe,
+    description: "Other controllers that messages may be sent to; none where left out.",
     attributes: &[attribute(
         "listen",
         ValueKind::Address,
@@ -17,12 +17,12 @@
     )],
     children: &[Element {
         name: "peer",
-        often: Occurrence::Any,
-        about: "One peer.",
+        occurrence: Occurrence::Any,
+        description: "One peer.",
         attributes: &[
             attribute(
                 "number",
-                ValueKind::Count(0, 65_535),
+                ValueKind::Integer(0, 65_535),
                 None,
                 "Its number among the controllers.",
             ),
@@ -49,9 +49,11 @@
 impl PeerSettings {
     /// Reads the section `peers` of a checked document.
     pub(super) fn read(section: &Document) -> PeerSettings {
-        let peer = |peer: &Document| (peer.count("number") as u32, peer.address("address"));
+        let peer = |peer: &Document| (peer.integer("number") as u32, peer.address("address"));
         PeerSettings {
-            listen: section.text("listen").map(|_| section.address("listen")),
+            listen: section
+                .optional_string("listen")
+                .map(|_| section.address("listen")),
             peers: section.children("peer").iter().map(peer).collect(),
         }
     }
@@ -59,7 +61,7 @@
 
 /// Reports peers without an address at which their messages arrive.
 pub(super) fn check(section: &Document, problems: &mut Vec<Problem>) {
-    if section.text("listen").is_none() && !section.children("peer").is_empty() {
+    if section.optional_string("listen").is_none() && !section.children("peer").is_empty() {
         problems
             .push(section.problem("listen is missing: messages of peers must arrive somewhere"));
     }
--- a/crates/config/src/settings/remote_write.rs
+++ b/crates/config/src/settings/remote_write.rs
@@ -9,8 +9,8 @@
 /// The section in the table.
 pub(super) const ELEMENT: Element = Element {
     name: "push",
-    often: Occurrence::Maybe,
-    about: "Where the controller's figures are pushed by Prometheus remote write; nowhere without a receiver.",
+    occurrence: Occurrence::Maybe,
+    description: "Where the controller's figures are pushed by Prometheus remote write; nowhere without a receiver.",
     attributes: &[
         attribute(
             "receiver",
@@ -32,26 +32,26 @@
         ),
         attribute(
             "every",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("15s"),
             "How often the figures are taken.",
         ),
         attribute(
             "timeout",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("10s"),
             "A request that has no answer by then has failed.",
         ),
         attribute("batch", ANY_COUNT, Some("2000"), "Samples of one request."),
         attribute(
             "retry-least",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("1s"),
             "First wait after a failure; waits are scattered.",
         ),
         attribute(
             "retry-most",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("1m"),
             "Waits double up to this.",
         ),
@@ -75,7 +75,7 @@
         ),
         attribute(
             "backlog-age",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("2h"),
             "Older samples are dropped.",
         ),
@@ -93,21 +93,21 @@
         ),
         attribute(
             "calm-below",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("5ms"),
             "Placing is calm while the daemon's own loop is late by less than this.",
         ),
         attribute(
             "pressed-from",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("50ms"),
             "And pressed from this on.",
         ),
     ],
     children: &[Element {
         name: "label",
-        often: Occurrence::Any,
-        about: "A label of every series, beside `instance`, which is the controller's name.",
+        occurrence: Occurrence::Any,
+        description: "A label of every series, beside `instance`, which is the controller's name.",
         attributes: &[
             attribute("name", ValueKind::Name, None, "Its name."),
             attribute("value", ValueKind::Text, None, "Its value."),
@@ -130,13 +130,13 @@
     /// A request without an answer after this has failed.
     pub timeout: Duration,
     /// Samples of one request.
-    pub batch: usize,
+    pub batch_size: usize,
     /// First backoff after a failure.
-    pub retry_least: Duration,
+    pub min_backoff: Duration,
     /// Largest backoff.
-    pub retry_most: Duration,
+    pub max_backoff: Duration,
     /// Requests per second at most.
-    pub per_second: f64,
+    pub max_requests_per_second: f64,
     /// Folder of the write-ahead log.
     pub wal_path: PathBuf,
     /// Bytes of the write-ahead log on disk; the oldest samples make room.
@@ -158,31 +158,31 @@
 impl RemoteWriteSettings {
     /// Reads the section `push` of a checked document; `None` where it names no receiver or no folder.
     pub(super) fn read(section: &Document, problems: &mut Vec<Problem>) -> Option<Self> {
-        section.text("receiver")?;
-        let Some(wal_path) = section.text("backlog") else {
+        section.optional_string("receiver")?;
+        let Some(wal_path) = section.optional_string("backlog") else {
             problems.push(section.problem("backlog is missing: a folder for what waits"));
             return None;
         };
-        if section.span("every").is_zero() || section.span("retry-least").is_zero() {
+        if section.duration("every").is_zero() || section.duration("retry-least").is_zero() {
             problems.push(section.problem("every and retry-least must be longer than nothing"));
         }
         Some(RemoteWriteSettings {
             receiver: section.address("receiver"),
-            path: section.word("path").into(),
-            prefers_v2: section.word("version") == "2.0",
-            interval: section.span("every"),
-            timeout: section.span("timeout"),
-            batch: usize::try_from(section.count("batch")).unwrap_or(usize::MAX),
-            retry_least: section.span("retry-least"),
-            retry_most: section.span("retry-most"),
-            per_second: section.number("per-second"),
+            path: section.string("path").into(),
+            prefers_v2: section.string("version") == "2.0",
+            interval: section.duration("every"),
+            timeout: section.duration("timeout"),
+            batch_size: usize::try_from(section.integer("batch")).unwrap_or(usize::MAX),
+            min_backoff: section.duration("retry-least"),
+            max_backoff: section.duration("retry-most"),
+            max_requests_per_second: section.number("per-second"),
             wal_path: PathBuf::from(wal_path),
-            wal_max_bytes: section.count("backlog-bytes"),
-            wal_max_age: section.span("backlog-age"),
+            wal_max_bytes: section.integer("backlog-bytes"),
+            wal_max_age: section.duration("backlog-age"),
             cpu_share: section.number("share"),
             pressed_share: section.number("pressed-share"),
-            calm_below: section.span("calm-below"),
-            pressed_from: section.span("pressed-from"),
+            calm_below: section.duration("calm-below"),
+            pressed_from: section.duration("pressed-from"),
             labels: read_labels(section, problems),
         })
     }
@@ -191,14 +191,14 @@
 fn read_labels(section: &Document, problems: &mut Vec<Problem>) -> Vec<(String, String)> {
     let mut labels: Vec<(String, String)> = Vec::new();
     for label in section.children("label") {
-        let name = label.word("name");
+        let name = label.string("name");
         let is_taken = name == "instance" || labels.iter().any(|(taken, _)| taken == name);
         if is_taken || !is_label_name(name) {
             problems.push(label.problem(format!(
                 "name=\"{name}\" is no label of Prometheus, taken, or stands twice"
             )));
         }
-        labels.push((name.to_owned(), label.word("value").to_owned()));
+        labels.push((name.to_owned(), label.string("value").to_owned()));
     }
     labels
 }
--- a/crates/config/src/settings/scheduler.rs
+++ b/crates/config/src/settings/scheduler.rs
@@ -8,12 +8,12 @@
 /// The section `rules` in the table.
 pub(super) const RULES: Element = Element {
     name: "rules",
-    often: Occurrence::Maybe,
-    about: "Figures of the five rules.",
+    occurrence: Occurrence::Maybe,
+    description: "Figures of the five rules.",
     attributes: &[
         attribute(
             "drain-grace",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("500ms"),
             "From hearing of a drain to the last offer.",
         ),
@@ -25,7 +25,7 @@
         ),
         attribute(
             "warm-within",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("15s"),
             "And is warm after this.",
         ),
@@ -35,7 +35,12 @@
             Some("3"),
             "Sent more than this multiple of what it can do, it falls over.",
         ),
-        attribute("fall-window", ValueKind::Span, Some("2s"), "For this long."),
+        attribute(
+            "fall-window",
+            ValueKind::Duration,
+            Some("2s"),
+            "For this long.",
+        ),
         attribute(
             "cold-bears",
             WEIGHT,
@@ -44,7 +49,7 @@
         ),
         attribute(
             "settle",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("3s"),
             "How long owners wait before they ask again for a task that may run.",
         ),
@@ -55,12 +60,12 @@
 /// The section `attempts` in the table.
 pub(super) const ATTEMPTS: Element = Element {
     name: "attempts",
-    often: Occurrence::Maybe,
-    about: "Attempts to place one task.",
+    occurrence: Occurrence::Maybe,
+    description: "Attempts to place one task.",
     attributes: &[
         attribute(
             "most",
-            ValueKind::Count(1, 1000),
+            ValueKind::Integer(1, 1000),
             Some("3"),
             "At most so many for one ask.",
         ),
@@ -77,8 +82,8 @@
 /// The section `prices` in the table.
 pub(super) const PRICES: Element = Element {
     name: "prices",
-    often: Occurrence::Maybe,
-    about: "Prices that the decision module weighs, as shares of the result.",
+    occurrence: Occurrence::Maybe,
+    description: "Prices that the decision module weighs, as shares of the result.",
     attributes: &[
         attribute(
             "fleet",
@@ -121,9 +126,9 @@
     let deadline_margin = document.child("limits").micros("answer-reserve");
     let poll_interval = node_list.micros("ask-every");
     Settings {
-        schedulers: controller.count("of") as u32,
-        own_index: controller.count("number") as u32,
-        own_zone: controller.count("zone") as u8,
+        schedulers: controller.integer("of") as u32,
+        own_index: controller.integer("number") as u32,
+        own_zone: controller.integer("zone") as u8,
         classes: classes::task_classes(classes, node_kinds, deadline_margin, problems),
         node_kinds: nodes::node_kinds(nodes),
         tenants: tenants::tenants(tenants),
@@ -135,13 +140,13 @@
         load_basis: nodes::load_basis(nodes),
         mean_cores: classes.number("mean-cores"),
         mean_memory: classes.number("mean-memory"),
-        max_attempts: attempts.count("most") as u32,
+        max_attempts: attempts.integer("most") as u32,
         can_cancel_attempts: attempts.flag("may-withdraw"),
         // Never two attempts of a task in flight.
         can_hedge: false,
         can_probe: nodes.flag("probes"),
-        peer_messages: document.child("peers").text("listen").is_some(),
-        is_list_polled: node_list.word("mode") == "on-request",
+        peer_messages: document.child("peers").optional_string("listen").is_some(),
+        is_list_polled: node_list.string("mode") == "on-request",
         poll_interval,
         poll_backoff: POLL_BACKOFF_FRACTIONS.map(|fraction| poll_interval / fraction),
         // The daemon keeps its own margin ahead of the deadline, so there is no slack after it.
--- a/crates/config/src/settings/table.rs
+++ b/crates/config/src/settings/table.rs
@@ -3,7 +3,7 @@
 use crate::schema::{Attribute, ValueKind};
 
 /// A whole number of one or more.
-pub(super) const ANY_COUNT: ValueKind = ValueKind::Count(1, 1 << 32);
+pub(super) const ANY_COUNT: ValueKind = ValueKind::Integer(1, 1 << 32);
 /// A number above zero.
 pub(super) const POSITIVE: ValueKind = ValueKind::Number(1e-9, f64::MAX);
 /// A fraction of a whole.
@@ -22,6 +22,6 @@
         name,
         kind,
         default,
-        about,
+        description: about,
     }
 }
--- a/crates/config/src/settings/tenants.rs
+++ b/crates/config/src/settings/tenants.rs
@@ -7,8 +7,8 @@
 /// The section in the table.
 pub(super) const ELEMENT: Element = Element {
     name: "tenants",
-    often: Occurrence::Maybe,
-    about: "The tenants that share the nodes.",
+    occurrence: Occurrence::Maybe,
+    description: "The tenants that share the nodes.",
     attributes: &[attribute(
         "over-share-worth",
         SHARE,
@@ -17,8 +17,8 @@
     )],
     children: &[Element {
         name: "tenant",
-        often: Occurrence::Any,
-        about: "One tenant.",
+        occurrence: Occurrence::Any,
+        description: "One tenant.",
         attributes: &[
             attribute("name", ValueKind::Name, None, "Its name."),
             attribute(
@@ -36,7 +36,7 @@
 pub(super) fn tenants(section: &Document) -> Vec<Tenant> {
     let tenant = |tenant: &Document| Tenant {
         quota_cores: tenant
-            .text("quota-cores")
+            .optional_string("quota-cores")
             .and_then(|cores| cores.parse().ok()),
     };
     section.children("tenant").iter().map(tenant).collect()
--- a/crates/controller/src/client_session/connection.rs
+++ b/crates/controller/src/client_session/connection.rs
@@ -106,7 +106,7 @@
     }
 
     fn idle_timeout(&self) -> Duration {
-        self.context.server.config.limits.client_idle
+        self.context.server.config.limits.client_idle_timeout
     }
 
     /// Writes a line and those queued behind it in one go.
--- a/crates/controller/src/job_report.rs
+++ b/crates/controller/src/job_report.rs
@@ -58,7 +58,7 @@
             info.signal = Some(signal);
             add_usage(&mut info, wall, cpu, memory);
         }
-        Some(TaskEnd::GivenUp) => add(&mut info, "end", "given-up".into()),
+        Some(TaskEnd::Evicted) => add(&mut info, "end", "given-up".into()),
         Some(TaskEnd::Lost) => add(&mut info, "end", "lost".into()),
         None => info.aborted = job.state == JobState::Failed,
     }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -130,13 +130,16 @@
             counters: core.counters(),
             open_requests: core.open_requests(),
             running_tasks: core.placed_tasks(),
-            connected_nodes: nodes.iter().filter(|(id, _)| nodes.is_up(**id)).count(),
+            connected_nodes: nodes
+                .iter()
+                .filter(|(id, _)| nodes.is_connected(**id))
+                .count(),
             node_list_version: nodes.generation,
         }
     }
 
     /// The id by which clients know the job with this number.
-    pub fn job_name(&self, number: u64) -> String {
+    pub fn job_id(&self, number: u64) -> String {
         self.server.job_id(JobId(number))
     }
 
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -137,12 +137,12 @@
             }
         }
         for (_, node) in nodes.iter() {
-            let is_connected = match node.link {
+            let is_connected = match node.connection {
                 ConnectionState::Connected => true,
                 ConnectionState::Disconnected(_) => false,
             };
             *counts
-                .entry(node_labels(node.line.state, is_connected))
+                .entry(node_labels(node.entry.state, is_connected))
                 .or_default() += 1.0;
         }
         for (labels, count) in counts {
--- a/crates/controller/src/node_connection.rs
+++ b/crates/controller/src/node_connection.rs
@@ -53,7 +53,7 @@
 /// Keeps the connection to a node until the task is aborted.
 async fn run(server: Rc<Server>, endpoint: NodeEndpoint) {
     let network = &server.config.network;
-    let mut backoff = Backoff::new(network.retry_least, network.retry_most);
+    let mut backoff = Backoff::new(network.min_backoff, network.max_backoff);
     loop {
         let established = timeout(network.connect_timeout, establish(&server, &endpoint)).await;
         let error = match established {
--- a/crates/controller/src/node_list_watch.rs
+++ b/crates/controller/src/node_list_watch.rs
@@ -36,7 +36,7 @@
 pub(crate) async fn run(server: Rc<Server>) {
     let network = &server.config.network;
     let is_polled = server.config.scheduler.is_list_polled;
-    let mut backoff = Backoff::new(network.retry_least, network.retry_most);
+    let mut backoff = Backoff::new(network.min_backoff, network.max_backoff);
     loop {
         if is_polled {
             server.list_wanted.notified().await;
--- a/crates/controller/src/remote_write.rs
+++ b/crates/controller/src/remote_write.rs
@@ -158,7 +158,7 @@
         sender: &mpsc::Sender<BatchSent>,
     ) -> bool {
         let now = server.clock.now();
-        let waiting = self.wal.peek(millis(now), self.settings.batch);
+        let waiting = self.wal.peek(millis(now), self.settings.batch_size);
         self.count_losses(server);
         let (samples, version) = match self.client.next(now, waiting.len()) {
             NextStep::Send(samples, version) => (samples, version),
@@ -211,7 +211,12 @@
         let mut labels = vec![("instance".to_owned(), server.config.name.clone())];
         labels.extend(self.settings.labels.iter().cloned());
         let points = server.gather_metrics();
-        let samples = to_samples(&points, &labels, millis(now), millis(server.clock.began()));
+        let samples = to_samples(
+            &points,
+            &labels,
+            millis(now),
+            millis(server.clock.start_time()),
+        );
         for sample in &samples {
             let bytes = postcard::to_stdvec(sample).unwrap_or_default();
             self.wal.append(sample.timestamp_ms, &bytes);
@@ -283,10 +288,10 @@
         } else {
             Version::V1
         },
-        batch: settings.batch,
-        min_backoff: micros(settings.retry_least),
-        max_backoff: micros(settings.retry_most),
-        per_second: settings.per_second,
+        batch: settings.batch_size,
+        min_backoff: micros(settings.min_backoff),
+        max_backoff: micros(settings.max_backoff),
+        per_second: settings.max_requests_per_second,
     }
 }
 
--- a/crates/controller/src/server.rs
+++ b/crates/controller/src/server.rs
@@ -177,7 +177,7 @@
             }
         }
         self.maintain_journal();
-        self.timer.changed(self.core.borrow().next_wake());
+        self.timer.reschedule(self.core.borrow().next_wake());
         replies
     }
 
@@ -250,7 +250,7 @@
 pub(crate) async fn run_timer(server: Rc<Server>) {
     let next = || server.core.borrow().next_wake();
     let tick = |_| server.handle(Input::Tick);
-    server.timer.keep(&server.clock, next, tick).await;
+    server.timer.run(&server.clock, next, tick).await;
 }
 
 /// A number for this run: the time of the start. Incarnations only have to differ, so its upper bits are random, for
--- a/crates/controller/src/server/outputs.rs
+++ b/crates/controller/src/server/outputs.rs
@@ -44,7 +44,7 @@
             | Output::Probe(_) => {
                 self.send_output(&output);
             }
-            Output::Watch => self.list_wanted.notify_one(),
+            Output::WatchNodes => self.list_wanted.notify_one(),
             Output::Broadcast(message) => self.broadcast(message),
             Output::Log(line) => tracing::warn!(target: "peppercove::module", "{line}"),
         }
--- a/crates/controller/tests/api_server.rs
+++ b/crates/controller/tests/api_server.rs
@@ -103,7 +103,7 @@
 fn overlong_line_partial_line_and_flood_close_only_the_connections_that_sent_them() {
     on_loopback(async {
         let cluster = Cluster::start(|config| {
-            config.limits.client_idle = Duration::from_millis(50);
+            config.limits.client_idle_timeout = Duration::from_millis(50);
             config.limits.client_queue = 16;
         })
         .await;
--- a/crates/controller/tests/lifecycle.rs
+++ b/crates/controller/tests/lifecycle.rs
@@ -71,7 +71,10 @@
         assert!(response["error"].is_null(), "{response}");
         let response = client.call(4, "wait", json!({ "jobId": found })).await;
         assert_eq!(response["result"]["signal"], 15, "{response}");
-        let held: usize = nodes.iter().map(|node| node.read(NodeModel::held)).sum();
+        let held: usize = nodes
+            .iter()
+            .map(|node| node.read(NodeModel::active_tasks))
+            .sum();
         assert_eq!(held, 0);
     });
 }
@@ -87,7 +90,7 @@
         let mut client = Client::open(controller.address(), "s").await;
         client.run_job(1, "done", "fill", "life=10ms").await;
         client
-            .call(2, "wait", json!({ "jobId": controller.job_name(0) }))
+            .call(2, "wait", json!({ "jobId": controller.job_id(0) }))
             .await;
         client.run_job(3, "runs", "render", "life=1h").await;
         until(|| controller.status().running_tasks == 1).await;
--- a/crates/controller/tests/node_connections.rs
+++ b/crates/controller/tests/node_connections.rs
@@ -75,7 +75,7 @@
         // The handshakes under the wrong name cost the honest node its connection now and then, but not its use.
         let status = controller.status();
         assert!(status.counters.placed > 0, "{status:?}");
-        assert_eq!(misnamed.read(NodeModel::held), 0);
+        assert_eq!(misnamed.read(NodeModel::active_tasks), 0);
     });
 }
 
--- a/crates/controller/tests/remote_write.rs
+++ b/crates/controller/tests/remote_write.rs
@@ -45,10 +45,10 @@
         prefers_v2,
         interval: Duration::from_millis(60),
         timeout: Duration::from_millis(500),
-        batch: 64,
-        retry_least: Duration::from_millis(20),
-        retry_most: Duration::from_millis(100),
-        per_second: 1000.0,
+        batch_size: 64,
+        min_backoff: Duration::from_millis(20),
+        max_backoff: Duration::from_millis(100),
+        max_requests_per_second: 1000.0,
         wal_path: folder.to_owned(),
         wal_max_bytes: 1 << 20,
         wal_max_age: Duration::from_secs(600),
@@ -93,17 +93,17 @@
         until(|| requests(&controller, "no-answer") >= 2.0).await;
         receiver.change_faults(|faults| {
             faults.down = false;
-            faults.answers = Some((503, None));
+            faults.forced_response = Some((503, None));
         });
         until(|| requests(&controller, "503") >= 2.0).await;
-        receiver.change_faults(|faults| faults.answers = Some((429, Some(0))));
+        receiver.change_faults(|faults| faults.forced_response = Some((429, Some(0))));
         until(|| requests(&controller, "429") >= 1.0).await;
         receiver.change_faults(|faults| {
-            faults.answers = None;
-            faults.slow = Duration::from_millis(700);
+            faults.forced_response = None;
+            faults.response_time = Duration::from_millis(700);
         });
         until(|| requests(&controller, "no-answer") >= 4.0).await;
-        receiver.change_faults(|faults| faults.slow = Duration::ZERO);
+        receiver.change_faults(|faults| faults.response_time = Duration::ZERO);
         let made = samples(&controller, "made");
         until(|| samples(&controller, "pushed") >= made).await;
         let points = controller.gather_metrics();
@@ -172,8 +172,8 @@
         let setup = Setup::new().await;
         let receiver = &setup.receiver;
         receiver.change_faults(|faults| {
-            faults.only = Some(1);
-            faults.refuses = Some("peppercove_doubtful_tasks".into());
+            faults.supported_version = Some(1);
+            faults.rejected_series = Some("peppercove_doubtful_tasks".into());
         });
         let controller = setup.controller(true).await;
         until(|| {
--- a/crates/core/src/engine/admission.rs
+++ b/crates/core/src/engine/admission.rs
@@ -150,8 +150,9 @@
     fn have_all_nodes_reported(&self) -> bool {
         let mut nodes = self.nodes.iter().map(|(_, node)| node);
         self.nodes.generation > 0
-            && nodes
-                .all(|n| n.link == ConnectionState::Connected || n.line.state == NodeStatus::Gone)
+            && nodes.all(|n| {
+                n.connection == ConnectionState::Connected || n.entry.state == NodeStatus::Gone
+            })
     }
 
     fn rejection_by_limits(&self, submission: &Submission) -> Option<Rejection> {
--- a/crates/core/src/engine/adoption.rs
+++ b/crates/core/src/engine/adoption.rs
@@ -132,7 +132,7 @@
         } else if self.must_run_once(submission.class) && end.has_run() {
             let completion = match end {
                 TaskEnd::Exited { .. } => Completion::Ended(copy.attempt.node, end),
-                TaskEnd::Signalled { .. } | TaskEnd::GivenUp | TaskEnd::Lost => {
+                TaskEnd::Signalled { .. } | TaskEnd::Evicted | TaskEnd::Lost => {
                     Completion::MayHaveRun
                 }
             };
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -79,7 +79,7 @@
 
     /// The module wants a task dispatched to a node.
     pub(super) fn dispatch(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
-        let is_connected = self.nodes.is_up(node);
+        let is_connected = self.nodes.is_connected(node);
         let Some(entry) = self.requests.get_mut(request) else {
             self.counters.ignored_actions += 1;
             return;
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -17,7 +17,7 @@
         is_complete: bool,
         reported: Vec<ReportedTask>,
     ) {
-        if self.nodes.is_up(node) {
+        if self.nodes.is_connected(node) {
             // A second connection replaces the first: what was under way on that one is as lost as if it had broken.
             self.on_node_disconnected(node);
         }
@@ -50,7 +50,7 @@
         let Some(known_node) = self.nodes.get_mut(node) else {
             return false;
         };
-        known_node.link = ConnectionState::Connected;
+        known_node.connection = ConnectionState::Connected;
         known_node.reported_incarnation = Some(incarnation);
         // The list names the new incarnation seconds later; until then all controllers would overload a cold node.
         if let Some(entry) = known_node.on_restart(self.now, incarnation) {
@@ -89,8 +89,8 @@
         let Some(known_node) = self.nodes.get_mut(node) else {
             return;
         };
-        if known_node.link == ConnectionState::Connected {
-            known_node.link = ConnectionState::Disconnected(self.now);
+        if known_node.connection == ConnectionState::Connected {
+            known_node.connection = ConnectionState::Disconnected(self.now);
             let unreachable_at = self.now.saturating_add(self.limits.unreachable_timeout);
             self.timers
                 .schedule(unreachable_at, Timer::NodeUnreachable(node));
@@ -105,7 +105,7 @@
 
     /// The node was disconnected for the unreachable timeout, unless it has connected since.
     pub(super) fn on_node_unreachable(&mut self, node: NodeId) {
-        let connection = self.nodes.get(node).map(|n| n.link);
+        let connection = self.nodes.get(node).map(|n| n.connection);
         let Some(ConnectionState::Disconnected(since)) = connection else {
             return;
         };
--- a/crates/core/src/engine/job_control.rs
+++ b/crates/core/src/engine/job_control.rs
@@ -66,7 +66,7 @@
         control: Control,
     ) -> bool {
         let placed = self.placed_attempt_of(request);
-        let Some(attempt) = placed.filter(|attempt| self.nodes.is_up(attempt.node)) else {
+        let Some(attempt) = placed.filter(|attempt| self.nodes.is_connected(attempt.node)) else {
             return false;
         };
         self.outputs.push(Output::control_task(attempt, control));
--- a/crates/core/src/engine/module_actions.rs
+++ b/crates/core/src/engine/module_actions.rs
@@ -9,7 +9,7 @@
     /// Carries out one action of the module.
     pub(super) fn carry_out(&mut self, action: Action) {
         match action {
-            Action::WatchNodes => self.outputs.push(Output::Watch),
+            Action::WatchNodes => self.outputs.push(Output::WatchNodes),
             Action::Dispatch {
                 request,
                 node,
@@ -37,7 +37,7 @@
     /// Stops a placed task, to be placed anew once it is known to be stopped.
     fn migrate(&mut self, request: RequestId) {
         let placed = self.requests.placed_attempt(request);
-        match placed.filter(|attempt| self.nodes.is_up(attempt.node)) {
+        match placed.filter(|attempt| self.nodes.is_connected(attempt.node)) {
             Some(attempt) => {
                 self.migrating.insert(request);
                 self.outputs
@@ -48,7 +48,7 @@
     }
 
     fn probe(&mut self, node: NodeId) {
-        if self.nodes.is_up(node) {
+        if self.nodes.is_connected(node) {
             self.outputs.push(Output::Probe(node));
         } else {
             self.report_probe(node, false, None);
--- a/crates/core/src/engine/node_list.rs
+++ b/crates/core/src/engine/node_list.rs
@@ -23,7 +23,7 @@
             self.release_orphans_of_unknown_nodes();
         }
         for node in changes.removed {
-            if self.nodes.is_up(node) {
+            if self.nodes.is_connected(node) {
                 self.forget_node(node);
             } else {
                 self.lose_placed_tasks(node);
--- a/crates/core/src/engine/orphans.rs
+++ b/crates/core/src/engine/orphans.rs
@@ -57,8 +57,8 @@
                 self.end_copy(copy, Completion::Ended(copy.attempt.node, end))
             }
             // Its node says that it gave it up before its end, and why.
-            TaskEnd::GivenUp if is_stopped_by_node(reason) => self.close_copy(copy),
-            TaskEnd::Signalled { .. } | TaskEnd::GivenUp | TaskEnd::Lost => {
+            TaskEnd::Evicted if is_stopped_by_node(reason) => self.close_copy(copy),
+            TaskEnd::Signalled { .. } | TaskEnd::Evicted | TaskEnd::Lost => {
                 self.end_copy(copy, Completion::MayHaveRun);
             }
         }
@@ -83,7 +83,7 @@
             }
         }
         for copy in due.query {
-            if self.nodes.is_up(copy.attempt.node) {
+            if self.nodes.is_connected(copy.attempt.node) {
                 // The node answers with what it knows of the attempt, or rejects it for ever.
                 self.outputs.push(Output::cancel_attempt(copy.attempt));
             }
--- a/crates/core/src/engine/output.rs
+++ b/crates/core/src/engine/output.rs
@@ -131,7 +131,7 @@
     /// Write these to the journal before anything that follows is sent.
     Journal(Vec<JournalEntry>),
     /// Subscribe to the node list.
-    Watch,
+    WatchNodes,
     /// Probe a node for its load.
     Probe(NodeId),
     /// Send all other controllers a message.
--- a/crates/core/src/engine/placed_tasks.rs
+++ b/crates/core/src/engine/placed_tasks.rs
@@ -51,7 +51,7 @@
                 self.close_copy(self.own_copy(attempt));
                 let attempt = AttemptEnd::new(AttemptOutcome::Lost, reason, load);
                 PlacedEnd {
-                    task: TaskEnd::GivenUp,
+                    task: TaskEnd::Evicted,
                     attempt,
                 }
             }
@@ -131,6 +131,6 @@
     match end {
         TaskEnd::Exited { .. } => AttemptOutcome::Completed,
         TaskEnd::Signalled { .. } => AttemptOutcome::Cancelled,
-        TaskEnd::GivenUp | TaskEnd::Lost => AttemptOutcome::Lost,
+        TaskEnd::Evicted | TaskEnd::Lost => AttemptOutcome::Lost,
     }
 }
--- a/crates/core/src/engine/unexpected_updates.rs
+++ b/crates/core/src/engine/unexpected_updates.rs
@@ -106,7 +106,7 @@
             Finding::Ended(end @ TaskEnd::Exited { .. }) => {
                 self.answer_completed(job, found.node, end)
             }
-            Finding::Ended(TaskEnd::Signalled { .. } | TaskEnd::GivenUp | TaskEnd::Lost) => {
+            Finding::Ended(TaskEnd::Signalled { .. } | TaskEnd::Evicted | TaskEnd::Lost) => {
                 self.answer_job(job, Answer::Failed);
             }
             Finding::Nothing => {}
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -51,7 +51,8 @@
         memory: f64,
     },
     /// Evicted, preempted or drained by its node.
-    GivenUp,
+    #[serde(rename = "GivenUp")]
+    Evicted,
     /// Its node failed or was removed.
     Lost,
 }
@@ -61,7 +62,7 @@
     pub fn has_run(self) -> bool {
         match self {
             TaskEnd::Exited { .. } | TaskEnd::Signalled { .. } => true,
-            TaskEnd::GivenUp | TaskEnd::Lost => false,
+            TaskEnd::Evicted | TaskEnd::Lost => false,
         }
     }
 }
--- a/crates/core/src/nodes.rs
+++ b/crates/core/src/nodes.rs
@@ -60,13 +60,13 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     /// The entry that the decision module was last given.
-    pub line: NodeEntry,
+    pub entry: NodeEntry,
     /// Its address.
     pub address: SocketAddrV4,
     /// The name that it must give in the handshake.
     pub name: String,
     /// The connection to it.
-    pub link: ConnectionState,
+    pub connection: ConnectionState,
     /// Its present incarnation, as the list or the node itself reported it.
     start: NodeStart,
     /// Incarnation that the node itself reported last.
@@ -84,16 +84,16 @@
             incarnation,
             started_at: now,
         };
-        self.line.started_at = now;
-        self.line.incarnation = incarnation;
-        self.line.free_cores = None;
-        self.line.free_memory = None;
-        Some(self.line.clone())
+        self.entry.started_at = now;
+        self.entry.incarnation = incarnation;
+        self.entry.free_cores = None;
+        self.entry.free_memory = None;
+        Some(self.entry.clone())
     }
 
     /// The list names it no more.
     fn is_removed(&self) -> bool {
-        self.line.state == NodeStatus::Gone
+        self.entry.state == NodeStatus::Gone
     }
 }
 
@@ -131,10 +131,10 @@
     }
 
     /// The node can be sent to now.
-    pub fn is_up(&self, id: NodeId) -> bool {
+    pub fn is_connected(&self, id: NodeId) -> bool {
         self.nodes
             .get(&id)
-            .is_some_and(|n| n.link == ConnectionState::Connected)
+            .is_some_and(|n| n.connection == ConnectionState::Connected)
     }
 
     /// The node is known, and the list names it no more.
@@ -178,7 +178,7 @@
         let listed: BTreeSet<NodeId> = listed.iter().map(|node| node_id_of(node.address)).collect();
         for (id, node) in self.nodes.iter_mut().filter(|(id, _)| !listed.contains(id)) {
             if !node.is_removed() {
-                node.line.state = NodeStatus::Gone;
+                node.entry.state = NodeStatus::Gone;
                 changes.removed.push(*id);
             }
         }
@@ -202,10 +202,10 @@
         let entry = entry_of(id, listed, start);
         if listed.state != NodeStatus::Gone || known.is_some() {
             let node = Node {
-                line: entry.clone(),
+                entry: entry.clone(),
                 address: listed.address,
                 name: listed.name.clone(),
-                link: known.map_or(ConnectionState::Disconnected(now), |n| n.link),
+                connection: known.map_or(ConnectionState::Disconnected(now), |n| n.connection),
                 start,
                 reported_incarnation: known.and_then(|n| n.reported_incarnation),
             };
--- a/crates/core/tests/core/properties.rs
+++ b/crates/core/tests/core/properties.rs
@@ -69,7 +69,7 @@
                     4 => AttemptUpdate::Rejected(EndReason::QueueFull),
                     5 => AttemptUpdate::Error,
                     6 => exited(),
-                    _ => AttemptUpdate::Ended(TaskEnd::GivenUp, EndReason::Evicted),
+                    _ => AttemptUpdate::Ended(TaskEnd::Evicted, EndReason::Evicted),
                 };
                 updated(n, request.into(), 0, update)
             }
@@ -214,7 +214,7 @@
                 && let Some(task) = dispatched.get(&(*request, *node))
             {
                 match update {
-                    AttemptUpdate::Rejected(_) | AttemptUpdate::Ended(TaskEnd::GivenUp, _) => may_run.insert(*task, false),
+                    AttemptUpdate::Rejected(_) | AttemptUpdate::Ended(TaskEnd::Evicted, _) => may_run.insert(*task, false),
                     _ => None,
                 };
             }
--- a/crates/exchange/src/core_limits.rs
+++ b/crates/exchange/src/core_limits.rs
@@ -21,7 +21,7 @@
         ambiguous_retry_delay: scheduler.ambiguous_retry_delay,
         outcome_retention: micros(limits.outcome_retention),
         max_ambiguous_tasks: limits.ambiguous_tasks,
-        unreachable_timeout: micros(limits.lost_after),
+        unreachable_timeout: micros(limits.unreachable_timeout),
         has_journal: config.journal_path.is_some(),
     }
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -15,5 +15,5 @@
 pub use handshake::{Handshake, HandshakeError, HandshakeProgress};
 pub use node_list::node_list_input;
 pub use node_messages::{DecodedMessage, decode_message, encode_output, request_id_of};
-pub use offered_task::{submission_of, work_of};
+pub use offered_task::{offered_task_of, submission_of};
 pub use peppercove_core::Backoff;
--- a/crates/exchange/src/node_messages.rs
+++ b/crates/exchange/src/node_messages.rs
@@ -1,6 +1,6 @@
 //! Frames of nodes to inputs, outputs to frames of nodes.
 
-use crate::offered_task::work_of;
+use crate::offered_task::offered_task_of;
 use peppercove::{EndReason, LoadReport, NodeId, RequestId, TaskUpdate};
 use peppercove_config::Config;
 use peppercove_core::{AttemptUpdate, Control, Input, Job, JobId, Output, TaskEnd};
@@ -27,7 +27,7 @@
             expires_in,
             job: id,
         } => {
-            let task = work_of(config, &job(id)?.submission);
+            let task = offered_task_of(config, &job(id)?.submission);
             (
                 node,
                 ToNode::Offer {
@@ -103,7 +103,7 @@
         | Output::Connect { .. }
         | Output::Disconnect(_)
         | Output::Journal(_)
-        | Output::Watch
+        | Output::WatchNodes
         | Output::Broadcast(_)
         | Output::Log(_) => return None,
     })
@@ -260,7 +260,7 @@
             )
         }
         TaskExit::Error => return None,
-        TaskExit::Evicted(reason) => (TaskEnd::GivenUp, end_reason(reason)),
+        TaskExit::Evicted(reason) => (TaskEnd::Evicted, end_reason(reason)),
     })
 }
 
--- a/crates/exchange/src/offered_task.rs
+++ b/crates/exchange/src/offered_task.rs
@@ -9,7 +9,7 @@
 const KEY_SEPARATOR: char = '\n';
 
 /// The task of a submission as nodes know it.
-pub fn work_of(config: &Config, submission: &Submission) -> OfferedTask {
+pub fn offered_task_of(config: &Config, submission: &Submission) -> OfferedTask {
     let class = config.scheduler.classes.get(usize::from(submission.class));
     let program = &submission.program;
     OfferedTask {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -18,5 +18,5 @@
 mod topology;
 
 pub use node_subset::{NodeSubset, SubsetScheduler, TARGET_SUBSET_SIZE, TableSizes};
-pub use replica_slots::{COLD_START_SLOTS, cold_start_share, slot_owner};
+pub use replica_slots::{SLOW_START_SLOTS, slot_owner, slow_start_share};
 pub use topology::MIN_NODES_PER_ZONE_AND_KIND;
--- a/crates/fleet/src/node_subset/visibility.rs
+++ b/crates/fleet/src/node_subset/visibility.rs
@@ -2,7 +2,7 @@
 
 use super::NodeSubset;
 use super::fleet_node::{FleetNode, RackId, gone_entry};
-use crate::replica_slots::{cold_start_share, slot_owner};
+use crate::replica_slots::{slot_owner, slow_start_share};
 use crate::topology::{ALL_SLOTS, NodePool};
 use peppercove::{Event, ListUpdateKind, NodeEntry, NodeId};
 use peppercove_core::Decide;
@@ -72,7 +72,7 @@
         let (own_index, schedulers) = (self.settings.own_index, self.settings.schedulers);
         let budget = self.settings.slow_start_budget.max(0.0) as u64;
         self.is_bounded
-            .then(|| cold_start_share(node, own_index, schedulers, budget))
+            .then(|| slow_start_share(node, own_index, schedulers, budget))
     }
 
     /// Whether other schedulers may not know yet that subsets have become bounded, or have ceased to be.
--- a/crates/fleet/src/replica_slots.rs
+++ b/crates/fleet/src/replica_slots.rs
@@ -10,7 +10,7 @@
 ///
 /// With eight owners drawn at random and a third of the schedulers dead at once, two nodes of 13,000 have no living
 /// owner.
-pub const COLD_START_SLOTS: u32 = 8;
+pub const SLOW_START_SLOTS: u32 = 8;
 
 /// Multiplier of the linear congruential generator in Lamping and Veach (2014).
 const JUMP_HASH_MULTIPLIER: u64 = 2_862_933_555_777_941_757;
@@ -43,13 +43,13 @@
 /// slots that the scheduler with index `own_index` owns.
 ///
 /// Over all schedulers the shares sum to `budget`, whatever their subsets are.
-pub fn cold_start_share(node: NodeId, own_index: u32, schedulers: u32, budget: u64) -> u32 {
-    let slots = u64::from(COLD_START_SLOTS);
+pub fn slow_start_share(node: NodeId, own_index: u32, schedulers: u32, budget: u64) -> u32 {
+    let slots = u64::from(SLOW_START_SLOTS);
     let share_of_slot = |slot: u32| {
         let takes_remainder = u64::from(slot) < budget % slots;
         budget / slots + u64::from(takes_remainder)
     };
     let own_slots =
-        (0..COLD_START_SLOTS).filter(|slot| slot_owner(node, *slot, schedulers) == own_index);
+        (0..SLOW_START_SLOTS).filter(|slot| slot_owner(node, *slot, schedulers) == own_index);
     u32::try_from(own_slots.map(share_of_slot).sum::<u64>()).unwrap_or(u32::MAX)
 }
--- a/crates/fleet/src/topology.rs
+++ b/crates/fleet/src/topology.rs
@@ -1,6 +1,6 @@
 //! Node pools: ready nodes counted by zone and kind, and how many replica slots count in each pool.
 
-use crate::replica_slots::COLD_START_SLOTS;
+use crate::replica_slots::SLOW_START_SLOTS;
 use peppercove::{NodeEntry, NodeStatus};
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 fn slot_count_for(share: f64, schedulers: u32) -> u32 {
     // Natural logarithm of the probability that one slot is not owned by a given scheduler.
     let ln_missed = (1.0 - 1.0 / f64::from(schedulers.max(1))).ln();
-    let minimum = f64::from(COLD_START_SLOTS);
+    let minimum = f64::from(SLOW_START_SLOTS);
     let slots = if share < WHOLE_POOL_SHARE {
         ((1.0 - share).ln() / ln_missed).ceil().max(minimum)
     } else {
--- a/crates/fleet/tests/replica_slots.rs
+++ b/crates/fleet/tests/replica_slots.rs
@@ -5,7 +5,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::{COLD_START_SLOTS, cold_start_share, slot_owner};
+use peppercove_fleet::{SLOW_START_SLOTS, slot_owner, slow_start_share};
 use std::collections::BTreeSet;
 
 #[test]
@@ -14,7 +14,7 @@
         for node in (0..200).map(|m| NodeId(m * 7_919)) {
             for budget in [0, 1, 7, 8, 28, 1_001] {
                 let shares =
-                    (0..schedulers).map(|own| cold_start_share(node, own, schedulers, budget));
+                    (0..schedulers).map(|own| slow_start_share(node, own, schedulers, budget));
                 assert_eq!(
                     shares.map(u64::from).sum::<u64>(),
                     budget,
@@ -30,7 +30,7 @@
     for schedulers in [1, 8, 24, 99] {
         let mut taken = 0;
         for (node, slot) in
-            (0..2_000).flat_map(|m| (0..COLD_START_SLOTS).map(move |s| (NodeId(m), s)))
+            (0..2_000).flat_map(|m| (0..SLOW_START_SLOTS).map(move |s| (NodeId(m), s)))
         {
             let (before, after) = (
                 slot_owner(node, slot, schedulers),
@@ -42,7 +42,7 @@
             );
             taken += u32::from(after != before);
         }
-        let fair = f64::from(2_000 * COLD_START_SLOTS) / f64::from(schedulers + 1);
+        let fair = f64::from(2_000 * SLOW_START_SLOTS) / f64::from(schedulers + 1);
         assert!(
             (f64::from(taken) / fair - 1.0).abs() < 0.15,
             "{taken} of {fair} at {schedulers}"
@@ -144,7 +144,7 @@
     let nodes = 13_000;
     for dead in [0..8, 8..16, 16..24] {
         let alone = |m: &u64| {
-            (0..COLD_START_SLOTS).all(|slot| dead.contains(&slot_owner(NodeId(*m), slot, 24)))
+            (0..SLOW_START_SLOTS).all(|slot| dead.contains(&slot_owner(NodeId(*m), slot, 24)))
         };
         let lost = (0..nodes).filter(alone).count();
         println!("{lost} of {nodes} nodes in no subset of a living scheduler");
--- a/crates/fleet/tests/slow_start.rs
+++ b/crates/fleet/tests/slow_start.rs
@@ -5,7 +5,7 @@
 use common::*;
 use peppercove::*;
 use peppercove_core::Decide;
-use peppercove_fleet::{NodeSubset, cold_start_share};
+use peppercove_fleet::{NodeSubset, slow_start_share};
 use std::collections::VecDeque;
 
 const SCHEDULERS: u32 = 24;
@@ -149,7 +149,7 @@
     for (budget, most) in [(8_u64, 0), (28, 2), (100, 500)] {
         let over = |node: &NodeId| {
             let all =
-                budget + u64::from(cold_start_share(*node, SCHEDULERS, SCHEDULERS + 1, budget));
+                budget + u64::from(slow_start_share(*node, SCHEDULERS, SCHEDULERS + 1, budget));
             all as f64 > budget as f64 + 2.0 * (budget as f64).sqrt() + 2.0
         };
         let over = (0..13_000).map(NodeId).filter(over).count();
--- a/crates/kernel/src/scenario/elements.rs
+++ b/crates/kernel/src/scenario/elements.rs
@@ -13,7 +13,7 @@
         name,
         kind,
         default,
-        about,
+        description: about,
     }
 }
 
@@ -23,25 +23,25 @@
 /// A scenario file.
 pub static SCENARIO_ELEMENT: Element = Element {
     name: "day",
-    often: Occurrence::Once,
-    about: "A scripted day on loopback sockets.",
+    occurrence: Occurrence::Once,
+    description: "A scripted day on loopback sockets.",
     attributes: &[
         attribute("name", ValueKind::Name, None, "Its name."),
         attribute(
             "length",
-            ValueKind::Span,
+            ValueKind::Duration,
             None,
             "How long jobs are submitted.",
         ),
         attribute(
             "after",
-            ValueKind::Span,
+            ValueKind::Duration,
             Some("10s"),
             "How long the day goes on at most until all is answered.",
         ),
         attribute(
             "seed",
-            ValueKind::Count(0, u64::MAX),
+            ValueKind::Integer(0, u64::MAX),
             Some("1"),
             "Seed of all that is drawn.",
         ),
@@ -55,24 +55,24 @@
     children: &[
         Element {
             name: "fleet",
-            often: Occurrence::Once,
-            about: "Controllers, nodes and the node list.",
+            occurrence: Occurrence::Once,
+            description: "Controllers, nodes and the node list.",
             attributes: &[
                 attribute(
                     "controllers",
-                    ValueKind::Count(1, 1000),
+                    ValueKind::Integer(1, 1000),
                     Some("2"),
                     "Controllers.",
                 ),
                 attribute(
                     "list-late",
-                    ValueKind::Span,
+                    ValueKind::Duration,
                     Some("300ms"),
                     "How late the list tells changes.",
                 ),
                 attribute(
                     "list-refresh",
-                    ValueKind::Span,
+                    ValueKind::Duration,
                     Some("500ms"),
                     "How often it looks at free room.",
                 ),
@@ -109,10 +109,10 @@
             ],
             children: &[Element {
                 name: "nodes",
-                often: Occurrence::Some,
-                about: "Nodes of one kind.",
+                occurrence: Occurrence::Some,
+                description: "Nodes of one kind.",
                 attributes: &[
-                    attribute("count", ValueKind::Count(1, 10_000), None, "How many."),
+                    attribute("count", ValueKind::Integer(1, 10_000), None, "How many."),
                     attribute(
                         "kind",
                         ValueKind::Name,
@@ -121,37 +121,37 @@
                     ),
                     attribute(
                         "racks",
-                        ValueKind::Count(1, 10_000),
+                        ValueKind::Integer(1, 10_000),
                         Some("2"),
                         "Over so many racks, in turn.",
                     ),
                     attribute(
                         "first-rack",
-                        ValueKind::Count(0, 60_000),
+                        ValueKind::Integer(0, 60_000),
                         Some("0"),
                         "Number of the first.",
                     ),
                     attribute(
                         "admit",
-                        ValueKind::Span,
+                        ValueKind::Duration,
                         Some("3ms"),
                         "Time to look at one offer.",
                     ),
                     attribute(
                         "line",
-                        ValueKind::Count(1, 10_000),
+                        ValueKind::Integer(1, 10_000),
                         Some("16"),
                         "Offers that may wait.",
                     ),
                     attribute(
                         "starts",
-                        ValueKind::Count(1, 1000),
+                        ValueKind::Integer(1, 1000),
                         Some("4"),
                         "Tasks started at a time.",
                     ),
                     attribute(
                         "start",
-                        ValueKind::Span,
+                        ValueKind::Duration,
                         Some("30ms"),
                         "Time of a start where the program is kept.",
                     ),
@@ -163,7 +163,7 @@
                     ),
                     attribute(
                         "kept",
-                        ValueKind::Count(0, 1000),
+                        ValueKind::Integer(0, 1000),
                         Some("8"),
                         "Programs kept.",
                     ),
@@ -173,16 +173,21 @@
                         Some("0.16"),
                         "Share of the pace just after a start.",
                     ),
-                    attribute("cold-for", ValueKind::Span, Some("8s"), "Warm after this."),
+                    attribute(
+                        "cold-for",
+                        ValueKind::Duration,
+                        Some("8s"),
+                        "Warm after this.",
+                    ),
                     attribute(
                         "report-every",
-                        ValueKind::Span,
+                        ValueKind::Duration,
                         Some("200ms"),
                         "How often load is measured.",
                     ),
                     attribute(
                         "report-late",
-                        ValueKind::Span,
+                        ValueKind::Duration,
                         Some("100ms"),
                         "How late it is told.",
                     ),
@@ -210,8 +215,8 @@
         },
         Element {
             name: "load",
-            often: Occurrence::Any,
-            about: "Jobs of one class, submitted at random times.",
+            occurrence: Occurrence::Any,
+            description: "Jobs of one class, submitted at random times.",
             attributes: &[
                 attribute("class", ValueKind::Name, None, "Their class."),
                 attribute(
@@ -222,13 +227,13 @@
                 ),
                 attribute(
                     "life",
-                    ValueKind::Span,
+                    ValueKind::Duration,
                     Some("2s"),
                     "How long one runs, in the mean.",
                 ),
                 attribute(
                     "services",
-                    ValueKind::Count(1, 100_000),
+                    ValueKind::Integer(1, 100_000),
                     Some("4"),
                     "Over so many services.",
                 ),
@@ -245,18 +250,18 @@
         },
         Element {
             name: "job",
-            often: Occurrence::Any,
-            about: "One job at a stated time, as a recording has it.",
+            occurrence: Occurrence::Any,
+            description: "One job at a stated time, as a recording has it.",
             attributes: &[
-                attribute("at", ValueKind::Span, None, "When."),
+                attribute("at", ValueKind::Duration, None, "When."),
                 attribute("class", ValueKind::Name, None, "Its class."),
                 attribute("service", ValueKind::Name, None, "Its service."),
-                attribute("life", ValueKind::Span, Some("2s"), "How long it runs."),
+                attribute("life", ValueKind::Duration, Some("2s"), "How long it runs."),
                 attribute("cores", POSITIVE, Some(""), "Cores."),
                 attribute("memory", POSITIVE, Some(""), "Memory."),
                 attribute(
                     "controller",
-                    ValueKind::Count(0, 1000),
+                    ValueKind::Integer(0, 1000),
                     Some("0"),
                     "Which controller it goes to.",
                 ),
@@ -265,12 +270,12 @@
         },
         Element {
             name: "fault",
-            often: Occurrence::Any,
-            about: "Something that goes wrong.",
+            occurrence: Occurrence::Any,
+            description: "Something that goes wrong.",
             attributes: &[
                 attribute("kind", ValueKind::Choice(&FaultKind::NAMES), None, "What."),
-                attribute("at", ValueKind::Span, None, "When it begins."),
-                attribute("for", ValueKind::Span, Some("2s"), "How long it lasts."),
+                attribute("at", ValueKind::Duration, None, "When it begins."),
+                attribute("for", ValueKind::Duration, Some("2s"), "How long it lasts."),
                 attribute(
                     "share",
                     SHARE,
@@ -285,13 +290,13 @@
                 ),
                 attribute(
                     "rack",
-                    ValueKind::Count(0, 60_000),
+                    ValueKind::Integer(0, 60_000),
                     Some(""),
                     "Or the nodes of this rack.",
                 ),
                 attribute(
                     "controller",
-                    ValueKind::Count(0, 1000),
+                    ValueKind::Integer(0, 1000),
                     Some(""),
                     "Or this controller.",
                 ),
--- a/crates/kernel/src/scenario/parse.rs
+++ b/crates/kernel/src/scenario/parse.rs
@@ -33,7 +33,7 @@
 
 /// Reads the settings of the controllers, as text and parsed.
 fn read_settings(root: &Document, folder: &Path) -> Result<(String, Config), ScenarioError> {
-    let (path, text) = match root.text("settings") {
+    let (path, text) = match root.optional_string("settings") {
         None => ("embedded default".into(), embedded_default().to_owned()),
         Some(file) => {
             let path = folder.join(file);
@@ -59,7 +59,7 @@
     fn read(mut self, root: &Document, settings_xml: String) -> Result<Scenario, ConfigError> {
         let fleet = root.child("fleet");
         apply_overrides(fleet, &mut self.config.scheduler);
-        let controllers = fleet.count("controllers") as usize;
+        let controllers = fleet.integer("controllers") as usize;
         let nodes = self.read_nodes(fleet);
         let workloads = root.children("load").iter();
         let workloads = workloads.map(|load| self.read_workload(load)).collect();
@@ -74,17 +74,17 @@
             return Err(ConfigError { problems });
         }
         Ok(Scenario {
-            name: root.word("name").into(),
-            duration: root.span("length"),
-            max_wind_down: root.span("after"),
-            seed: root.count("seed"),
+            name: root.string("name").into(),
+            duration: root.duration("length"),
+            max_wind_down: root.duration("after"),
+            seed: root.integer("seed"),
             settings_xml,
             config: self.config,
             controllers,
-            journal: fleet.text("journal") == Some("true"),
+            journal: fleet.optional_string("journal") == Some("true"),
             client_failover_share: fleet.number("owners-move"),
-            list_delay: fleet.span("list-late"),
-            list_refresh_interval: fleet.span("list-refresh"),
+            list_delay: fleet.duration("list-late"),
+            list_refresh_interval: fleet.duration("list-refresh"),
             nodes,
             workloads,
             jobs,
@@ -94,7 +94,7 @@
 
     /// Name and index of the class of an element; index 0 where it has none.
     fn read_class(&mut self, element: &Document) -> (String, u16) {
-        let name = element.word("class").to_owned();
+        let name = element.string("class").to_owned();
         let index = self.config.classes.iter().position(|class| *class == name);
         if index.is_none() && !name.is_empty() {
             let problem = format!("class=\"{name}\" is no class of the settings");
@@ -106,14 +106,14 @@
     fn read_nodes(&mut self, fleet: &Document) -> Vec<NodeSpec> {
         let mut nodes = Vec::new();
         for group in fleet.children("nodes") {
-            let name = group.word("kind");
+            let name = group.string("kind");
             let kind = self.config.node_kinds.iter().position(|kind| kind == name);
             let Some(kind) = kind else {
                 let problem = format!("kind=\"{name}\" is no kind of the settings");
                 self.problems.push(group.problem(problem));
                 continue;
             };
-            for index_in_group in 0..group.count("count") {
+            for index_in_group in 0..group.integer("count") {
                 let settings = &self.config.scheduler;
                 nodes.push(read_node(
                     group,
@@ -131,24 +131,24 @@
         Workload {
             class: self.read_class(load).0,
             rate: load.number("rate"),
-            mean_run_time: load.span("life"),
-            services: load.count("services"),
+            mean_run_time: load.duration("life"),
+            services: load.integer("services"),
             cores: optional_number(load, "cores"),
             memory: optional_number(load, "memory"),
-            tenant: load.text("tenant").map(str::to_owned),
+            tenant: load.optional_string("tenant").map(str::to_owned),
         }
     }
 
     fn read_job(&mut self, job: &Document, controllers: usize) -> JobArrival {
         JobArrival {
-            at: job.span("at"),
+            at: job.duration("at"),
             class: self.read_class(job).0,
-            service: job.word("service").into(),
-            run_time: job.span("life"),
+            service: job.string("service").into(),
+            run_time: job.duration("life"),
             cores: optional_number(job, "cores"),
             memory: optional_number(job, "memory"),
             tenant: None,
-            controller: job.count("controller") as usize % controllers,
+            controller: job.integer("controller") as usize % controllers,
         }
     }
 
@@ -160,18 +160,18 @@
     ) -> Option<Fault> {
         let target = self.read_target(fault, nodes, controllers);
         let class = self.read_class(fault).1;
-        let Some(kind) = FaultKind::from_name(fault.word("kind")) else {
+        let Some(kind) = FaultKind::from_name(fault.string("kind")) else {
             self.problems.push(fault.problem("kind is missing"));
             return None;
         };
-        if kind.needs_class() && fault.text("class").is_none() {
+        if kind.needs_class() && fault.optional_string("class").is_none() {
             let problem = "class is missing: the one that fails";
             self.problems.push(fault.problem(problem));
         }
         Some(Fault {
             kind,
-            at: fault.span("at"),
-            duration: fault.span("for"),
+            at: fault.duration("at"),
+            duration: fault.duration("for"),
             target,
             class,
             magnitude: fault.number("size"),
@@ -184,16 +184,16 @@
         nodes: &[NodeSpec],
         controllers: usize,
     ) -> FaultTarget {
-        if let Some(name) = fault.text("node") {
+        if let Some(name) = fault.optional_string("node") {
             if !nodes.iter().any(|node| node.name == name) {
                 let problem = format!("there is no node '{name}'");
                 self.problems.push(fault.problem(problem));
             }
             FaultTarget::Node(name.into())
-        } else if fault.text("rack").is_some() {
-            FaultTarget::Rack(fault.count("rack") as u16)
-        } else if fault.text("controller").is_some() {
-            FaultTarget::Controller(fault.count("controller") as usize % controllers)
+        } else if fault.optional_string("rack").is_some() {
+            FaultTarget::Rack(fault.integer("rack") as u16)
+        } else if fault.optional_string("controller").is_some() {
+            FaultTarget::Controller(fault.integer("controller") as usize % controllers)
         } else {
             FaultTarget::Share(fault.number("share"))
         }
@@ -202,21 +202,21 @@
 
 /// Settings of the controllers that the scenario replaces.
 fn apply_overrides(fleet: &Document, settings: &mut Settings) {
-    match fleet.text("confirms") {
+    match fleet.optional_string("confirms") {
         Some("accepted") => settings.placement_ack = PlacementAck::Accepted,
         Some(_) => settings.placement_ack = PlacementAck::Running,
         None => {}
     }
-    if let Some(flag) = fleet.text("preempts") {
+    if let Some(flag) = fleet.optional_string("preempts") {
         settings.allows_preemption = flag == "true";
     }
-    if let Some(flag) = fleet.text("probes") {
+    if let Some(flag) = fleet.optional_string("probes") {
         settings.can_probe = flag == "true";
     }
 }
 
 fn optional_number(element: &Document, name: &str) -> Option<f64> {
-    element.text(name)?.parse().ok()
+    element.optional_string(name)?.parse().ok()
 }
 
 /// One node of a group.
@@ -227,7 +227,7 @@
     number: usize,
     index_in_group: u64,
 ) -> NodeSpec {
-    let rack = group.count("first-rack") + index_in_group % group.count("racks");
+    let rack = group.integer("first-rack") + index_in_group % group.integer("racks");
     NodeSpec {
         name: format!("n{number}"),
         kind: kind as u8,
@@ -239,11 +239,11 @@
         memory_overcommit: settings.memory_overcommit,
         preempts: settings.allows_preemption,
         admission_time: group.micros("admit"),
-        admission_queue_limit: group.count("line") as usize,
-        concurrent_starts: group.count("starts") as usize,
+        admission_queue_limit: group.integer("line") as usize,
+        concurrent_starts: group.integer("starts") as usize,
         cached_start_time: group.micros("start"),
         uncached_start_factor: group.number("setup"),
-        program_cache_limit: group.count("kept") as usize,
+        program_cache_limit: group.integer("kept") as usize,
         slow_start_pace: group.number("cold-from"),
         slow_start_window: group.micros("cold-for"),
         overload_factor: settings.overload_multiple,
@@ -256,7 +256,7 @@
             min: group.number("uses-least"),
             max: group.number("uses-most"),
         },
-        eviction: match group.word("drain") {
+        eviction: match group.string("drain") {
             "none" => EvictionPolicy::None,
             "paced" => EvictionPolicy::Paced(PACED_EVICTION_INTERVAL),
             _ => EvictionPolicy::AtOnce,
--- a/crates/kernel/src/simulator/connections.rs
+++ b/crates/kernel/src/simulator/connections.rs
@@ -137,7 +137,7 @@
         let link = NodeLink {
             address,
             name,
-            backoff: Backoff::new(network.retry_least, network.retry_most),
+            backoff: Backoff::new(network.min_backoff, network.max_backoff),
             connection: None,
             is_up: false,
             attempt: 0,
--- a/crates/kernel/src/simulator/controllers.rs
+++ b/crates/kernel/src/simulator/controllers.rs
@@ -91,7 +91,7 @@
             links: BTreeMap::new(),
             timer: None,
             subscription: Subscription::default(),
-            list_backoff: Backoff::new(config.network.retry_least, config.network.retry_most),
+            list_backoff: Backoff::new(config.network.min_backoff, config.network.max_backoff),
         });
         incarnation
     }
@@ -243,7 +243,7 @@
             } => self.connect(process, node, address, name),
             Output::Disconnect(node) => self.disconnect(controller, node),
             Output::Journal(entries) => self.controllers[controller].journal.extend(entries),
-            Output::Watch => {
+            Output::WatchNodes => {
                 let delay = self.rng.u64(20..100);
                 self.schedule_after(delay, SimEvent::RequestList { process });
             }
--- a/crates/kernel/src/simulator/faults.rs
+++ b/crates/kernel/src/simulator/faults.rs
@@ -159,7 +159,7 @@
 
     fn kill_node(&mut self, node: usize) {
         let now = self.now();
-        if self.nodes[node].model.held() > 0 {
+        if self.nodes[node].model.active_tasks() > 0 {
             self.record_hazard("a node dies or restarts with tasks on it");
         }
         let is_kill_close = |fault: &Fault| {
--- a/crates/kernel/tests/scenarios.rs
+++ b/crates/kernel/tests/scenarios.rs
@@ -97,8 +97,8 @@
         );
     }
     assert!(
-        sum.pairs.len() > 100,
+        sum.fault_pairs.len() > 100,
         "{} pairs of faults overlapped",
-        sum.pairs.len()
+        sum.fault_pairs.len()
     );
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -84,11 +84,11 @@
     /// Where the journal service listens.
     pub journal: SocketAddr,
     /// The journal service's events up to the start.
-    pub known: InitialEndpoints,
+    pub initial_endpoints: InitialEndpoints,
     /// The decision module's settings.
     pub settings: Settings,
     /// The names and record layouts that belong to the settings.
-    pub shape: RecordSchema,
+    pub schema: RecordSchema,
 }
 
 /// Fewest descriptors with which a controller can serve: its listener, the journal service, logs, a few connections.
@@ -129,15 +129,15 @@
             seed,
             limits: file.limits,
             journal: file.journal,
-            known: file.known,
+            initial_endpoints: file.known,
             settings,
-            shape,
+            schema: shape,
         })
     }
 
     /// How long a connection may take to be established.
     pub fn dial_timeout(&self) -> Micros {
-        dial_timeout(&self.shape)
+        dial_timeout(&self.schema)
     }
 }
 
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -31,7 +31,7 @@
     }
 
     /// The time at which the clock was started.
-    pub fn began(&self) -> Micros {
+    pub fn start_time(&self) -> Micros {
         self.start_time
     }
 
--- a/crates/runtime/src/timer.rs
+++ b/crates/runtime/src/timer.rs
@@ -15,7 +15,7 @@
 
 impl Timer {
     /// The state machine was called and now wants to be called at `next`.
-    pub fn changed(&self, next: Option<Micros>) {
+    pub fn reschedule(&self, next: Option<Micros>) {
         // A later time than the one waited for is looked at when that has come.
         let is_earlier = |at: Micros| self.armed_for.get().is_none_or(|armed| at < armed);
         if next.is_some_and(is_earlier) {
@@ -27,7 +27,7 @@
     ///
     /// Invariant: what arrived before that time has been read by then. The runtime polls sockets and timers together,
     /// and wakes those who read first.
-    pub async fn keep(
+    pub async fn run(
         &self,
         clock: &Clock,
         next: impl Fn() -> Option<Micros>,
--- a/crates/scale/src/hollow_scheduler.rs
+++ b/crates/scale/src/hollow_scheduler.rs
@@ -123,7 +123,7 @@
         let scheduler = Scheduler::new(config.settings.clone(), config.seed);
         let subset = NodeSubset::new(scheduler, &config.settings);
         let engine =
-            PlatformEngine::new(subset, config.settings, config.shape, bounds, config.seed);
+            PlatformEngine::new(subset, config.settings, config.schema, bounds, config.seed);
         let mut scheduler = HollowScheduler {
             task_duration,
             engine,
@@ -132,7 +132,7 @@
             connections: BTreeMap::new(),
             counts: WireCounts::default(),
         };
-        scheduler.input(Input::Start(config.known.entries));
+        scheduler.input(Input::Start(config.initial_endpoints.entries));
         Ok(scheduler)
     }
 
--- a/crates/scale/src/roles/configuration.rs
+++ b/crates/scale/src/roles/configuration.rs
@@ -58,9 +58,9 @@
         let bounds = Bounds::for_config(&config);
         let scheduler = Scheduler::new(config.settings.clone(), config.seed);
         let subset = NodeSubset::new(scheduler, &config.settings);
-        let (settings, shape) = (config.settings, config.shape);
+        let (settings, shape) = (config.settings, config.schema);
         let mut engine = PlatformEngine::new(subset, settings, shape, bounds, config.seed);
-        engine.handle(0, Input::Start(config.known.entries));
+        engine.handle(0, Input::Start(config.initial_endpoints.entries));
         applied_times.push(read_at.elapsed().as_secs_f64() * 1e6);
         Ok(engine)
     })?);
--- a/crates/scale/src/roles/controller/harness.rs
+++ b/crates/scale/src/roles/controller/harness.rs
@@ -131,7 +131,7 @@
             | Output::Probe(_)
             | Output::ControlAccepted { .. }
             | Output::Disconnect(_)
-            | Output::Watch
+            | Output::WatchNodes
             | Output::Broadcast(_)
             | Output::Log(_) => return self.send_to_node(output),
         }
--- a/crates/scale/src/roles/controller/harness/nodes.rs
+++ b/crates/scale/src/roles/controller/harness/nodes.rs
@@ -12,7 +12,7 @@
 use peppercove_core::Output;
 use peppercove_core::nodes::node_id_of;
 use peppercove_exchange::{
-    DecodedMessage, Handshake, HandshakeProgress, decode_message, encode_output, work_of,
+    DecodedMessage, Handshake, HandshakeProgress, decode_message, encode_output, offered_task_of,
 };
 use peppercove_protocol::VERSION;
 use peppercove_protocol::codec::MAX_NODE_FRAME_BYTES;
@@ -199,7 +199,7 @@
                     request: task,
                     number: 0,
                 },
-                task: work_of(&self.config, &submission),
+                task: offered_task_of(&self.config, &submission),
                 ended: None,
             };
             bytes.extend_from_slice(&encode(&known, MAX_NODE_FRAME_BYTES)?);
--- a/crates/scale/src/roles/serve/format.rs
+++ b/crates/scale/src/roles/serve/format.rs
@@ -47,12 +47,12 @@
             sockets: 1 << 17,
         },
         journal: unused,
-        known: InitialEndpoints {
+        initial_endpoints: InitialEndpoints {
             pos: 0,
             entries: Vec::new(),
         },
         settings: cluster.settings(),
-        shape: schema(&cluster.sizes),
+        schema: schema(&cluster.sizes),
     }
 }
 
--- a/crates/scale/src/roles/serve/harness.rs
+++ b/crates/scale/src/roles/serve/harness.rs
@@ -75,7 +75,13 @@
         let subset = NodeSubset::new(scheduler, &config.settings);
         Ok(ServeHarness {
             max_line_bytes: max_line_bytes(config.limits.memory_mb),
-            engine: PlatformEngine::new(subset, config.settings, config.shape, bounds, config.seed),
+            engine: PlatformEngine::new(
+                subset,
+                config.settings,
+                config.schema,
+                bounds,
+                config.seed,
+            ),
             simulation: Simulation::new(cluster)?,
             list_position: 0,
             last_id: 0,
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -74,7 +74,7 @@
         let scheduler = Scheduler::new(config.settings.clone(), config.seed);
         let module = NodeSubset::new(scheduler, &config.settings);
         let engine =
-            PlatformEngine::new(module, config.settings, config.shape, bounds, config.seed);
+            PlatformEngine::new(module, config.settings, config.schema, bounds, config.seed);
         Rc::new_cyclic(|this| Server {
             engine: RefCell::new(engine),
             clock: Clock::start(),
@@ -87,10 +87,10 @@
             max_line_bytes: max_line_bytes(config.limits.memory_mb),
             is_list_pushed,
             journal_address: Cell::new(config.journal),
-            journal_position: Cell::new(config.known.pos),
+            journal_position: Cell::new(config.initial_endpoints.pos),
             watch_requested: Notify::new(),
             journal_moved: Notify::new(),
-            initial_events: RefCell::new(config.known.entries),
+            initial_events: RefCell::new(config.initial_endpoints.entries),
             clients: RefCell::default(),
             next_client: Cell::new(1),
             activity: Cell::new(0),
@@ -126,7 +126,7 @@
         if self.engine.borrow().has_queued_requests() {
             self.request_queued.notify_one();
         }
-        self.timer.changed(self.engine.borrow().next_wake());
+        self.timer.reschedule(self.engine.borrow().next_wake());
     }
 
     fn carry_out(&self, output: Output) {
@@ -231,7 +231,7 @@
 pub(crate) async fn run_timer(server: Rc<Server>) {
     let next = || server.engine.borrow().next_wake();
     let tick = |at: Micros| server.handle(Input::Tick(at));
-    server.timer.keep(&server.clock, next, tick).await;
+    server.timer.run(&server.clock, next, tick).await;
 }
 
 /// Admits queued requests for a slice of time, and then lets all that arrived meanwhile come first; never returns.
--- a/crates/standins/src/node_model.rs
+++ b/crates/standins/src/node_model.rs
@@ -127,7 +127,7 @@
     }
 
     /// Tasks that were admitted and have not ended.
-    pub fn held(&self) -> usize {
+    pub fn active_tasks(&self) -> usize {
         self.tasks.values().filter(|task| task.is_active()).count()
     }
 
@@ -201,7 +201,7 @@
             .values()
             .filter_map(|task| task.state.next_change());
         let admission = self.current_admission.as_ref().filter(|_| !hangs);
-        let evicts = self.is_draining && self.held() > 0;
+        let evicts = self.is_draining && self.active_tasks() > 0;
         let evicts = evicts && self.spec.eviction != EvictionPolicy::None;
         let resends = !self.connections.is_empty() && !hangs;
         let resend = self.completed.next_resend().filter(|_| resends);
--- a/crates/standins/src/receiver.rs
+++ b/crates/standins/src/receiver.rs
@@ -16,15 +16,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReceiverFaults {
     /// Time that it takes for each response.
-    pub slow: Duration,
+    pub response_time: Duration,
     /// It closes every connection.
     pub down: bool,
     /// It responds with this status, and `Retry-After` in seconds, and stores nothing.
-    pub answers: Option<(u16, Option<u64>)>,
+    pub forced_response: Option<(u16, Option<u64>)>,
     /// It supports this major version of the protocol only: 1 or 2.
-    pub only: Option<u8>,
+    pub supported_version: Option<u8>,
     /// It rejects every request with a series of this name.
-    pub refuses: Option<String>,
+    pub rejected_series: Option<String>,
 }
 
 /// Labels of a series, each with its name and value, in the order in which they were sent.
@@ -217,11 +217,11 @@
         }
     }
     let faults = state.borrow().faults.clone();
-    tokio::time::sleep(faults.slow).await;
+    tokio::time::sleep(faults.response_time).await;
     let is_unsupported = |only: u8| only != head.version.major();
-    let (status, retry_after) = match faults.answers {
+    let (status, retry_after) = match faults.forced_response {
         Some((status, retry_after)) => (status, retry_after),
-        None if faults.only.is_some_and(is_unsupported) => (415, None),
+        None if faults.supported_version.is_some_and(is_unsupported) => (415, None),
         None => {
             let body = &bytes[head.length..end];
             (store(&mut state.borrow_mut(), body, head.version), None)
@@ -253,7 +253,7 @@
             .find(|(label, _)| label == "__name__")
             .map(|(_, value)| value.as_str())
             .unwrap_or_default();
-        if state.faults.refuses.as_deref() == Some(name) {
+        if state.faults.rejected_series.as_deref() == Some(name) {
             return 400;
         }
         violations.extend(check_labels(name, labels));
